--- a/router/admit.go
+++ b/router/admit.go
@@ -7,132 +7,139 @@
 	"lichenshelf/logic"
 )
 
-// answerMargin is taken off a request's time. An attempt that waits to the very
-// end is answered after that, and the answer must leave before the client's
-// patience ends, on a machine that may be late itself.
+// answerMargin is subtracted from a request's remaining time. An attempt that uses all of its time
+// is answered only after that, and the answer must leave before the client's patience ends, even if
+// the machine runs late.
 const answerMargin = 20 * time.Millisecond
 
-// mostBehind bounds those that wait behind one name: each of them holds its body and its connection, and who
-// sends a name more often than this is no client that is well.
-const mostBehind = 8
+// maxQueuedPerName bounds the requests queued behind one name, because each holds its body and its
+// connection. A client that sends one name more often than this is faulty.
+const maxQueuedPerName = 8
 
-// admission gives a request its number and puts it before the decisions.
+// admission assigns request IDs and passes requests to the decider.
 type admission struct {
 	core      *Core
 	lastID    logic.RequestID
 	exchanges map[logic.RequestID]*exchange
-	names     map[string]*exchange
-	behind    map[string][]*exchange // wait for the one of their name that is in hand, in order of arrival
-	over      []*exchange            // may be forgotten once the decisions know of their end
+	byName    map[string]*exchange
+	// by name: requests that wait for the open request of their name, in order of arrival
+	queued   map[string][]*exchange
+	finished []*exchange // can be removed once the decider has been informed of their end
 }
 
 func (a *admission) admit(ex *exchange) {
 	ex.rules = a.core.guard.rules(ex.Request)
-	first := a.names[ex.Name]
+	first := a.byName[ex.Name]
 	if first == nil {
-		a.enter(ex)
+		a.dispatch(ex)
 		return
 	}
-	// A name stands for one request at the workers: two at once would share their held state and each
-	// other's attempts. But anybody may use a name, and what is in hand may be rejected as nobody's.
-	if first.ran || first.answered || len(a.behind[ex.Name]) >= mostBehind {
+	// A name identifies one request at the workers: two at once would share their held state and
+	// each other's attempts. But any client may use a name, and workers may reject the open request
+	// as not belonging to anyone, so a second one waits for the outcome.
+	if first.mayHaveRun || first.answered || len(a.queued[ex.Name]) >= maxQueuedPerName {
 		a.core.completion.duplicate(ex)
 		return
 	}
-	a.behind[ex.Name] = append(a.behind[ex.Name], ex)
-	ex.turn = time.AfterFunc(a.left(ex), func() {
+	a.queued[ex.Name] = append(a.queued[ex.Name], ex)
+	ex.queueTimer = time.AfterFunc(a.timeLeft(ex), func() {
 		a.core.post(func() {
-			if a.leaveLine(ex) {
+			if a.dequeue(ex) {
 				a.core.completion.duplicate(ex)
 			}
 		})
 	})
 }
 
-// left is how long the decisions may take over a request.
-func (a *admission) left(ex *exchange) time.Duration {
+// timeLeft returns how long the decider may take over a request.
+func (a *admission) timeLeft(ex *exchange) time.Duration {
 	return max(ex.Patience-time.Since(ex.Received)-answerMargin, 0)
 }
 
-// enter puts a request before the decisions.
-func (a *admission) enter(ex *exchange) {
+// dispatch passes a request to the decider.
+func (a *admission) dispatch(ex *exchange) {
 	a.lastID++
 	ex.ID = a.lastID
-	a.names[ex.Name] = ex
+	a.byName[ex.Name] = ex
 	a.exchanges[ex.ID] = ex
 	q := ex.Request.Request
-	q.Patience = a.left(ex)
+	q.Patience = a.timeLeft(ex)
 	a.core.routing.push(logic.Event{Kind: logic.Arrived, Request: q})
 }
 
-// leaveLine takes a request out that waits behind another of its name; false if it does not wait.
-func (a *admission) leaveLine(ex *exchange) bool {
-	line := a.behind[ex.Name]
-	i := slices.Index(line, ex)
+// dequeue removes a request from the queue of its name. It returns false if the request is not
+// queued.
+func (a *admission) dequeue(ex *exchange) bool {
+	queue := a.queued[ex.Name]
+	i := slices.Index(queue, ex)
 	if i < 0 {
 		return false
 	}
-	ex.turn.Stop() // else it would hold the request as long as its client said it would wait
-	if a.behind[ex.Name] = slices.Delete(line, i, i+1); len(line) == 1 {
-		delete(a.behind, ex.Name)
+	ex.queueTimer.Stop() // otherwise the timer would retain the request for its whole patience
+	if a.queued[ex.Name] = slices.Delete(queue, i, i+1); len(queue) == 1 {
+		delete(a.queued, ex.Name)
 	}
 	return true
 }
 
-// next is for those that wait behind a request. If it may have run they may be copies of it, and end. If it has ended
-// otherwise, and what was held for it has been let go of, the first of them goes on.
-func (a *admission) next(first *exchange) {
-	for line := a.behind[first.Name]; len(line) > 0; line = a.behind[first.Name] {
-		ex := line[0]
+// advanceQueue processes the requests queued behind first. If first may have run, they may be
+// copies of it and fail. If first ended without running and its held state has been released, the
+// first in the queue is dispatched.
+func (a *admission) advanceQueue(first *exchange) {
+	for queue := a.queued[first.Name]; len(queue) > 0; queue = a.queued[first.Name] {
+		ex := queue[0]
 		switch {
-		case first.ran || first.answered:
-			a.leaveLine(ex)
+		case first.mayHaveRun || first.answered:
+			a.dequeue(ex)
 			a.core.completion.duplicate(ex)
-		case first.releases > 0 || a.names[first.Name] != nil:
+		case first.openReleases > 0 || a.byName[first.Name] != nil:
 			return
 		default:
-			a.leaveLine(ex)
-			a.enter(ex)
+			a.dequeue(ex)
+			a.dispatch(ex)
 			return
 		}
 	}
 }
 
-// forget drops an exchange that is closed and has nothing out. It stays until the
-// decisions have heard of its end: they may still have its held state let go.
+// forget schedules the removal of an exchange that is closed and has no attempt in flight. The
+// exchange stays until the decider has been informed of its end, because the decider may still
+// release its held state.
 func (a *admission) forget(ex *exchange) {
 	if ex.closed && ex.attempt == nil {
-		a.over = append(a.over, ex)
+		a.finished = append(a.finished, ex)
 	}
 }
 
 func (a *admission) sweep() {
-	for _, ex := range a.over {
+	for _, ex := range a.finished {
 		if a.exchanges[ex.ID] == ex {
 			delete(a.exchanges, ex.ID)
-			delete(a.names, ex.Name)
+			delete(a.byName, ex.Name)
 			a.core.open.Add(-1)
-			a.next(ex)
+			a.advanceQueue(ex)
 			a.report(ex)
 		}
 	}
-	a.over = a.over[:0]
+	a.finished = a.finished[:0]
 }
 
-// report logs a request that went wrong, once it is forgotten and what was let go of for it has been taken or not.
+// report logs a request that failed, once it has been removed and none of its releases is in
+// flight.
 func (a *admission) report(ex *exchange) {
-	if a.exchanges[ex.ID] != ex && ex.releases == 0 && !ex.reported {
-		ex.reported = true
+	if a.exchanges[ex.ID] != ex && ex.openReleases == 0 && !ex.logged {
+		ex.logged = true
 		a.core.histories.write(ex)
 	}
 }
 
-// lookForOverdue notes requests that should have had their final answer, and states that are held for too long, once each.
-func (a *admission) lookForOverdue() {
+// checkOverdue records, once each, requests whose final answer is overdue and read states that have
+// been held for too long.
+func (a *admission) checkOverdue() {
 	now := time.Now()
 	for _, ex := range a.exchanges {
-		a.core.guard.note(ex, "hold", ex.rules.Held(now))
-		if !ex.overdue && !a.core.guard.note(ex, "wait", ex.rules.Overdue(now)) {
+		a.core.guard.record(ex, "hold", ex.rules.Held(now))
+		if !ex.overdue && !a.core.guard.record(ex, "wait", ex.rules.Overdue(now)) {
 			ex.overdue = true
 		}
 	}
--- a/router/api.go
+++ b/router/api.go
@@ -1,9 +1,9 @@
-// Package router carries requests to workers as package logic decides. It knows
-// requests, attempts, outcomes and members; it knows no HTTP and no address
-// family. What stands before it is a front, what stands behind it a Transport.
+// Package router sends requests to workers as package logic decides. It handles requests, attempts,
+// outcomes and members, and is independent of HTTP and of address families. A front submits the
+// requests, and a Transport connects to the workers.
 //
-// One goroutine owns the decider and the state of every request. Everything
-// else posts to it and does what it hands out.
+// One goroutine owns the decider and the state of every request. All other goroutines post events
+// to it and execute the actions that it returns.
 package router
 
 import (
@@ -13,25 +13,25 @@
 	"lichenshelf/logic"
 )
 
-// Request is one client request as a front hands it in.
+// Request is one client request as a front submits it.
 type Request struct {
-	logic.Request           // what the decisions look at; Patience runs from Received
-	Name          string    // the client's id of the request, the same at every party
-	Received      time.Time // when its last byte came to this machine
-	Read          time.Time // when it had been read whole; zero: as it came
-	Payload       any       // the front's message, for the transport alone
+	logic.Request           // input of the decider; Patience runs from Received
+	Name          string    // the client's ID of the request, the same at every party
+	Received      time.Time // when its last byte arrived at this machine
+	Read          time.Time // when it had been read completely; zero means at Received
+	Payload       any       // the front's message, used by the transport only
 }
 
-// Client waits for the answer to one request. The core calls exactly one of
-// these methods, once, and not at all after Leave. They must not block.
+// Client receives the answer to one request. The core calls exactly one of these methods, once, and
+// none after Leave. They must not block.
 type Client interface {
-	// Stream gives the answer: all of it up to io.EOF. Any other error means
-	// that it broke off, and the client must be able to see that.
+	// Stream passes the answer, which is complete at io.EOF. Any other error means that the answer
+	// broke off, which must be visible to the client.
 	Stream(Answer)
-	// Refuse says that trying again, after the given time, is harmless; last is
-	// how the last attempt ended, NotSent if there was none.
+	// Refuse reports that repeating the request after the given time is harmless. last is the
+	// status of the last attempt, NotSent if there was none.
 	Refuse(after time.Duration, last logic.Status)
-	// Fail says that the request was given up.
+	// Fail reports that the request was abandoned.
 	Fail(last logic.Status)
 }
 
@@ -39,88 +39,89 @@
 type Attempt struct {
 	Request *Request
 	Worker  *Worker
-	Wait    time.Duration // how long the core will wait for the answer to begin
-	// SendWithin is how long the request's last byte may take to go out, connecting
-	// included; past it the attempt ends as one that never reached its worker. 0
-	// means no bound.
+	Wait    time.Duration // how long the core waits for the answer to begin
+	// SendWithin bounds the time until the request's last byte is sent, connecting included. An
+	// attempt that exceeds it ends as one that never reached its worker. 0 means no bound.
 	SendWithin time.Duration
 }
 
 // Answer is a worker's answer that has begun.
 type Answer interface {
 	io.ReadCloser
-	// Head is what the transport has to tell the front beside the bytes.
+	// Head returns what the transport passes to the front beside the bytes.
 	Head() any
-	// Kept is the number of prompt tokens found kept, known after io.EOF.
+	// Kept returns the number of prompt tokens that the worker found cached, known after io.EOF.
 	Kept() uint32
-	// Load is the worker's latest report: that of the answer's head until io.EOF,
-	// then that of its end, if it has one. Only the goroutine that reads may call it.
+	// Load returns the worker's latest load report: the one in the answer's head until io.EOF, then
+	// the one at its end, if there is one. Only the goroutine that reads may call it.
 	Load() logic.Load
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Status logic.Status
 	Kept   uint32
-	Load   logic.Load // the worker's report, if one came along
-	Stale  bool       // a reset of a connection that had been kept: it says nothing of the worker
-	// Unreached says that the request's last byte never went out.
+	Load   logic.Load // the worker's load report, if there was one
+	Stale  bool       // reset of a reused connection, which does not indicate a fault of the worker
+	// Unreached reports that the request's last byte was never sent.
 	Unreached bool
-	Cause     error // what went wrong, for the log; nil: the status says all
+	Cause     error // the error, for the log; nil if the status explains the outcome
 }
 
-// Written says how the last byte of an attempt went out.
+// Written describes how the last byte of an attempt was sent.
 type Written struct {
 	At     time.Time
-	Port   int // of the connection, at this end
+	Port   int // local port of the connection
 	Reused bool
 	Bytes  int
 }
 
-// Sink takes what becomes of an attempt: Started or Ended, once. Any goroutine
-// may call it.
+// Sink receives the events of an attempt: one call of Started or Ended. Its methods may be called
+// from any goroutine.
 type Sink interface {
-	// Written says that the last byte of the attempt went out, before what becomes of it. It must not block.
+	// Written reports that the last byte of the attempt was sent. It is called before Started or
+	// Ended and must not block.
 	Written(Written)
-	// Started hands over an answer whose first bytes are there.
+	// Started passes an answer whose first bytes have been received.
 	Started(Answer)
 	Ended(Outcome)
 }
 
-// Transport speaks with workers. Its methods return at once.
+// Transport sends requests to workers. Its methods return at once.
 type Transport interface {
-	// Send starts an attempt. The returned function gives it up, at any time. The channel is closed once the worker
-	// knows, nil if nothing is out: until then the attempt is, and nothing that needs it to be over may follow. It is
-	// closed within 10 ms. An attempt that ends by itself ends when its worker knows of it.
-	Send(Attempt, Sink) (giveUp func() (known <-chan struct{}))
-	// Release asks the given workers, each a little after the one before until one
-	// took it, to let go of all that is held for the named request. It calls done, once
-	// and later, when that has ended either way: with the worker that took it, or the reason why none did. With neither there is
-	// nothing to let go of at such workers.
+	// Send starts an attempt. The returned function cancels it at any time. The channel that it
+	// returns is closed within 10 ms, once the worker knows of the cancellation; it is nil if the
+	// request is not at a worker. Until then the attempt counts as in flight, and nothing that
+	// requires its end may follow. An attempt that is not cancelled ends only when its worker knows
+	// of the end.
+	Send(Attempt, Sink) (cancel func() (acknowledged <-chan struct{}))
+	// Release asks the given workers to release everything held for the named request, each a
+	// little after the previous one until one accepts. It calls done once, after it has returned,
+	// with the worker that accepted or the reason why none did. done gets neither if such workers
+	// hold no state.
 	Release(name string, workers []*Worker, done func(by *Worker, err error))
-	// Forget drops what is kept of a worker that has left or restarted.
+	// Forget drops the state that is kept for a worker that has left or restarted.
 	Forget(*Worker)
 }
 
-// Allowance says whether an attempt may go out.
+// Allowance is the answer of a Permit.
 type Allowance uint8
 
-// What may be said of an attempt.
+// The possible answers.
 const (
 	MayGo    Allowance = iota
-	NotThere           // this worker must not get it now, another may
-	NotAgain           // nothing may be sent again now: the request ends as its last attempt left it
+	NotThere           // this worker must not get the attempt now; another one may
+	NotAgain           // nothing may be repeated now: the request ends with the status of its last attempt
 )
 
-// Permit is asked right before an attempt goes out, by the core's goroutine. It must
-// return at once.
+// Permit is asked right before an attempt is sent, on the core's goroutine. It must return at once.
 type Permit interface {
-	// Allow says whether an attempt may go to a worker; repeat tells that the attempt
-	// before it failed.
+	// Allow decides whether an attempt may be sent to a worker. repeat reports that it follows a
+	// failed attempt.
 	Allow(w *Worker, repeat bool) Allowance
 }
 
-// Counters is told what the core does. Its methods may be called from any goroutine.
+// Counters counts the core's events by name. Its methods may be called from any goroutine.
 type Counters interface {
 	Add(name string, n int64)
 }
--- a/router/completion.go
+++ b/router/completion.go
@@ -6,18 +6,19 @@
 	"lichenshelf/logic"
 )
 
-// completion ends requests: one final answer each.
+// completion gives each request its one final answer.
 type completion struct {
 	core  *Core
 	count Counters
 }
 
-// refuse answers that a repeat does no harm, or where the rules do not allow that promise, that the request has failed.
+// refuse answers that a repeat is harmless. Where the rules do not allow that promise, it answers
+// that the request has failed.
 func (c *completion) refuse(ex *exchange, after time.Duration, why logic.Why) {
 	if ex.closed {
 		return
 	}
-	if !c.core.guard.note(ex, "refuse", ex.rules.MayRefuse()) {
+	if !c.core.guard.record(ex, "refuse", ex.rules.MayRefuse()) {
 		c.fail(ex, why)
 		return
 	}
@@ -25,7 +26,7 @@
 	c.count.Add("refused_"+why.String(), 1)
 	ex.history.add(step{kind: stepRefused, why: why})
 	c.core.histories.requestEnds(ex, "refused", why)
-	ex.client.Refuse(after, ex.last)
+	ex.client.Refuse(after, ex.lastStatus)
 	c.close(ex)
 }
 
@@ -37,11 +38,11 @@
 	c.count.Add("failed_"+why.String(), 1)
 	ex.history.add(step{kind: stepFailed, why: why})
 	c.core.histories.requestEnds(ex, "failed", why)
-	ex.client.Fail(ex.last)
+	ex.client.Fail(ex.lastStatus)
 	c.close(ex)
 }
 
-// duplicate ends a request whose name is that of one in hand that may have run.
+// duplicate fails a request whose name is that of an open request that may have run.
 func (c *completion) duplicate(ex *exchange) {
 	c.core.open.Add(-1)
 	c.count.Add("requests_duplicate", 1)
@@ -49,7 +50,7 @@
 	ex.client.Fail(logic.NotSent)
 }
 
-// answerEnded notes how an answer that had begun has ended.
+// answerEnded counts how an answer that had begun has ended.
 func (c *completion) answerEnded(s logic.Status) {
 	switch s {
 	case logic.Served:
@@ -61,9 +62,9 @@
 	}
 }
 
-// left takes a client's going away at a time: what is out for it is given up.
-func (c *completion) left(ex *exchange, at time.Time) {
-	if c.core.admission.leaveLine(ex) {
+// clientLeft handles the departure of a client at the given time: its attempt is cancelled.
+func (c *completion) clientLeft(ex *exchange, at time.Time) {
+	if c.core.admission.dequeue(ex) {
 		c.core.open.Add(-1)
 		c.count.Add("clients_left", 1)
 		ex.closed = true
@@ -74,7 +75,7 @@
 	}
 	if !ex.closed {
 		c.count.Add("clients_left", 1)
-		c.core.guard.note(ex, "leave", ex.rules.Left(at))
+		c.core.guard.record(ex, "leave", ex.rules.ClientLeft(at))
 		ex.history.add(step{kind: stepClientLeft})
 		c.core.histories.requestEnds(ex, "left", logic.WhyNone)
 		c.core.routing.push(logic.Event{Kind: logic.ClientLeft, ID: ex.ID})
@@ -87,7 +88,7 @@
 }
 
 func (c *completion) close(ex *exchange) {
-	c.core.guard.note(ex, "answer", ex.rules.Answer(time.Now()))
+	c.core.guard.record(ex, "answer", ex.rules.Answer(time.Now()))
 	ex.closed = true
 	c.core.admission.forget(ex)
 }
--- a/router/core.go
+++ b/router/core.go
@@ -12,45 +12,48 @@
 	"lichenshelf/router/rules"
 )
 
-// mailboxSize bounds what waits for the core; who posts to a full one waits.
-const mailboxSize = 1024
+// inboxSize is the capacity of the core's inbox; posting to a full inbox blocks.
+const inboxSize = 1024
 
-// settleFor covers a second release that may follow the first, settleMost what releases
-// take where workers don't answer.
+// settleDelay covers a second release that may follow the first. settleTimeout is how long releases
+// take where workers do not answer.
 const (
-	settleFor  = crossing
-	settleStep = 5 * time.Millisecond
-	settleMost = 600 * time.Millisecond
+	settleDelay        = cutOffReadGrace
+	settlePollInterval = 5 * time.Millisecond
+	settleTimeout      = 600 * time.Millisecond
 )
 
-// Config is what a core is made of.
+// Config configures a Core.
 type Config struct {
 	Decider   logic.Decider
 	Transport Transport
-	Permit    Permit // asked before each attempt; nil: all may go
-	// Fence is asked before each attempt, and again right before its first byte: with false nothing new goes out. It
-	// may be called from any goroutine and must return at once; nil: all may go.
+	Permit    Permit // asked before each attempt; nil permits all
+	// Fence is asked before each attempt, and again right before its first byte; while it returns
+	// false, nothing new is sent. It may be called from any goroutine and must return at once; nil
+	// never fences.
 	Fence    func() bool
 	Counters Counters
-	// Settings are those that the decider goes by: each act is held against their rules (package rules).
+	// Settings are the decider's settings. Each action is checked against their rules (package
+	// rules).
 	Settings logic.Settings
-	// MaxOpen bounds the requests in hand; more are refused at the door.
+	// MaxOpen bounds the open requests; more are refused on arrival.
 	MaxOpen int
-	// Log takes what the decisions have to say, and at the debug level how each
-	// request ended; nil drops it.
+	// Log receives the decider's messages and, at the debug level, how each request ended; nil
+	// discards them.
 	Log logrus.FieldLogger
 }
 
-// Core is the router proper. Its chain is: Submit, admission, routing, sender,
-// relay, completion; releaser beside it.
+// Core connects the parts of the router. A request passes through Submit, admission, routing,
+// sender, relay and completion; the releaser releases held read states.
 type Core struct {
-	mail    chan func()
+	inbox   chan func()
 	stopped chan struct{}
-	open    atomic.Int64 // requests in hand, and those whose last attempt is still out
-	letting atomic.Int64 // releases that are out
-	workers workerSet
-	maxOpen int64 // 0: no bound
-	count   Counters
+	// open requests, and closed ones whose last attempt is still in flight
+	open             atomic.Int64
+	releasesInFlight atomic.Int64 // releases in flight
+	workers          workerSet
+	maxOpen          int64 // 0 means no bound
+	count            Counters
 
 	admission  admission
 	routing    routing
@@ -62,37 +65,37 @@
 	histories  historyLog
 }
 
-// exchange is one request in hand and all that the core keeps of it. Only the
-// core's goroutine touches it.
+// exchange is one open request with the state that the core keeps for it. Only the core's goroutine
+// accesses it.
 type exchange struct {
 	*Request
-	rules          *rules.Request // what may be done for it; nil until it is admitted
+	rules          *rules.Request // what is allowed for it; nil until it is admitted
 	client         Client
-	turn           *time.Timer // ends its wait behind another of its name; nil: it did not wait
-	attempt        *attempt    // the one that is out
+	queueTimer     *time.Timer // ends its wait in the queue of its name; nil if it did not wait
+	attempt        *attempt    // the one in flight
 	sends          int
-	last           logic.Status
-	closed         bool // it has its final answer, or the client has gone
+	lastStatus     logic.Status
+	closed         bool // it has its final answer, or the client has left
 	answered       bool // an answer has begun
-	ran            bool // an attempt may have run, as far as its outcome tells
-	unsure         bool // a read was cut off: the worker may hold its state all the same
-	releases       int  // that are out; what is sent meanwhile waits for them
-	releaseRetries int  // of releases that nobody took
-	overdue        bool // it was noted that it has no answer yet
+	mayHaveRun     bool // an attempt may have run, judging by its outcome
+	readCutOff     bool // a read was cut off, and the worker may hold its state all the same
+	openReleases   int  // in flight; new attempts wait for them
+	releaseRetries int  // retries of releases that no worker accepted
+	overdue        bool // its missing answer has been recorded
 	history        history
-	reported       bool // its history has been looked at for the log
+	logged         bool // its history has been passed to the log
 }
 
-// New returns a core; Run starts it.
+// New returns a core, which Run starts.
 func New(cfg Config) *Core {
 	if cfg.Log == nil {
 		silent := logrus.New()
 		silent.SetOutput(io.Discard)
 		cfg.Log = silent
 	}
-	c := &Core{mail: make(chan func(), mailboxSize), stopped: make(chan struct{}), maxOpen: int64(cfg.MaxOpen), count: cfg.Counters}
+	c := &Core{inbox: make(chan func(), inboxSize), stopped: make(chan struct{}), maxOpen: int64(cfg.MaxOpen), count: cfg.Counters}
 	c.workers.byID, c.workers.fence = map[logic.ServerID]*Worker{}, cfg.Fence
-	c.admission = admission{core: c, exchanges: map[logic.RequestID]*exchange{}, names: map[string]*exchange{}, behind: map[string][]*exchange{}}
+	c.admission = admission{core: c, exchanges: map[logic.RequestID]*exchange{}, byName: map[string]*exchange{}, queued: map[string][]*exchange{}}
 	c.routing = routing{core: c, decider: cfg.Decider, start: time.Now(), log: cfg.Log}
 	c.sender = sender{core: c, transport: cfg.Transport, permit: cfg.Permit, count: cfg.Counters}
 	c.guard = guard{core: c, settings: cfg.Settings, count: cfg.Counters}
@@ -103,16 +106,16 @@
 	return c
 }
 
-// Run owns all state until ctx ends.
+// Run processes the inbox and owns all state until ctx ends.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.stopped)
-	look := time.NewTicker(overdueEvery)
-	defer look.Stop()
+	overdueTicker := time.NewTicker(overdueCheckInterval)
+	defer overdueTicker.Stop()
 	for {
 		select {
-		case <-look.C:
-			c.admission.lookForOverdue()
-		case f := <-c.mail:
+		case <-overdueTicker.C:
+			c.admission.checkOverdue()
+		case f := <-c.inbox:
 			f()
 			c.routing.decide()
 		case <-ctx.Done():
@@ -124,33 +127,33 @@
 // post runs f on the core's goroutine. After the end of Run it does nothing.
 func (c *Core) post(f func()) {
 	select {
-	case c.mail <- f:
+	case c.inbox <- f:
 	case <-c.stopped:
 	}
 }
 
-// Open is the number of requests in hand.
+// Open returns the number of open requests.
 func (c *Core) Open() int { return int(c.open.Load()) }
 
-// Discovered takes a list of members, or changes to it. Leaving workers are
-// marked before it returns.
+// Discovered applies a list of members, or changes to it. Leaving workers are marked before it
+// returns.
 func (c *Core) Discovered(members []Member, whole bool) {
-	void := c.workers.apply(members, whole)
-	list := c.workers.dated(members, time.Now(), c.routing.at)
+	removed := c.workers.apply(members, whole)
+	list := c.workers.withStartTimes(members, time.Now(), c.routing.at)
 	c.post(func() {
 		c.routing.push(logic.Event{Kind: logic.ServersChanged, Members: list, Whole: whole})
-		for _, w := range void {
+		for _, w := range removed {
 			c.sender.transport.Forget(w)
 		}
 	})
 }
 
-// Zoner is a decider to which a map of traffic can be told.
+// Zoner is a decider that accepts a traffic map.
 type Zoner interface {
 	SetZones(figures []float64)
 }
 
-// SetZones hands a figure for each zone to the decider, if it takes them; nil ends them.
+// SetZones passes one figure for each zone to the decider, if it accepts them; nil removes them.
 func (c *Core) SetZones(figures []float64) {
 	c.post(func() {
 		if z, ok := c.routing.decider.(Zoner); ok {
@@ -164,8 +167,8 @@
 	Retune(classes []logic.Class, maxAttempts int)
 }
 
-// Retune hands new rules to the decider, if it takes them, for requests that
-// arrive from now on. The bound on attempts of open requests is not lowered.
+// Retune passes new rules for requests that arrive from now on to the decider, if it accepts them.
+// The bound on attempts of open requests is not lowered.
 func (c *Core) Retune(classes []logic.Class, maxAttempts int) {
 	c.post(func() {
 		if r, ok := c.routing.decider.(Retuner); ok {
@@ -175,34 +178,38 @@
 	})
 }
 
-// Told hands on what others know of a worker's load.
+// Told passes a load report on a worker, received from another router, to the decider.
 func (c *Core) Told(server logic.ServerID, l logic.Load) {
 	c.post(func() { c.routing.push(logic.Event{Kind: logic.LoadTold, Server: server, Load: l}) })
 }
 
-// Close tells the decisions that the process is about to end: what is in hand gets
-// its final answer within the time given, or is moved; with 0 at once, and requests
-// that still come are given up.
+// Close informs the decider that the process is about to end: open requests get their final answer
+// within the given time, or are moved. With 0 they end at once, and requests that still arrive are
+// abandoned.
 func (c *Core) Close(in time.Duration) {
 	c.post(func() { c.routing.push(logic.Event{Kind: logic.Closing, Latency: in}) })
 }
 
-// CutSilent ends the answers of which nothing has come for so long: a process that ends has no time left for their workers.
-func (c *Core) CutSilent(silent time.Duration) { c.post(func() { c.sender.cutSilent(silent) }) }
+// CutSilent ends the answers from which nothing has been received for the given time: a process
+// that ends cannot wait for their workers.
+func (c *Core) CutSilent(silent time.Duration) {
+	c.post(func() { c.sender.cancelSilentStreams(silent) })
+}
 
-// Settle waits, within reason, until what was let go of last has been taken. It returns how many releases are still out.
+// Settle waits, at most for settleTimeout, until the latest releases have ended. It returns the
+// number of releases still in flight.
 func (c *Core) Settle(ctx context.Context) int64 {
-	most := time.After(settleMost)
-	for next := settleFor; ; next = settleStep {
+	timeout := time.After(settleTimeout)
+	for next := settleDelay; ; next = settlePollInterval {
 		select {
 		case <-time.After(next):
-			if c.letting.Load() == 0 {
+			if c.releasesInFlight.Load() == 0 {
 				return 0
 			}
-		case <-most:
-			return c.letting.Load()
+		case <-timeout:
+			return c.releasesInFlight.Load()
 		case <-ctx.Done():
-			return c.letting.Load()
+			return c.releasesInFlight.Load()
 		}
 	}
 }
--- a/router/core_test.go
+++ b/router/core_test.go
@@ -16,39 +16,39 @@
 	"lichenshelf/metrics"
 )
 
-// decide is a decider made of a function of single events.
-type decide func(logic.Event) []logic.Action
+// deciderFunc is a decider made of a function that handles single events.
+type deciderFunc func(logic.Event) []logic.Action
 
-func (d decide) Handle(_ logic.Time, events []logic.Event, actions []logic.Action) []logic.Action {
+func (d deciderFunc) Handle(_ logic.Time, events []logic.Event, actions []logic.Action) []logic.Action {
 	for _, e := range events {
 		actions = append(actions, d(e)...)
 	}
 	return actions
 }
 
-// wires is a transport that only notes what it is asked for.
-type wires struct {
-	sent     chan Sink
-	gaveUp   chan struct{}
-	released chan string
-	taken    chan struct{} // a release waits for this, where it is set
-	refuse   atomic.Int64  // so many more releases are taken by nobody
-	known    chan struct{} // closed when workers know that an attempt was given up; nil: at once
+// fakeTransport is a transport that only records its calls.
+type fakeTransport struct {
+	sent         chan Sink
+	cancelled    chan struct{}
+	released     chan string
+	releaseTaken chan struct{} // releases end only when this can be received from, if it is set
+	refuse       atomic.Int64  // number of further releases that no worker accepts
+	acknowledged chan struct{} // closed when workers know of a cancellation; nil means at once
 }
 
-func newWires() *wires {
-	return &wires{sent: make(chan Sink, 16), gaveUp: make(chan struct{}, 16), released: make(chan string, 16)}
+func newFakeTransport() *fakeTransport {
+	return &fakeTransport{sent: make(chan Sink, 16), cancelled: make(chan struct{}, 16), released: make(chan string, 16)}
 }
 
-func (w *wires) Send(_ Attempt, s Sink) func() <-chan struct{} {
+func (w *fakeTransport) Send(_ Attempt, s Sink) func() <-chan struct{} {
 	w.sent <- s
-	return sync.OnceValue(func() <-chan struct{} { w.gaveUp <- struct{}{}; return w.known })
+	return sync.OnceValue(func() <-chan struct{} { w.cancelled <- struct{}{}; return w.acknowledged })
 }
-func (w *wires) Release(name string, _ []*Worker, done func(*Worker, error)) {
+func (w *fakeTransport) Release(name string, _ []*Worker, done func(*Worker, error)) {
 	w.released <- name
 	go func() {
-		if w.taken != nil {
-			<-w.taken
+		if w.releaseTaken != nil {
+			<-w.releaseTaken
 		}
 		if w.refuse.Add(-1) >= 0 {
 			done(nil, errors.New("nobody"))
@@ -57,23 +57,23 @@
 		done(nil, nil)
 	}()
 }
-func (w *wires) Forget(*Worker) {}
+func (w *fakeTransport) Forget(*Worker) {}
 
-// caller notes the answers it gets.
-type caller struct{ answers chan string }
+// fakeClient records its answers.
+type fakeClient struct{ answers chan string }
 
-func (c caller) Stream(Answer)                      { c.answers <- "stream" }
-func (c caller) Refuse(time.Duration, logic.Status) { c.answers <- "refused" }
-func (c caller) Fail(logic.Status)                  { c.answers <- "failed" }
+func (c fakeClient) Stream(Answer)                      { c.answers <- "stream" }
+func (c fakeClient) Refuse(time.Duration, logic.Status) { c.answers <- "refused" }
+func (c fakeClient) Fail(logic.Status)                  { c.answers <- "failed" }
 
-type text struct{ io.Reader }
+type fakeAnswer struct{ io.Reader }
 
-func (text) Close() error     { return nil }
-func (text) Head() any        { return nil }
-func (text) Kept() uint32     { return 7 }
-func (text) Load() logic.Load { return logic.Load{} }
+func (fakeAnswer) Close() error     { return nil }
+func (fakeAnswer) Head() any        { return nil }
+func (fakeAnswer) Kept() uint32     { return 7 }
+func (fakeAnswer) Load() logic.Load { return logic.Load{} }
 
-func run(t *testing.T, d decide, w *wires) (*Core, *metrics.Set) {
+func run(t *testing.T, d deciderFunc, w *fakeTransport) (*Core, *metrics.Set) {
 	counters := &metrics.Set{}
 	c := New(Config{Decider: d, Transport: w, Counters: counters, Settings: logic.Settings{MaxAttempts: 3}, MaxOpen: 2})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -83,13 +83,14 @@
 	return c, counters
 }
 
-func submit(c *Core, name string) (caller, Ticket) {
-	who := caller{make(chan string, 4)}
-	return who, c.Submit(&Request{Name: name, Received: time.Now(), Request: logic.Request{Patience: time.Minute}}, who)
+func submit(c *Core, name string) (fakeClient, Ticket) {
+	client := fakeClient{make(chan string, 4)}
+	return client, c.Submit(&Request{Name: name, Received: time.Now(), Request: logic.Request{Patience: time.Minute}}, client)
 }
 
-// sendAll sends each arrival on and, where an attempt ends unserved, refuses and releases.
-func sendAll(ended chan<- logic.Event) decide {
+// sendAll sends each request on arrival. When an attempt ends, it refuses the request and releases
+// its state.
+func sendAll(ended chan<- logic.Event) deciderFunc {
 	return func(e logic.Event) []logic.Action {
 		switch e.Kind {
 		case logic.Arrived:
@@ -102,25 +103,25 @@
 	}
 }
 
-func TestAnswerThatCrossesItsEndIsVoid(t *testing.T) {
-	ended, w := make(chan logic.Event, 4), newWires()
+func TestAnswerAfterAttemptEndIsIgnored(t *testing.T) {
+	ended, w := make(chan logic.Event, 4), newFakeTransport()
 	c, _ := run(t, sendAll(ended), w)
-	who, _ := submit(c, "a")
+	client, _ := submit(c, "a")
 	sink := <-w.sent
 	sink.Ended(Outcome{Status: logic.ServerError})
-	sink.Started(text{})
+	sink.Started(fakeAnswer{})
 	sink.Ended(Outcome{Status: logic.Served})
-	require.Equal(t, "refused", <-who.answers)
+	require.Equal(t, "refused", <-client.answers)
 	require.Equal(t, logic.ServerError, (<-ended).Status)
 	require.Eventually(t, func() bool { return c.Open() == 0 }, time.Minute, time.Millisecond)
-	require.Empty(t, who.answers, "one final answer")
+	require.Empty(t, client.answers, "one final answer only")
 	require.Empty(t, ended)
 }
 
-// A read can end well just as it is cut off. The first release may overtake
-// that, so a second one has to follow.
-func TestReadThatWasCutOffIsReleasedTwice(t *testing.T) {
-	ended, w := make(chan logic.Event, 4), newWires()
+// A read can complete just as it is cut off. The first release may overtake its completion, so a
+// second one must follow.
+func TestCutOffReadIsReleasedTwice(t *testing.T) {
+	ended, w := make(chan logic.Event, 4), newFakeTransport()
 	c, _ := run(t, sendAll(ended), w)
 	submit(c, "a")
 	(<-w.sent).Ended(Outcome{Status: logic.ConnectionReset})
@@ -128,11 +129,11 @@
 	require.Equal(t, "a", <-w.released)
 }
 
-// The release goes on a connection of its own. Overtaken by the next read, it takes
-// away the state that this one leaves, and the writer turns the request away.
-func TestSendWaitsForTheReleaseBeforeIt(t *testing.T) {
-	w := newWires()
-	w.taken = make(chan struct{})
+// A release uses a connection of its own. If the next read overtakes it, it removes the state of
+// that read, and the writer turns the request away.
+func TestSendWaitsForEarlierRelease(t *testing.T) {
+	w := newFakeTransport()
+	w.releaseTaken = make(chan struct{})
 	decided := make(chan struct{}, 1)
 	c, _ := run(t, func(e logic.Event) []logic.Action {
 		switch e.Kind {
@@ -152,33 +153,33 @@
 	c.post(func() { close(settled) })
 	<-settled
 	require.Empty(t, w.sent)
-	close(w.taken)
+	close(w.releaseTaken)
 	<-w.sent
 }
 
-func TestLeavingGivesUpTheAttemptAndReleases(t *testing.T) {
-	ended, w := make(chan logic.Event, 4), newWires()
+func TestClientLeavingCancelsAttemptAndReleases(t *testing.T) {
+	ended, w := make(chan logic.Event, 4), newFakeTransport()
 	c, _ := run(t, sendAll(ended), w)
-	who, ticket := submit(c, "a")
+	client, ticket := submit(c, "a")
 	<-w.sent
 	ticket.Leave()
-	<-w.gaveUp
+	<-w.cancelled
 	e := <-ended
 	require.Equal(t, logic.Cancelled, e.Status)
 	require.True(t, e.Closed)
 	require.Equal(t, "a", <-w.released)
-	require.Empty(t, who.answers, "nobody is there to be answered")
+	require.Empty(t, client.answers, "the client has left")
 }
 
-func TestDoorBoundsWhatIsInHandAndNamesAreUnique(t *testing.T) {
-	w := newWires()
+func TestOpenRequestsAreBoundedAndNamesUnique(t *testing.T) {
+	w := newFakeTransport()
 	c, counters := run(t, sendAll(make(chan logic.Event, 4)), w)
 	submit(c, "a")
 	first := <-w.sent
 	again, _ := submit(c, "a")
-	refused, _ := submit(c, "b") // what waits behind its name is in hand
+	refused, _ := submit(c, "b") // a request queued behind its name counts as open
 	require.Equal(t, "refused", <-refused.answers)
-	require.Empty(t, w.sent, "two of one name are out together")
+	require.Empty(t, w.sent, "two requests of one name are in flight")
 	first.Ended(Outcome{Status: logic.ServerError})
 	require.Equal(t, "failed", <-again.answers, "the first may have run")
 	require.Eventually(t, func() bool { return c.Open() == 0 }, time.Minute, time.Millisecond)
@@ -192,13 +193,14 @@
 	require.EqualValues(t, 1, counters.Get("requests_duplicate"))
 }
 
-// A name may be used by anybody: a copy of a request that workers reject must not take the place of the real one, which
-// may come later, nor may two of one name be out together, nor the second run where the first may have.
-func TestARequestWaitsForTheOneOfItsName(t *testing.T) {
+// Any client may use a name. A copy of a request that workers reject must not displace the real
+// one, which may arrive later. Two requests of one name must not be in flight together, nor may the
+// second run where the first may have run.
+func TestRequestsOfOneNameAreQueued(t *testing.T) {
 	never := []logic.Status{logic.Rejected, logic.Full, logic.ConnectFailed}
 	mayHave := []logic.Status{logic.ServerError, logic.ConnectionReset, logic.Cancelled, logic.TimedOut}
-	start := func(t *testing.T) (c *Core, w *wires, first Sink, second caller, ticket Ticket) {
-		w = newWires()
+	start := func(t *testing.T) (c *Core, w *fakeTransport, first Sink, second fakeClient, ticket Ticket) {
+		w = newFakeTransport()
 		c, _ = run(t, sendAll(make(chan logic.Event, 8)), w)
 		submit(c, "a")
 		first = <-w.sent
@@ -206,10 +208,10 @@
 		return
 	}
 	for _, s := range never {
-		t.Run("goes on after "+statusNames[s], func(t *testing.T) {
+		t.Run("proceeds after "+statusNames[s], func(t *testing.T) {
 			c, w, first, second, _ := start(t)
 			first.Ended(Outcome{Status: s})
-			(<-w.sent).Started(text{eof{}})
+			(<-w.sent).Started(fakeAnswer{eof{}})
 			require.Equal(t, "stream", <-second.answers)
 			require.Equal(t, 1, c.Open())
 		})
@@ -220,15 +222,15 @@
 			first.Ended(Outcome{Status: s})
 			require.Equal(t, "failed", <-second.answers)
 			armed := make(chan bool)
-			c.post(func() { armed <- ticket.ex.turn.Stop() })
-			require.False(t, <-armed, "a timer holds the request still")
+			c.post(func() { armed <- ticket.ex.queueTimer.Stop() })
+			require.False(t, <-armed, "a timer still retains the request")
 			require.Eventually(t, func() bool { return c.Open() == 0 }, time.Minute, time.Millisecond)
 			require.Empty(t, w.sent)
 		})
 	}
-	t.Run("goes on once what was held is let go of", func(t *testing.T) {
-		w := newWires()
-		w.taken = make(chan struct{})
+	t.Run("proceeds once the held state is released", func(t *testing.T) {
+		w := newFakeTransport()
+		w.releaseTaken = make(chan struct{})
 		ended := make(chan logic.Event, 8)
 		c, _ := run(t, sendAll(ended), w)
 		submit(c, "a")
@@ -237,33 +239,33 @@
 		first.Ended(Outcome{Status: logic.Full})
 		<-ended
 		<-w.released
-		c.post(func() {}) // what the end brought about has been done
+		c.post(func() {}) // all effects of the end have been processed
 		seen := make(chan int)
 		c.post(func() { seen <- len(w.sent) })
-		require.Zero(t, <-seen, "its read could be overtaken by the release")
-		w.taken <- struct{}{}
+		require.Zero(t, <-seen, "the release could overtake its read")
+		w.releaseTaken <- struct{}{}
 		<-w.sent
 	})
 	t.Run("fails once the first is answered", func(t *testing.T) {
 		c, w, first, second, _ := start(t)
-		first.Started(text{eof{}})
+		first.Started(fakeAnswer{eof{}})
 		require.Equal(t, "failed", <-second.answers)
 		third, _ := submit(c, "a")
 		require.Equal(t, "failed", <-third.answers)
 		require.Empty(t, w.sent)
 	})
-	t.Run("fails when its time is up", func(t *testing.T) {
-		w := newWires()
+	t.Run("fails when its time is over", func(t *testing.T) {
+		w := newFakeTransport()
 		c, _ := run(t, sendAll(make(chan logic.Event, 8)), w)
 		submit(c, "a")
 		<-w.sent
-		second := caller{make(chan string, 4)}
+		second := fakeClient{make(chan string, 4)}
 		c.Submit(&Request{Name: "a", Received: time.Now(), Request: logic.Request{Patience: 50 * time.Millisecond}}, second)
 		require.Equal(t, "failed", <-second.answers)
 		require.Empty(t, w.sent)
 	})
-	t.Run("fails at once where too many wait", func(t *testing.T) {
-		w, counters := newWires(), &metrics.Set{}
+	t.Run("fails at once where too many are queued", func(t *testing.T) {
+		w, counters := newFakeTransport(), &metrics.Set{}
 		c := New(Config{Decider: sendAll(make(chan logic.Event, 8)), Transport: w, Counters: counters})
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
@@ -271,12 +273,12 @@
 		c.Discovered([]Member{{Member: logic.Member{Server: 5}, Name: "s", Addr: "x:1"}}, true)
 		submit(c, "a")
 		<-w.sent
-		for range mostBehind {
+		for range maxQueuedPerName {
 			submit(c, "a")
 		}
 		more, _ := submit(c, "a")
 		require.Equal(t, "failed", <-more.answers)
-		require.Equal(t, 1+mostBehind, c.Open())
+		require.Equal(t, 1+maxQueuedPerName, c.Open())
 	})
 	t.Run("leaves with its client", func(t *testing.T) {
 		c, w, first, second, ticket := start(t)
@@ -290,7 +292,7 @@
 }
 
 func TestSendToALeavingWorkerNeverHappens(t *testing.T) {
-	ended, w := make(chan logic.Event, 4), newWires()
+	ended, w := make(chan logic.Event, 4), newFakeTransport()
 	c, _ := run(t, sendAll(ended), w)
 	c.Discovered([]Member{{Member: logic.Member{Server: 5, Health: logic.Draining}, Name: "s", Addr: "x:1"}}, false)
 	submit(c, "a")
@@ -298,16 +300,16 @@
 	require.Empty(t, w.sent)
 }
 
-func TestRelayTellsHowAnAnswerEnded(t *testing.T) {
+func TestRelayReportsHowAnswerEnded(t *testing.T) {
 	for _, tc := range []struct {
 		read io.Reader
 		want logic.Status
 	}{{eof{}, logic.Served}, {broken{}, logic.ConnectionReset}} {
-		ended, w := make(chan logic.Event, 4), newWires()
+		ended, w := make(chan logic.Event, 4), newFakeTransport()
 		c, _ := run(t, sendAll(ended), w)
 		got := make(chan Answer, 1)
-		c.Submit(&Request{Name: "a", Received: time.Now()}, streams{got})
-		(<-w.sent).Started(text{tc.read})
+		c.Submit(&Request{Name: "a", Received: time.Now()}, streamClient{got})
+		(<-w.sent).Started(fakeAnswer{tc.read})
 		_, _ = io.ReadAll(<-got)
 		e := <-ended
 		require.Equal(t, tc.want, e.Status)
@@ -315,11 +317,11 @@
 	}
 }
 
-type streams struct{ got chan Answer }
+type streamClient struct{ got chan Answer }
 
-func (s streams) Stream(a Answer)                  { s.got <- a }
-func (streams) Refuse(time.Duration, logic.Status) {}
-func (streams) Fail(logic.Status)                  {}
+func (s streamClient) Stream(a Answer)                  { s.got <- a }
+func (streamClient) Refuse(time.Duration, logic.Status) {}
+func (streamClient) Fail(logic.Status)                  {}
 
 type eof struct{}
 
@@ -329,26 +331,27 @@
 
 func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// allow is a permit that notes what it was asked.
-type allow struct {
+// fakePermit is a permit that records the calls and returns prepared results.
+type fakePermit struct {
 	repeats chan bool
-	say     []Allowance
+	results []Allowance
 }
 
-func (a *allow) Allow(_ *Worker, repeat bool) Allowance {
+func (a *fakePermit) Allow(_ *Worker, repeat bool) Allowance {
 	a.repeats <- repeat
-	say := a.say[0]
-	a.say = a.say[1:]
-	return say
+	result := a.results[0]
+	a.results = a.results[1:]
+	return result
 }
 
-// A permit is asked before each attempt, and told which of them follow a failed one: a write after its read does not.
-// What may not go to one worker has not run there; what may not go again ends as its last attempt left it.
+// The permit is asked before each attempt and informed which attempts follow a failed one; a write
+// after its read does not. An attempt denied for one worker has not run there. A request that must
+// not be repeated ends with the status of its last attempt.
 func TestPermitIsAskedBeforeEachAttempt(t *testing.T) {
-	w, p := newWires(), &allow{make(chan bool, 8), []Allowance{NotThere, MayGo, MayGo, NotAgain}}
+	w, p := newFakeTransport(), &fakePermit{make(chan bool, 8), []Allowance{NotThere, MayGo, MayGo, NotAgain}}
 	counters := &metrics.Set{}
 	ended := make(chan logic.Event, 8)
-	c := New(Config{Decider: decide(func(e logic.Event) []logic.Action {
+	c := New(Config{Decider: deciderFunc(func(e logic.Event) []logic.Action {
 		switch e.Kind {
 		case logic.Arrived:
 			return []logic.Action{{Kind: logic.Send, ID: e.Request.ID, Server: 5, After: time.Hour}}
@@ -365,92 +368,94 @@
 	go c.Run(ctx)
 	t.Cleanup(func() { cancel(); <-c.stopped })
 	c.Discovered([]Member{{Member: logic.Member{Server: 5}, Name: "s", Addr: "x:1"}}, true)
-	who := caller{make(chan string, 4)}
+	client := fakeClient{make(chan string, 4)}
 	lasts := make(chan logic.Status, 1)
-	c.Submit(&Request{Name: "a", Received: time.Now(), Request: logic.Request{Patience: time.Minute}}, failed{who, lasts})
+	c.Submit(&Request{Name: "a", Received: time.Now(), Request: logic.Request{Patience: time.Minute}}, failClient{client, lasts})
 	(<-w.sent).Ended(Outcome{Status: logic.PromptRead})
 	(<-w.sent).Ended(Outcome{Status: logic.ConnectionReset})
-	require.Equal(t, "failed", <-who.answers)
-	require.Equal(t, logic.ConnectionReset, <-lasts, "as its last attempt left it")
+	require.Equal(t, "failed", <-client.answers)
+	require.Equal(t, logic.ConnectionReset, <-lasts, "the status of its last attempt")
 	for i, want := range []logic.Status{logic.Full, logic.PromptRead, logic.ConnectionReset, logic.NotSent} {
 		require.Equal(t, want, (<-ended).Status, "attempt %d", i)
 	}
 	for i, want := range []bool{false, true, false, true} {
 		require.Equal(t, want, <-p.repeats, "attempt %d", i)
 	}
-	require.Empty(t, w.sent, "what may not go is not sent")
+	require.Empty(t, w.sent, "a denied attempt is not sent")
 }
 
-type failed struct {
-	caller
+type failClient struct {
+	fakeClient
 	lasts chan logic.Status
 }
 
-func (f failed) Fail(last logic.Status) {
+func (f failClient) Fail(last logic.Status) {
 	f.lasts <- last
-	f.caller.Fail(last)
+	f.fakeClient.Fail(last)
 }
 
-// What was given up is out until its worker knows: nothing is sent again or refused before that. Its client may leave
-// meanwhile, and the time that it took is that up to its end.
-func TestNothingFollowsUntilTheWorkerKnows(t *testing.T) {
+// A cancelled attempt is in flight until its worker knows of the cancellation: nothing is repeated
+// or refused before that. Its client may leave meanwhile, and the attempt's latency ends with the
+// cancellation.
+func TestNothingFollowsUntilCancelIsAcknowledged(t *testing.T) {
 	const wait = 10 * time.Millisecond
-	w := newWires()
+	w := newFakeTransport()
 	ended := make(chan logic.Event, 8)
 	tries := 0
 	c, _ := run(t, func(e logic.Event) []logic.Action {
 		switch e.Kind {
 		case logic.Arrived:
-			w.known = make(chan struct{})
+			w.acknowledged = make(chan struct{})
 			return []logic.Action{{Kind: logic.Send, ID: e.Request.ID, Server: 5, After: wait}}
 		case logic.AttemptEnded:
 			ended <- e
 			if tries++; tries == 1 {
-				w.known = make(chan struct{})
+				w.acknowledged = make(chan struct{})
 				return []logic.Action{{Kind: logic.Send, ID: e.ID, Server: 5, After: wait}}
 			}
 			return []logic.Action{{Kind: logic.Refuse, ID: e.ID}}
 		}
 		return nil
 	}, w)
-	// nothing follows for a while; where it would at once, the core has had its time
-	nothing := func(who caller) {
+	// requireNothing checks that nothing follows for a while, which is long enough for the core to
+	// have acted.
+	requireNothing := func(client fakeClient) {
 		time.Sleep(5 * wait)
 		require.Empty(t, ended)
 		require.Empty(t, w.sent)
-		require.Empty(t, who.answers)
+		require.Empty(t, client.answers)
 	}
 	from := time.Now()
-	who, _ := submit(c, "a")
+	client, _ := submit(c, "a")
 	<-w.sent
-	<-w.gaveUp
+	<-w.cancelled
 	took := time.Since(from)
-	nothing(who)
-	close(w.known)
+	requireNothing(client)
+	close(w.acknowledged)
 	<-w.sent
 	require.LessOrEqual(t, (<-ended).Latency, took)
-	<-w.gaveUp
-	nothing(who)
-	close(w.known)
-	require.Equal(t, "refused", <-who.answers)
+	<-w.cancelled
+	requireNothing(client)
+	close(w.acknowledged)
+	require.Equal(t, "refused", <-client.answers)
 	<-ended
 
-	who, ticket := submit(c, "b")
+	client, ticket := submit(c, "b")
 	<-w.sent
-	<-w.gaveUp
+	<-w.cancelled
 	ticket.Leave()
-	nothing(who)
+	requireNothing(client)
 	require.Equal(t, 1, c.Open())
-	close(w.known)
+	close(w.acknowledged)
 	require.Eventually(t, func() bool { return c.Open() == 0 }, time.Minute, time.Millisecond)
 	require.Empty(t, w.sent)
 }
 
-// What no worker has taken is let go of again and again, until one takes it; not once the request is sent elsewhere, whose state
-// it would take away.
-func TestAReleaseThatNobodyTakesIsMadeAgain(t *testing.T) {
+// A release that no worker accepts is retried until one accepts it, unless the request has been
+// sent again meanwhile, whose state the release would remove.
+func TestFailedReleaseIsRetried(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		w := newWires()
+		w := newFakeTransport()
 		w.refuse.Store(2)
 		c, counters := run(t, func(e logic.Event) []logic.Action {
 			switch e.Kind {
@@ -469,33 +474,34 @@
 		(<-w.sent).Ended(Outcome{Status: logic.Full})
 		if again {
 			<-w.sent
-			time.Sleep(2 * releaseRetryAfter)
+			time.Sleep(2 * releaseRetryDelay)
 			require.Len(t, w.released, 1)
 			continue
 		}
 		for range 3 {
 			require.Equal(t, "a", <-w.released)
 		}
-		time.Sleep(2 * releaseRetryAfter)
-		require.Empty(t, w.released, "it has been taken")
+		time.Sleep(2 * releaseRetryDelay)
+		require.Empty(t, w.released, "a worker has accepted it")
 		require.EqualValues(t, 2, counters.Get("releases_made_again"))
 	}
 }
 
-// slowStart is a transport whose answer has begun before the core gets to anything else, also to the end of the attempt's time.
-type slowStart struct{ *wires }
+// earlyStartTransport is a transport whose answer begins before the core processes anything else,
+// including the attempt's time-out.
+type earlyStartTransport struct{ *fakeTransport }
 
-func (w slowStart) Send(a Attempt, s Sink) func() <-chan struct{} {
-	giveUp := w.wires.Send(a, s)
-	s.Started(text{strings.NewReader("")})
-	time.Sleep(20 * a.Wait) // the core is busy meanwhile
+func (w earlyStartTransport) Send(a Attempt, s Sink) func() <-chan struct{} {
+	giveUp := w.fakeTransport.Send(a, s)
+	s.Started(fakeAnswer{strings.NewReader("")})
+	time.Sleep(20 * a.Wait) // the core is blocked meanwhile
 	return giveUp
 }
 
-// An answer that has begun belongs to the client: the end of its attempt's time, noted behind it, ends nothing any more.
-func TestTheTimeOfAnAttemptDoesNotEndItsAnswer(t *testing.T) {
-	ended, w := make(chan logic.Event, 4), newWires()
-	c := New(Config{Decider: decide(func(e logic.Event) []logic.Action {
+// Once the answer has begun, the attempt's time-out, queued behind it, must not end it.
+func TestAttemptTimeoutDoesNotEndStartedAnswer(t *testing.T) {
+	ended, w := make(chan logic.Event, 4), newFakeTransport()
+	c := New(Config{Decider: deciderFunc(func(e logic.Event) []logic.Action {
 		switch e.Kind {
 		case logic.Arrived:
 			return []logic.Action{{Kind: logic.Send, ID: e.Request.ID, Server: 5, After: 10 * time.Millisecond}}
@@ -503,27 +509,27 @@
 			ended <- e
 		}
 		return nil
-	}), Transport: slowStart{w}, Counters: &metrics.Set{}, Settings: logic.Settings{MaxAttempts: 3}, MaxOpen: 2})
+	}), Transport: earlyStartTransport{w}, Counters: &metrics.Set{}, Settings: logic.Settings{MaxAttempts: 3}, MaxOpen: 2})
 	ctx, cancel := context.WithCancel(context.Background())
 	go c.Run(ctx)
 	t.Cleanup(func() { cancel(); <-c.stopped })
 	c.Discovered([]Member{{Member: logic.Member{Server: 5}, Name: "s", Addr: "x:1"}}, true)
-	who, _ := submit(c, "a")
-	require.Equal(t, "stream", <-who.answers)
+	client, _ := submit(c, "a")
+	require.Equal(t, "stream", <-client.answers)
 	sink := <-w.sent
 	sink.Ended(Outcome{Status: logic.Served})
 	require.Equal(t, logic.Served, (<-ended).Status)
-	require.Empty(t, w.gaveUp)
+	require.Empty(t, w.cancelled)
 }
 
-// An attempt that waits behind a release which nobody takes has not been sent: called off, or its time over, it never ran and its
-// worker was not asked.
-func TestAnAttemptThatWaitedBehindAReleaseNeverRan(t *testing.T) {
-	for name, wait := range map[string]time.Duration{"called off": time.Hour, "its time over": time.Millisecond} {
+// An attempt that waits for a release has not been sent. If it is cancelled or times out, it never
+// ran and its worker was not contacted.
+func TestAttemptQueuedBehindReleaseNeverRan(t *testing.T) {
+	for name, wait := range map[string]time.Duration{"cancelled": time.Hour, "timed out": time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			w := newWires()
-			w.taken = make(chan struct{})
-			t.Cleanup(func() { close(w.taken) })
+			w := newFakeTransport()
+			w.releaseTaken = make(chan struct{})
+			t.Cleanup(func() { close(w.releaseTaken) })
 			ended := make(chan logic.Event, 4)
 			c, counters := run(t, func(e logic.Event) []logic.Action {
 				switch e.Kind {
@@ -538,11 +544,11 @@
 				}
 				return nil
 			}, w)
-			who, _ := submit(c, "a")
+			client, _ := submit(c, "a")
 			e := <-ended
 			require.Equal(t, logic.Full, e.Status)
 			require.True(t, e.Unreached)
-			require.Equal(t, "refused", <-who.answers)
+			require.Equal(t, "refused", <-client.answers)
 			require.Empty(t, w.sent)
 			require.Zero(t, counters.Get("rule_violations"))
 		})
--- a/router/guard.go
+++ b/router/guard.go
@@ -9,20 +9,21 @@
 	"lichenshelf/router/rules"
 )
 
-// overdueEvery is how often requests without an answer are looked for.
-const overdueEvery = time.Second
+// overdueCheckInterval is the interval of the check for requests without an answer.
+const overdueCheckInterval = time.Second
 
-// guard holds all acts for a request against the rules (package rules), and counts those that would break one. It belongs to
-// the core's goroutine.
+// guard checks all actions for a request against the rules (package rules) and counts those that
+// would break one. It belongs to the core's goroutine.
 type guard struct {
 	core     *Core
 	settings logic.Settings
 	count    Counters
 }
 
-// rules begins the history of a request. One of a class that is not stated may be repeated freely, as in the decisions.
+// rules starts the rule state of a request. A request of an unknown class may be repeated freely,
+// as in the decider.
 func (g *guard) rules(r *Request) *rules.Request {
-	c := rules.Config{Deadline: r.Received.Add(r.Patience), Read: r.Read, MostTries: g.settings.MaxAttempts, HeldFor: g.settings.ReleaseWithin}
+	c := rules.Config{Deadline: r.Received.Add(r.Patience), Read: r.Read, MaxAttempts: g.settings.MaxAttempts, HeldFor: g.settings.ReleaseWithin}
 	if r.Class >= 0 && r.Class < len(g.settings.Classes) {
 		c.Class = g.settings.Classes[r.Class]
 	}
@@ -32,14 +33,14 @@
 	return rules.New(c)
 }
 
-// place is where attempts at a worker go.
+// place returns where attempts at a worker go.
 func (g *guard) place(w *Worker) rules.Place {
 	reads := w.kind >= 0 && w.kind < len(g.settings.Kinds) && g.settings.Kinds[w.kind].Role == logic.RoleRead
 	return rules.Place{Zone: w.zone, Cell: w.cell, ReadsOnly: reads}
 }
 
-// note counts a verdict and logs it if it is a violation. It tells whether the act may follow.
-func (g *guard) note(ex *exchange, act string, v rules.Verdict) bool {
+// record logs and counts v if it is a violation. It reports whether the action may follow.
+func (g *guard) record(ex *exchange, act string, v rules.Result) bool {
 	if v == rules.Allowed {
 		return true
 	}
@@ -52,8 +53,9 @@
 	return false
 }
 
-// CountViolation counts an act that would break a rule, under a name of its own and with all others.
-func CountViolation(c Counters, v rules.Verdict) {
+// CountViolation counts an action that would break a rule, under the name of the rule and in the
+// total.
+func CountViolation(c Counters, v rules.Result) {
 	c.Add("rule_violations", 1)
 	c.Add("rule_violations_"+v.String(), 1)
 }
--- a/router/guard_test.go
+++ b/router/guard_test.go
@@ -11,9 +11,9 @@
 	"lichenshelf/metrics"
 )
 
-// guarded starts a core whose only class must not run twice, with one worker that answers.
-func guarded(t *testing.T, d decide) (*Core, *wires, *metrics.Set) {
-	w, counters := newWires(), &metrics.Set{}
+// runGuarded starts a core with one worker, whose only class must not run twice.
+func runGuarded(t *testing.T, d deciderFunc) (*Core, *fakeTransport, *metrics.Set) {
+	w, counters := newFakeTransport(), &metrics.Set{}
 	c := New(Config{Decider: d, Transport: w, Counters: counters, MaxOpen: 9,
 		Settings: logic.Settings{Classes: []logic.Class{{Effect: logic.EffectOnce}}, MaxAttempts: 3, ReleaseWithin: time.Millisecond}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -23,10 +23,11 @@
 	return c, w, counters
 }
 
-// A decider that is at fault sends nothing twice that must not run twice, and promises nobody that a repeat does no harm.
-func TestWhatADeciderMustNotDoDoesNotFollow(t *testing.T) {
+// A faulty decider can neither send a request twice that must not run twice, nor promise that
+// repeating it is harmless.
+func TestFaultyDeciderActionsAreBlocked(t *testing.T) {
 	ended := 0
-	c, w, counters := guarded(t, func(e logic.Event) []logic.Action {
+	c, w, counters := runGuarded(t, func(e logic.Event) []logic.Action {
 		switch e.Kind {
 		case logic.Arrived:
 			return []logic.Action{{Kind: logic.Send, ID: e.Request.ID, Server: 5, After: time.Minute}}
@@ -38,9 +39,9 @@
 		}
 		return nil
 	})
-	who, _ := submit(c, "a")
+	client, _ := submit(c, "a")
 	(<-w.sent).Ended(Outcome{Status: logic.ConnectionReset})
-	require.Equal(t, "failed", <-who.answers)
+	require.Equal(t, "failed", <-client.answers)
 	require.Empty(t, w.sent)
 	require.Equal(t, int64(1), counters.Get("attempts_sent"))
 	require.Equal(t, int64(2), counters.Get("rule_violations_ran_already"), "one send, one refusal")
@@ -48,18 +49,19 @@
 	require.Equal(t, int64(1), counters.Get("failed_queue"))
 }
 
-// A request that nobody answers is noted.
-func TestARequestWithoutAnAnswerIsNoted(t *testing.T) {
-	c, _, counters := guarded(t, func(logic.Event) []logic.Action { return nil })
-	who := caller{make(chan string, 4)}
-	c.Submit(&Request{Name: "a", Received: time.Now().Add(-time.Second)}, who)
+// A request that remains unanswered is counted as a violation.
+func TestUnansweredRequestIsCounted(t *testing.T) {
+	c, _, counters := runGuarded(t, func(logic.Event) []logic.Action { return nil })
+	client := fakeClient{make(chan string, 4)}
+	c.Submit(&Request{Name: "a", Received: time.Now().Add(-time.Second)}, client)
 	require.Eventually(t, func() bool { return counters.Get("rule_violations_never_answered") == 1 }, 10*time.Second, time.Millisecond)
-	require.Empty(t, who.answers)
+	require.Empty(t, client.answers)
 }
 
-// A read state that is sent on too late is noted, and so is an attempt that began long after its client had gone.
-func TestLateActsAreNoted(t *testing.T) {
-	c, w, counters := guarded(t, func(e logic.Event) []logic.Action {
+// A read state that is sent on too late is counted, and so is an attempt that began long after its
+// client had left.
+func TestLateActsAreCounted(t *testing.T) {
+	c, w, counters := runGuarded(t, func(e logic.Event) []logic.Action {
 		switch e.Kind {
 		case logic.Arrived:
 			return []logic.Action{{Kind: logic.Send, ID: e.Request.ID, Server: 5, After: time.Minute}}
@@ -76,6 +78,6 @@
 	(<-w.sent).Ended(Outcome{Status: logic.PromptRead})
 	<-w.sent
 	require.Equal(t, int64(1), counters.Get("rule_violations_held_too_long"))
-	c.post(func() { c.completion.left(ticket.ex, time.Now().Add(-time.Second)) })
+	c.post(func() { c.completion.clientLeft(ticket.ex, time.Now().Add(-time.Second)) })
 	require.Eventually(t, func() bool { return counters.Get("rule_violations_gone_too_long") == 1 }, 10*time.Second, time.Millisecond)
 }
--- a/router/history.go
+++ b/router/history.go
@@ -11,25 +11,26 @@
 	"lichenshelf/logic"
 )
 
-// mostSteps bounds what is kept of one request: five attempts of two stages each, with all that may become of them.
-const mostSteps = 64
+// maxSteps bounds the steps kept for one request: five attempts of two stages each, with everything
+// that can happen to them.
+const maxSteps = 64
 
-// The bounds of what is logged of requests, in lines a second and in lines at once. Refusals come by the thousand in an
-// overload and must not crowd out the others.
+// Rate limits of the log lines on requests, in lines per second and lines at once. Refusals come by
+// the thousand in an overload and must not crowd out the others.
 const (
-	wrongLinesPerSecond, wrongLinesBurst     = 20, 100
+	failureLinesPerSecond, failureLinesBurst = 20, 100
 	refusedLinesPerSecond, refusedLinesBurst = 2, 20
 )
 
-// stepKind says what happened to a request.
+// stepKind is the kind of an event in the history of a request.
 type stepKind uint8
 
 const (
 	stepSend stepKind = iota
 	stepWritten
 	stepEnded
-	stepCalledOff
-	stepCut
+	stepCancelled
+	stepStreamCancelled
 	stepReleaseAsked
 	stepReleaseTaken
 	stepReleaseFailed
@@ -40,12 +41,12 @@
 	stepViolation
 )
 
-// step is one thing that happened to a request. Which fields are set goes by its kind.
+// step is one event in the history of a request. Its kind determines which fields are set.
 type step struct {
-	at      time.Time // now, where it is zero
+	at      time.Time // zero means now
 	kind    stepKind
 	attempt int
-	worker  *Worker // nil: not listed any more
+	worker  *Worker // nil if it is no longer listed
 	wait    time.Duration
 	written *Written
 	outcome *Outcome
@@ -53,36 +54,37 @@
 	text    string
 }
 
-// history is what became of one request so far. It belongs to the core's goroutine.
+// history holds the events of one request so far. It belongs to the core's goroutine.
 type history struct {
 	steps   []step
 	dropped int
-	wrong   bool // something failed that is not usual
+	failed  bool // a step failed in an unusual way
 	refused bool
 }
 
-// add notes a step.
+// add appends a step.
 func (h *history) add(s step) {
 	if s.at.IsZero() {
 		s.at = time.Now()
 	}
 	switch s.kind {
 	case stepEnded:
-		h.wrong = h.wrong || unusual(s.outcome.Status)
-	case stepCalledOff, stepCut, stepReleaseFailed, stepFailed, stepViolation:
-		h.wrong = true
+		h.failed = h.failed || isFailure(s.outcome.Status)
+	case stepCancelled, stepStreamCancelled, stepReleaseFailed, stepFailed, stepViolation:
+		h.failed = true
 	case stepRefused:
 		h.refused = true
 	}
-	if len(h.steps) == mostSteps {
+	if len(h.steps) == maxSteps {
 		h.dropped++
 		return
 	}
 	h.steps = append(h.steps, s)
 }
 
-// unusual tells whether an outcome is worth a line. What a client's leaving cuts off, and what workers turn away, is not.
-func unusual(s logic.Status) bool {
+// isFailure reports whether an outcome is worth a log line. Attempts cancelled because the client
+// left, and attempts that workers turn away, are not.
+func isFailure(s logic.Status) bool {
 	switch s {
 	case logic.Served, logic.PromptRead, logic.Full, logic.Cancelled:
 		return false
@@ -90,7 +92,7 @@
 	return true
 }
 
-// text lists the steps with their times in milliseconds from a time on.
+// text lists the steps with their times in milliseconds since from.
 func (h *history) text(from time.Time, out *attempt) string {
 	var b strings.Builder
 	for i := range h.steps {
@@ -99,10 +101,10 @@
 	}
 	if out != nil {
 		if w := out.written.Load(); w != nil {
-			s := step{kind: stepWritten, attempt: out.number, worker: out.to, written: w}
+			s := step{kind: stepWritten, attempt: out.number, worker: out.toWorker, written: w}
 			fmt.Fprintf(&b, "%.1f %s; ", milliseconds(w.At.Sub(from)), &s)
 		}
-		fmt.Fprintf(&b, "attempt %d is out; ", out.number)
+		fmt.Fprintf(&b, "attempt %d in flight; ", out.number)
 	}
 	if h.dropped > 0 {
 		fmt.Fprintf(&b, "and %d more; ", h.dropped)
@@ -121,18 +123,18 @@
 		return fmt.Sprintf("written %d to %s, %d bytes on %s", s.attempt, s.worker.name(), s.written.Bytes, s.written.connection())
 	case stepEnded:
 		return fmt.Sprintf("ended %d at %s: %s%s", s.attempt, s.worker.name(), statusNames[s.outcome.Status], s.outcome.details())
-	case stepCalledOff:
-		return fmt.Sprintf("called off %d at %s", s.attempt, s.worker.name())
-	case stepCut:
-		return fmt.Sprintf("silent stream %d from %s cut at the end of the process", s.attempt, s.worker.name())
+	case stepCancelled:
+		return fmt.Sprintf("cancelled %d at %s", s.attempt, s.worker.name())
+	case stepStreamCancelled:
+		return fmt.Sprintf("cancelled silent stream %d from %s at shutdown", s.attempt, s.worker.name())
 	case stepReleaseAsked:
-		return "release asked"
+		return "release requested"
 	case stepReleaseTaken:
-		return "release taken by " + s.worker.name()
+		return "release accepted by " + s.worker.name()
 	case stepReleaseFailed:
 		return "release failed: " + s.text
 	case stepAnswering:
-		return fmt.Sprintf("answer of %d begins", s.attempt)
+		return fmt.Sprintf("answer to %d begins", s.attempt)
 	case stepRefused:
 		return "refused: " + s.why.String()
 	case stepFailed:
@@ -145,12 +147,12 @@
 
 func (w *Worker) name() string {
 	if w == nil {
-		return "a worker that is not listed"
+		return "an unlisted worker"
 	}
 	return w.Name
 }
 
-// connection names the connection by its port at this end, and says whether it had carried requests before.
+// connection describes the connection by its local port and by whether it was reused.
 func (w Written) connection() string {
 	if w.Reused {
 		return fmt.Sprintf("kept connection %d", w.Port)
@@ -158,11 +160,11 @@
 	return fmt.Sprintf("new connection %d", w.Port)
 }
 
-// details are what an outcome has to say beyond its status.
+// details describes what an outcome reports beyond its status.
 func (o Outcome) details() string {
 	var b strings.Builder
 	if o.Unreached {
-		b.WriteString(", never reached")
+		b.WriteString(", worker not reached")
 	}
 	if o.Stale {
 		b.WriteString(", the connection was stale")
@@ -173,55 +175,57 @@
 	return b.String()
 }
 
-// historyLog writes what became of requests that went wrong, within bounds. It belongs to the core's goroutine.
+// historyLog logs the history of failed requests within rate limits. It belongs to the core's
+// goroutine.
 type historyLog struct {
-	log             logrus.FieldLogger
-	verbose         bool // the log takes what is said at the debug level
-	wrong, refusals *rate.Limiter
-	suppressed      int // lines that found no room
+	log                logrus.FieldLogger
+	verbose            bool // the debug level is enabled
+	failures, refusals *rate.Limiter
+	suppressed         int // lines that exceeded the rate limit
 }
 
 func newHistoryLog(log logrus.FieldLogger) historyLog {
 	l, ok := log.(*logrus.Logger)
-	return historyLog{log: log, verbose: ok && l.IsLevelEnabled(logrus.DebugLevel), wrong: rate.NewLimiter(wrongLinesPerSecond, wrongLinesBurst), refusals: rate.NewLimiter(refusedLinesPerSecond, refusedLinesBurst)}
+	return historyLog{log: log, verbose: ok && l.IsLevelEnabled(logrus.DebugLevel), failures: rate.NewLimiter(failureLinesPerSecond, failureLinesBurst), refusals: rate.NewLimiter(refusedLinesPerSecond, refusedLinesBurst)}
 }
 
-// attemptBegins logs each attempt's beginning at the debug level, and how long it waited for what was let go of before.
+// attemptBegins logs the start of each attempt at the debug level, with the time that it waited for
+// earlier releases.
 func (l *historyLog) attemptBegins(a *attempt, waited time.Duration) {
 	if l.verbose {
-		l.log.WithFields(logrus.Fields{"request": a.ex.Name, "attempt": a.number, "worker": a.to.Name, "wait_ms": a.wait.Milliseconds(),
+		l.log.WithFields(logrus.Fields{"request": a.ex.Name, "attempt": a.number, "worker": a.toWorker.Name, "wait_ms": a.wait.Milliseconds(),
 			"reach_ms": a.sendWithin.Milliseconds(), "waited_ms": waited.Milliseconds()}).Debug("attempt begins")
 	}
 }
 
-// attemptEnded logs each attempt's end at the debug level.
+// attemptEnded logs the end of each attempt at the debug level.
 func (l *historyLog) attemptEnded(a *attempt, o Outcome) {
 	if !l.verbose {
 		return
 	}
 	worker := ""
-	if a.to != nil {
-		worker = a.to.Name
+	if a.toWorker != nil {
+		worker = a.toWorker.Name
 	}
 	l.log.WithFields(logrus.Fields{"request": a.ex.Name, "attempt": a.number, "worker": worker,
 		"outcome": statusNames[o.Status], "unreached": o.Unreached, "stale": o.Stale, "kept": o.Kept, "prompt": a.ex.PromptTokens,
-		"ms": a.took.Milliseconds()}).Debug("attempt ended")
+		"ms": a.latency.Milliseconds()}).Debug("attempt ended")
 }
 
-// requestEnds logs each request's end, or its answer's beginning, at the debug level.
+// requestEnds logs the end of each request, or the start of its answer, at the debug level.
 func (l *historyLog) requestEnds(ex *exchange, end string, why logic.Why) {
 	if l.verbose {
 		l.log.WithFields(logrus.Fields{"request": ex.Name, "class": ex.Class, "attempts": ex.sends, "why": why.String(),
-			"last": statusNames[ex.last], "ms": time.Since(ex.Received).Milliseconds()}).Debug(end)
+			"last": statusNames[ex.lastStatus], "ms": time.Since(ex.Received).Milliseconds()}).Debug(end)
 	}
 }
 
-// write logs a request that went wrong or was refused, once nothing of it is out.
+// write logs a request that failed or was refused, once nothing of it is in flight.
 func (l *historyLog) write(ex *exchange) {
 	h := &ex.history
-	limit := l.wrong
+	limit := l.failures
 	switch {
-	case h.wrong:
+	case h.failed:
 	case h.refused:
 		limit = l.refusals
 	default:
@@ -232,17 +236,17 @@
 		return
 	}
 	entry := l.entry(ex)
-	if h.wrong {
-		entry.Warn("a request went wrong")
+	if h.failed {
+		entry.Warn("request had failures")
 	} else {
-		entry.Info("a request was refused")
+		entry.Info("request refused")
 	}
 }
 
-// entry is a line with all that is known of a request.
+// entry returns a log entry with all that is known of a request.
 func (l *historyLog) entry(ex *exchange) *logrus.Entry {
 	fields := logrus.Fields{"request": ex.Name, "class": ex.Class, "received": ex.Received.UTC().Format("15:04:05.000"),
-		"patience_ms": ex.Patience.Milliseconds(), "attempts": ex.sends, "last": statusNames[ex.last],
+		"patience_ms": ex.Patience.Milliseconds(), "attempts": ex.sends, "last": statusNames[ex.lastStatus],
 		"ms": time.Since(ex.Received).Milliseconds(), "steps": ex.history.text(ex.Received, ex.attempt)}
 	if l.suppressed > 0 {
 		fields["suppressed"] = l.suppressed
--- a/router/relay.go
+++ b/router/relay.go
@@ -7,29 +7,30 @@
 	"lichenshelf/logic"
 )
 
-// relay commits answers: with its first event an attempt belongs to the client.
+// relay passes answers to clients. Once its answer has begun, an attempt can no longer be replaced
+// by another one.
 type relay struct{ core *Core }
 
 func (r *relay) begin(a *attempt, answer Answer) {
-	if a.ended { // given up while its first event was on the way
+	if a.ended { // cancelled while its first event was on the way
 		_ = answer.Close()
 		return
 	}
 	a.timer.Stop()
 	ex := a.ex
 	ex.answered, ex.closed = true, true
-	r.core.admission.next(ex)
+	r.core.admission.advanceQueue(ex)
 	r.core.routing.push(logic.Event{Kind: logic.AnswerStarted, ID: ex.ID, Attempt: a.number, Server: a.server,
 		Latency: time.Since(a.sentAt), Load: answer.Load()})
-	r.core.guard.note(ex, "answer", ex.rules.Began(time.Now()))
+	r.core.guard.record(ex, "answer", ex.rules.AnswerBegan(time.Now()))
 	ex.history.add(step{kind: stepAnswering, attempt: a.number})
 	r.core.histories.requestEnds(ex, "answering", logic.WhyNone)
-	a.heard.Store(int64(time.Since(a.sentAt)))
-	ex.Payload = nil // a stream may last, and its request's message has been sent
+	a.lastReceived.Store(int64(time.Since(a.sentAt)))
+	ex.Payload = nil // a stream may last long, and the request's message has been sent
 	ex.client.Stream(&relayed{Answer: answer, attempt: a})
 }
 
-// relayed is an answer on its way to the client, and tells the core its end.
+// relayed is an answer that is being sent to the client. It reports its end to the core.
 type relayed struct {
 	Answer
 	attempt *attempt
@@ -40,7 +41,7 @@
 func (r *relayed) Read(p []byte) (int, error) {
 	n, err := r.Answer.Read(p)
 	if n > 0 {
-		r.attempt.heard.Store(int64(time.Since(r.attempt.sentAt)))
+		r.attempt.lastReceived.Store(int64(time.Since(r.attempt.sentAt)))
 	}
 	switch {
 	case err == nil:
@@ -52,7 +53,7 @@
 	return n, err
 }
 
-// Close gives up what has not been read.
+// Close cancels the rest of the answer.
 func (r *relayed) Close() error {
 	r.finish(Outcome{Status: logic.Cancelled})
 	return r.Answer.Close()
--- a/router/route.go
+++ b/router/route.go
@@ -8,8 +8,8 @@
 	"lichenshelf/logic"
 )
 
-// routing owns the decider: it collects what was seen, lets it decide, and hands
-// out what to do.
+// routing owns the decider: it collects events, calls the decider, and executes the resulting
+// actions.
 type routing struct {
 	core    *Core
 	decider logic.Decider
@@ -19,17 +19,17 @@
 	log     logrus.FieldLogger
 }
 
-// now is monotonic time, counted on from the wall clock at the start.
+// now returns monotonic time, counted from the wall clock at the start.
 func (r *routing) now() logic.Time { return r.at(time.Now()) }
 
-// at is a moment of this process's monotonic clock on the clock of the decisions.
+// at converts a time of this process's monotonic clock to the decider's clock.
 func (r *routing) at(t time.Time) logic.Time {
 	return logic.Time(r.start.UnixNano() + int64(t.Sub(r.start)))
 }
 
 func (r *routing) push(e logic.Event) { r.events = append(r.events, e) }
 
-// decide runs until no action brings a new event.
+// decide calls the decider until no action causes a new event.
 func (r *routing) decide() {
 	for len(r.events) > 0 {
 		events := r.events
@@ -39,7 +39,7 @@
 			r.do(&r.actions[i])
 		}
 		if len(r.events) == 0 {
-			r.core.admission.sweep() // which may let requests in that waited for it
+			r.core.admission.sweep() // which may dispatch requests queued behind removed ones
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	case logic.Log:
 		r.log.Info(a.Text)
 	default:
-		if ex == nil { // ended meanwhile, which the decisions may not know yet
+		if ex == nil { // the request has ended, which the decider may not know yet
 			return
 		}
 		switch a.Kind {
--- a/router/rules/rules.go
+++ b/router/rules/rules.go
@@ -1,10 +1,12 @@
-// Package rules holds the safety rules of one request: what may be sent, sent again, answered and told now. The decisions
-// (package logic) choose among what is allowed; here is the one place that says what is, and it is asked for each send and
-// each final answer. It does no I/O and keeps no clock.
+// Package rules holds the safety rules of one request: what may be sent, repeated, answered and
+// passed on now. The decider (package logic) chooses among the allowed actions; this package is the
+// only place that defines what is allowed, and it is asked before each send and each final answer.
+// It does no I/O and reads no clock.
 //
-// A verdict is one of three. Allowed: go on. A crossing: something happened between the decision and the act (a drain was
-// told), and the act must not follow; that is usual. A violation: the act would break a rule however the events fell, so
-// whoever decided it is at fault; it must not follow, and it is counted.
+// A result is one of three kinds. Allowed: proceed. A race: something happened between the decision
+// and the action, for example a drain was announced; the action must not follow, which is usual. A
+// violation: the action would break a rule regardless of the order of events, so its decider is at
+// fault; it must not follow, and it is counted.
 package rules
 
 import (
@@ -13,184 +15,191 @@
 	"lichenshelf/logic"
 )
 
-// Verdict says whether something may be done now, and if not, why.
-type Verdict uint8
+// Result states whether an action is allowed now, and if not, why.
+type Result uint8
 
-// The verdicts.
+// The results.
 const (
-	Allowed Verdict = iota
-	// Crossings.
-	Fenced        // this router may not act on what it knows
-	WorkerLeaving // a drain was told, or the worker is gone
-	TriesSpent    // all attempts that are allowed have been begun, those that reached nobody included
+	Allowed Result = iota
+	// Races.
+	Fenced        // this router may not act on its view of the fleet
+	WorkerLeaving // a drain was announced, or the worker has left
+	// all allowed attempts have been started, including those that reached no worker
+	AttemptsExhausted
 	// Violations.
-	Answered      // the request has its final answer, or its client has gone
-	StillOut      // another attempt of the request is out
-	RanAlready    // it must not run twice, and may have run
-	OutsideGroup  // it may have run at workers that do not know of each other's requests
-	WindowOver    // those that know of it may have forgotten it
-	TimeOver      // its client's time is over
-	HeldTooLong   // its read state was neither taken nor let go of in time
-	GoneTooLong   // its client had gone before the attempt began
-	AnsweredLate  // its final answer came after its client's time
-	NeverAnswered // it has none though its client's time is over
-	ToldTooMuch   // a worker would be told more time than the client has left
+	AlreadyAnswered     // the request has its final answer, or its client has left
+	AttemptInFlight     // another attempt of the request is in flight
+	MayHaveRun          // it must not run twice, and may have run
+	OutsideGroup        // it may have run at workers that do not know of each other's requests
+	WindowExpired       // the workers that know of it may have forgotten it
+	DeadlineExpired     // its client's time is over
+	HeldTooLong         // its read state was neither used nor released in time
+	SentAfterClientLeft // its client had left before the attempt began
+	AnsweredLate        // its final answer came after its client's time
+	NeverAnswered       // it has no answer though its client's time is over
+	TimeoutTooLong      // a worker would be given more time than the client has left
 )
 
-var names = [...]string{"allowed", "fenced", "worker_leaving", "tries_spent", "answered", "still_out", "ran_already", "outside_group",
+var resultNames = [...]string{"allowed", "fenced", "worker_leaving", "tries_spent", "answered", "still_out", "ran_already", "outside_group",
 	"window_over", "time_over", "held_too_long", "gone_too_long", "answered_late", "never_answered", "told_too_much"}
 
-// String is the verdict's name in logs and counters.
-func (v Verdict) String() string { return names[v] }
+// String returns the result's name in logs and counters.
+func (v Result) String() string { return resultNames[v] }
 
-// Violation tells whether whoever decided the act is at fault.
-func (v Verdict) Violation() bool { return v >= Answered }
+// Violation reports whether the action would break a rule, so that its decider is at fault.
+func (v Result) Violation() bool { return v >= AlreadyAnswered }
 
 const (
-	// AnswerWithin is how long after its client's time a request may have its final answer.
+	// AnswerWithin is how long after its client's time a request may get its final answer.
 	AnswerWithin = 500 * time.Millisecond
-	// AnswerUnread is how long a request may take to be answered whose time was over before it could be read: its connection
-	// waited to be accepted.
-	AnswerUnread = 100 * time.Millisecond
-	// GoneWithin is how long after its client has gone an attempt may begin.
-	GoneWithin = 100 * time.Millisecond
-	// ToldSlack is how much more time than is left a worker may be told.
-	ToldSlack = 150 * time.Millisecond
-	// HeldSlack is what sockets add to the time for which a read state may be held.
+	// LateReadAnswerWithin is how long after it was read a request may be answered that was read
+	// only after its client's time, because its connection waited to be accepted.
+	LateReadAnswerWithin = 100 * time.Millisecond
+	// ClientLeftSlack is how long after its client has left an attempt may begin.
+	ClientLeftSlack = 100 * time.Millisecond
+	// TimeoutSlack is by how much a worker's time-out may exceed the client's remaining time.
+	TimeoutSlack = 150 * time.Millisecond
+	// HeldSlack is added to the time for which a read state may be held, for delays in sockets.
 	HeldSlack = 300 * time.Millisecond
-	// startsPerTry times the bound on attempts is that on all that are begun, those that never reach a worker included.
-	startsPerTry = 3
+	// startsPerAttempt times the bound on attempts is the bound on started attempts, which include
+	// those that never reached a worker.
+	startsPerAttempt = 3
 )
 
 // Place is where an attempt goes.
 type Place struct {
 	Zone, Cell int
-	ReadsOnly  bool // a reader: an attempt there has no effect
+	ReadsOnly  bool // a reader, where an attempt has no effect
 }
 
-// Target is the worker that an attempt is meant for, as it is now.
+// Target is the current state of the worker that an attempt is meant for.
 type Target struct {
 	Place
-	Fenced  bool // this router may not act on what it knows
+	Fenced  bool // this router may not act on its view of the fleet
 	Leaving bool // the worker is leaving, or no longer listed
 }
 
-// Request is the history of one request as far as the rules look at it. It is not safe for concurrent use.
+// Request is the state of one request that the rules depend on. It is not safe for concurrent use.
 type Request struct {
-	class     logic.Class
-	deadline  time.Time
-	answerBy  time.Time // when it has to have its final answer at the latest
-	mostTries int       // 0: no bound
-	heldFor   time.Duration
-
-	out       bool
-	to        Place
-	sentAt    time.Time
-	begun     int
-	unreached int
-	ran       bool // an attempt may have had its effect
-	ranAt     time.Time
-	ranIn     Place
-	answered  bool
-	heldSince time.Time // since when a read state waits for which no worker has answered; zero: nothing is held
-	heldNoted bool      // that it was held too long has been told
-	released  bool      // the state was let go of beside the attempt that is out
-}
-
-// Config is what a request comes with.
+	class       logic.Class
+	deadline    time.Time
+	answerBy    time.Time // the latest time of its final answer
+	maxAttempts int       // 0 means no bound
+	heldFor     time.Duration
+
+	inFlight   bool
+	to         Place
+	sentAt     time.Time
+	started    int
+	unreached  int
+	mayHaveRun bool // an attempt may have had its effect
+	ranAt      time.Time
+	ranIn      Place
+	answered   bool
+	// since when a read state has been held without an answer from a worker; zero means that none
+	// is held
+	heldSince    time.Time
+	heldReported bool // that the state was held too long has been reported
+	released     bool // the state was released while the current attempt was in flight
+}
+
+// Config configures the rules of a request.
 type Config struct {
-	Class     logic.Class
-	Deadline  time.Time     // the end of its client's time
-	Read      time.Time     // when it had been read whole, which may be long after it has come; zero: as it came
-	MostTries int           // 0: no bound
-	HeldFor   time.Duration // for which a read state may be held; 0: not stated
+	Class    logic.Class
+	Deadline time.Time // the end of its client's time
+	// when it had been read completely, which may be long after it arrived; zero means on arrival
+	Read        time.Time
+	MaxAttempts int           // 0 means no bound
+	HeldFor     time.Duration // how long a read state may be held; 0 means unknown
 }
 
-// New returns the history of a request of which nothing was sent.
+// New returns the state of a request that has not been sent.
 func New(c Config) *Request {
-	r := &Request{class: c.Class, deadline: c.Deadline, mostTries: c.MostTries, heldFor: c.HeldFor}
+	r := &Request{class: c.Class, deadline: c.Deadline, maxAttempts: c.MaxAttempts, heldFor: c.HeldFor}
 	r.answerBy = c.Deadline.Add(AnswerWithin)
-	if late := c.Read.Add(AnswerUnread); late.After(r.answerBy) {
+	if late := c.Read.Add(LateReadAnswerWithin); late.After(r.answerBy) {
 		r.answerBy = late
 	}
 	return r
 }
 
-// MaySend tells whether an attempt may begin there now.
-func (r *Request) MaySend(now time.Time, to Target) Verdict {
+// MaySend checks whether an attempt may begin now at the given target.
+func (r *Request) MaySend(now time.Time, to Target) Result {
 	switch {
 	case r.answered:
-		return Answered
-	case r.out:
-		return StillOut
-	case r.mostTries > 0 && (r.begun-r.unreached >= r.mostTries || r.begun >= startsPerTry*r.mostTries):
-		return TriesSpent
+		return AlreadyAnswered
+	case r.inFlight:
+		return AttemptInFlight
+	case r.maxAttempts > 0 && (r.started-r.unreached >= r.maxAttempts || r.started >= startsPerAttempt*r.maxAttempts):
+		return AttemptsExhausted
 	case to.Fenced:
 		return Fenced
 	case to.Leaving:
 		return WorkerLeaving
-	case now.Sub(r.deadline) > ToldSlack:
-		return TimeOver
-	case !r.ran || r.class.Effect == logic.EffectRepeatable:
+	case now.Sub(r.deadline) > TimeoutSlack:
+		return DeadlineExpired
+	case !r.mayHaveRun || r.class.Effect == logic.EffectRepeatable:
 		return Allowed
 	case r.class.Effect == logic.EffectOnce:
-		return RanAlready
+		return MayHaveRun
 	case now.Sub(r.ranAt) > r.class.RepeatWindow:
-		return WindowOver
+		return WindowExpired
 	case r.class.Group == logic.GroupZone && to.Zone != r.ranIn.Zone, r.class.Group == logic.GroupCell && to.Cell != r.ranIn.Cell:
 		return OutsideGroup
 	}
 	return Allowed
 }
 
-// MayRefuse tells whether the request may be answered with the promise that making it again does no harm.
-func (r *Request) MayRefuse() Verdict {
-	if !r.ran || r.class.Effect == logic.EffectRepeatable || r.class.Effect == logic.EffectByKey && r.class.Group == logic.GroupAll {
+// MayRefuse checks whether the answer may promise that repeating the request is harmless.
+func (r *Request) MayRefuse() Result {
+	if !r.mayHaveRun || r.class.Effect == logic.EffectRepeatable || r.class.Effect == logic.EffectByKey && r.class.Group == logic.GroupAll {
 		return Allowed
 	}
-	return RanAlready
+	return MayHaveRun
 }
 
-// Skipped notes an attempt that was begun for nothing: its worker may get nothing now.
+// Skipped records an attempt that was started but not sent, because its worker may get nothing now.
 func (r *Request) Skipped() {
-	r.begun++
+	r.started++
 	r.unreached++
 }
 
-// Sent notes an attempt that begins.
+// Sent records an attempt that begins.
 func (r *Request) Sent(now time.Time, to Place) {
-	r.begun++
-	r.out, r.to, r.sentAt = true, to, now
+	r.started++
+	r.inFlight, r.to, r.sentAt = true, to, now
 }
 
-// Held tells whether the request's read state is held for too long by now, once for each state. An attempt that is out is no
-// proof that a worker has taken it: the time runs until one has answered, or the state is let go of.
-func (r *Request) Held(now time.Time) Verdict {
-	if r.heldSince.IsZero() || r.heldFor <= 0 || r.heldNoted || now.Sub(r.heldSince) <= r.heldFor+HeldSlack {
+// Held checks whether the request's read state has been held for too long, and reports it once for
+// each state. An attempt in flight does not prove that a worker uses the state: the time runs until
+// a worker has answered, or the state is released.
+func (r *Request) Held(now time.Time) Result {
+	if r.heldSince.IsZero() || r.heldFor <= 0 || r.heldReported || now.Sub(r.heldSince) <= r.heldFor+HeldSlack {
 		return Allowed
 	}
-	r.heldNoted = true
+	r.heldReported = true
 	return HeldTooLong
 }
 
-// Released notes that what is held and no attempt waits for is let go of, and tells whether that comes in time.
-func (r *Request) Released(now time.Time) Verdict {
+// Released records the release of held state that no attempt waits for, and checks whether it comes
+// in time.
+func (r *Request) Released(now time.Time) Result {
 	v := r.Held(now)
-	r.heldSince, r.released = time.Time{}, r.out
+	r.heldSince, r.released = time.Time{}, r.inFlight
 	return v
 }
 
-// hold notes that a state waits from now on.
-func (r *Request) hold(now time.Time) { r.heldSince, r.heldNoted = now, false }
+// hold records that a state is held from now on.
+func (r *Request) hold(now time.Time) { r.heldSince, r.heldReported = now, false }
 
-// Ended notes how the attempt that was out has ended.
+// Ended records how the attempt in flight has ended.
 func (r *Request) Ended(now time.Time, status logic.Status, unreached bool) {
-	r.out = false
+	r.inFlight = false
 	answered := status.Answered() && !unreached
 	switch {
 	case status == logic.PromptRead,
 		answered && (r.released || !r.heldSince.IsZero()),
-		r.released && !unreached: // it may have waited for the state
+		r.released && !unreached: // the attempt may have waited for the state
 		r.hold(now)
 	}
 	r.released = false
@@ -201,14 +210,15 @@
 	case logic.PromptRead:
 	case logic.Full, logic.ConnectFailed, logic.NotSent, logic.Rejected:
 	default:
-		if !r.ran && !r.to.ReadsOnly {
-			r.ran, r.ranAt, r.ranIn = true, r.sentAt, r.to
+		if !r.mayHaveRun && !r.to.ReadsOnly {
+			r.mayHaveRun, r.ranAt, r.ranIn = true, r.sentAt, r.to
 		}
 	}
 }
 
-// Answer notes the final answer and tells whether it comes in time. That of a stream is its beginning.
-func (r *Request) Answer(now time.Time) Verdict {
+// Answer records the final answer and checks whether it comes in time. A streamed answer counts
+// from its beginning.
+func (r *Request) Answer(now time.Time) Result {
 	r.answered = true
 	if now.After(r.answerBy) {
 		return AnsweredLate
@@ -216,35 +226,37 @@
 	return Allowed
 }
 
-// Began notes that an answer begins, which lets go of what is held, and tells whether it comes in time.
-func (r *Request) Began(now time.Time) Verdict {
+// AnswerBegan records that an answer begins, which ends the hold of a read state, and checks
+// whether it comes in time.
+func (r *Request) AnswerBegan(now time.Time) Result {
 	r.heldSince, r.released = time.Time{}, false
 	return r.Answer(now)
 }
 
-// Left notes that the client has gone at a time, and tells whether an attempt began for it after that.
-func (r *Request) Left(at time.Time) Verdict {
+// ClientLeft records when the client left, and checks whether an attempt began after that.
+func (r *Request) ClientLeft(at time.Time) Result {
 	r.answered = true
-	if r.out && r.sentAt.Sub(at) > GoneWithin {
-		return GoneTooLong
+	if r.inFlight && r.sentAt.Sub(at) > ClientLeftSlack {
+		return SentAfterClientLeft
 	}
 	return Allowed
 }
 
-// Overdue tells whether the request still has no final answer though it should.
-func (r *Request) Overdue(now time.Time) Verdict {
+// Overdue checks whether the request has no final answer though it should.
+func (r *Request) Overdue(now time.Time) Result {
 	if !r.answered && now.After(r.answerBy) {
 		return NeverAnswered
 	}
 	return Allowed
 }
 
-// TimeToTell is what a worker is told that is left for its answer, which is waited for until a time, and whether that had to
-// be cut to what the client has left.
-func TimeToTell(now, until, clientEnds time.Time) (time.Duration, Verdict) {
+// TimeToTell returns the time-out that a worker is given for its answer, which is awaited until the
+// given time. It is cut to the client's remaining time if it exceeds that by more than
+// TimeoutSlack.
+func TimeToTell(now, until, clientEnds time.Time) (time.Duration, Result) {
 	left, wait := clientEnds.Sub(now), until.Sub(now)
-	if wait > left+ToldSlack {
-		return max(left, time.Millisecond), ToldTooMuch
+	if wait > left+TimeoutSlack {
+		return max(left, time.Millisecond), TimeoutTooLong
 	}
 	return max(wait, time.Millisecond), Allowed
 }
--- a/router/send.go
+++ b/router/send.go
@@ -8,15 +8,15 @@
 	"lichenshelf/router/rules"
 )
 
-// sender starts attempts, waits for them and reports their ends.
+// sender starts attempts, enforces their time-outs and reports their ends.
 type sender struct {
 	core      *Core
 	transport Transport
-	permit    Permit // nil: all may go
+	permit    Permit // nil permits all
 	count     Counters
 }
 
-// attempt is one attempt that is out. It is the Sink of the transport.
+// attempt is one attempt in flight. It is the Sink of the transport.
 type attempt struct {
 	core       *Core
 	ex         *exchange
@@ -24,34 +24,35 @@
 	server     logic.ServerID
 	sentAt     time.Time
 	timer      *time.Timer
-	to         *Worker
+	toWorker   *Worker
 	wait       time.Duration
-	sendWithin time.Duration           // as of sentAt; 0: no bound
-	giveUp     func() <-chan struct{}  // nil until it has started
-	heard      atomic.Int64            // when something of its answer came last, in nanoseconds since sentAt
-	written    atomic.Pointer[Written] // nil until its last byte has gone out
-	ended      bool
-	took       time.Duration // until it ended
+	sendWithin time.Duration          // counted from sentAt; 0 means no bound
+	cancel     func() <-chan struct{} // nil until the attempt has been passed to the transport
+	// when the last part of its answer was received, in nanoseconds since sentAt
+	lastReceived atomic.Int64
+	written      atomic.Pointer[Written] // nil until its last byte has been sent
+	ended        bool
+	latency      time.Duration // from sentAt until the end
 }
 
 func (s *sender) send(ex *exchange, act *logic.Action) {
 	w := s.core.workers.worker(act.Server)
-	a := &attempt{core: s.core, ex: ex, number: ex.sends, server: act.Server, sentAt: time.Now(), to: w, wait: act.After, sendWithin: act.SendWithin}
+	a := &attempt{core: s.core, ex: ex, number: ex.sends, server: act.Server, sentAt: time.Now(), toWorker: w, wait: act.After, sendWithin: act.SendWithin}
 	to := s.target(w)
 	switch v := ex.rules.MaySend(a.sentAt, to); v {
 	case rules.Allowed:
-	case rules.WorkerLeaving: // told between the decision and now: nothing was sent
+	case rules.WorkerLeaving: // the worker began to leave after the decision: nothing was sent
 		s.skip(a)
 		return
 	default:
 		if v == rules.Fenced {
 			s.count.Add("attempts_fenced", 1)
 		}
-		s.core.guard.note(ex, "send", v)
+		s.core.guard.record(ex, "send", v)
 		s.report(a, Outcome{Status: logic.NotSent})
 		return
 	}
-	repeat := ex.sends > 0 && ex.last != logic.PromptRead
+	repeat := ex.sends > 0 && ex.lastStatus != logic.PromptRead
 	if s.permit != nil {
 		switch s.permit.Allow(w, repeat) {
 		case NotThere:
@@ -69,15 +70,15 @@
 	ex.attempt = a
 	s.count.Add("attempts_sent", 1)
 	if repeat {
-		s.count.Add("attempts_repeated_after_"+statusNames[ex.last], 1)
+		s.count.Add("attempts_repeated_after_"+statusNames[ex.lastStatus], 1)
 	}
 	a.timer = time.AfterFunc(a.wait, func() { s.core.post(func() { s.timeOut(a) }) })
-	if ex.releases == 0 {
+	if ex.openReleases == 0 {
 		s.start(a)
 	}
 }
 
-// target is what the rules look at of a worker; nil is one that is not listed any more.
+// target returns the rules' view of a worker; nil stands for one that is no longer listed.
 func (s *sender) target(w *Worker) rules.Target {
 	fence := s.core.workers.fence
 	to := rules.Target{Fenced: fence != nil && !fence(), Leaving: w == nil || !w.MaySend()}
@@ -87,27 +88,27 @@
 	return to
 }
 
-// skip ends an attempt whose worker must not get it now: another may.
+// skip ends an attempt whose worker must not get it now; another worker may.
 func (s *sender) skip(a *attempt) {
 	a.ex.sends++
 	a.ex.rules.Skipped()
 	s.report(a, Outcome{Status: logic.Full, Unreached: true})
 }
 
-// start hands an attempt to the transport, once.
+// start passes an attempt to the transport, once.
 func (s *sender) start(a *attempt) {
-	if a.giveUp != nil {
+	if a.cancel != nil {
 		return
 	}
-	s.core.guard.note(a.ex, "send", a.ex.rules.Held(time.Now()))
+	s.core.guard.record(a.ex, "send", a.ex.rules.Held(time.Now()))
 	waited := time.Since(a.sentAt) // for a release
-	a.ex.history.add(step{kind: stepSend, attempt: a.number, worker: a.to, wait: a.wait - waited})
+	a.ex.history.add(step{kind: stepSend, attempt: a.number, worker: a.toWorker, wait: a.wait - waited})
 	s.core.histories.attemptBegins(a, waited)
-	out := Attempt{Request: a.ex.Request, Worker: a.to, Wait: a.wait - waited}
+	out := Attempt{Request: a.ex.Request, Worker: a.toWorker, Wait: a.wait - waited}
 	if a.sendWithin > 0 {
 		out.SendWithin = max(a.sendWithin-waited, time.Nanosecond)
 	}
-	a.giveUp = s.transport.Send(out, a)
+	a.cancel = s.transport.Send(out, a)
 }
 
 // Written implements Sink.
@@ -123,59 +124,61 @@
 	a.core.post(func() { a.core.sender.end(a, o) })
 }
 
-// end takes the first of the ways in which an attempt ends; what crosses it is void.
+// end ends an attempt. Only the first call has an effect.
 func (s *sender) end(a *attempt, o Outcome) {
 	if a.ended {
 		return
 	}
-	a.ended, a.took = true, time.Since(a.sentAt)
+	a.ended, a.latency = true, time.Since(a.sentAt)
 	a.timer.Stop()
 	switch {
-	case a.giveUp == nil: // it waited behind a release, and nobody was asked
-		s.over(a, Outcome{Status: logic.Full, Unreached: true})
+	case a.cancel == nil: // it waited for a release, and its worker was not contacted
+		s.finish(a, Outcome{Status: logic.Full, Unreached: true})
 	case o.Status == logic.PromptRead || o.Status == logic.Served:
-		s.over(a, o)
+		s.finish(a, o)
 	default:
-		s.overOnceKnown(a, o)
+		s.finishOnceAcknowledged(a, o)
 	}
 }
 
-// overOnceKnown gives an attempt up, and reports it once its worker knows that.
-func (s *sender) overOnceKnown(a *attempt, o Outcome) {
-	known := a.giveUp()
-	if known == nil {
-		s.over(a, o)
+// finishOnceAcknowledged cancels an attempt and finishes it once its worker knows of the
+// cancellation.
+func (s *sender) finishOnceAcknowledged(a *attempt, o Outcome) {
+	acknowledged := a.cancel()
+	if acknowledged == nil {
+		s.finish(a, o)
 		return
 	}
 	go func() {
-		<-known
-		s.core.post(func() { s.over(a, o) })
+		<-acknowledged
+		s.core.post(func() { s.finish(a, o) })
 	}()
 }
 
-// timeOut ends an attempt whose time is over, unless its answer has begun meanwhile: that belongs to the client.
+// timeOut ends an attempt whose time is over, unless its answer has begun: a started answer is not
+// interrupted.
 func (s *sender) timeOut(a *attempt) {
 	if !a.ex.answered {
 		s.end(a, Outcome{Status: logic.TimedOut})
 	}
 }
 
-// over reports an attempt that has ended and that its worker knows to have: sent again or refused before that, a request
-// could run twice.
-func (s *sender) over(a *attempt, o Outcome) {
+// finish reports the end of an attempt after its worker knows of the end. If the request were
+// repeated or refused earlier, it could run twice.
+func (s *sender) finish(a *attempt, o Outcome) {
 	a.ex.attempt = nil
-	a.ex.last = o.Status
+	a.ex.lastStatus = o.Status
 	a.ex.rules.Ended(time.Now(), o.Status, o.Unreached)
 	switch o.Status {
 	case logic.TimedOut, logic.Cancelled, logic.ConnectionReset:
-		// A read may have ended well just as it was cut off.
-		a.ex.unsure = !a.ex.answered
+		// The read may have completed just as it was cut off.
+		a.ex.readCutOff = !a.ex.answered
 	}
 	switch o.Status {
 	case logic.Full, logic.ConnectFailed, logic.NotSent, logic.PromptRead, logic.Rejected:
 	default:
-		a.ex.ran = true
-		s.core.admission.next(a.ex)
+		a.ex.mayHaveRun = true
+		s.core.admission.advanceQueue(a.ex)
 	}
 	if a.ex.answered {
 		s.core.completion.answerEnded(o.Status)
@@ -184,48 +187,49 @@
 	s.core.admission.forget(a.ex)
 }
 
-// report tells the decisions and the counters.
+// report informs the decider and the counters.
 func (s *sender) report(a *attempt, o Outcome) {
 	s.count.Add("attempts_"+statusNames[o.Status], 1)
-	a.note(o)
+	a.recordSteps(o)
 	s.core.histories.attemptEnded(a, o)
 	s.core.routing.push(logic.Event{Kind: logic.AttemptEnded, ID: a.ex.ID, Attempt: a.number, Server: a.server,
-		Latency: a.took, Status: o.Status, Closed: a.ex.closed, Kept: o.Kept, Load: o.Load, Stale: o.Stale,
+		Latency: a.latency, Status: o.Status, Closed: a.ex.closed, Kept: o.Kept, Load: o.Load, Stale: o.Stale,
 		Unreached: o.Unreached})
 }
 
-// note adds how the attempt went to its request's history.
-func (a *attempt) note(o Outcome) {
+// recordSteps adds the course of the attempt to its request's history.
+func (a *attempt) recordSteps(o Outcome) {
 	if w := a.written.Load(); w != nil {
-		a.ex.history.add(step{at: w.At, kind: stepWritten, attempt: a.number, worker: a.to, written: w})
+		a.ex.history.add(step{at: w.At, kind: stepWritten, attempt: a.number, worker: a.toWorker, written: w})
 	}
-	a.ex.history.add(step{kind: stepEnded, attempt: a.number, worker: a.to, outcome: &o})
+	a.ex.history.add(step{kind: stepEnded, attempt: a.number, worker: a.toWorker, outcome: &o})
 }
 
-// callOff gives up an attempt whose answer has not begun.
+// callOff cancels an attempt whose answer has not begun.
 func (s *sender) callOff(ex *exchange, number int) {
 	if a := ex.attempt; a != nil && a.number == number && !ex.answered {
-		ex.history.add(step{kind: stepCalledOff, attempt: number, worker: a.to})
+		ex.history.add(step{kind: stepCancelled, attempt: number, worker: a.toWorker})
 		s.end(a, Outcome{Status: logic.Cancelled})
 	}
 }
 
-// cutSilent gives up the running streams of which nothing has come for so long.
-func (s *sender) cutSilent(silent time.Duration) {
+// cancelSilentStreams cancels the running streams from which nothing has been received for the
+// given time.
+func (s *sender) cancelSilentStreams(silent time.Duration) {
 	for _, ex := range s.core.admission.exchanges {
 		a := ex.attempt
-		if a == nil || !ex.answered || time.Since(a.sentAt)-time.Duration(a.heard.Load()) < silent {
+		if a == nil || !ex.answered || time.Since(a.sentAt)-time.Duration(a.lastReceived.Load()) < silent {
 			continue
 		}
-		ex.history.add(step{kind: stepCut, attempt: a.number, worker: a.to})
-		a.giveUp()
+		ex.history.add(step{kind: stepStreamCancelled, attempt: a.number, worker: a.toWorker})
+		a.cancel()
 	}
 }
 
-// move breaks off a running stream; its client comes again for the rest.
+// move breaks off a running stream; its client requests the rest again.
 func (s *sender) move(ex *exchange) {
 	if ex.attempt != nil && ex.answered {
-		ex.attempt.giveUp()
+		ex.attempt.cancel()
 	}
 }
 
--- a/router/workers.go
+++ b/router/workers.go
@@ -9,12 +9,13 @@
 	"lichenshelf/logic"
 )
 
-// Member is one line of discovery's list.
+// Member is one entry of discovery's list.
 type Member struct {
 	logic.Member
 	Name string
 	Addr string
-	// News says that the list in hand was up to date when this line came: a start that the line tells has just happened.
+	// News reports that the previous list was up to date: a start that first appears in this entry
+	// has just happened.
 	News bool
 }
 
@@ -28,28 +29,28 @@
 	cell    int
 	kind    int
 	leaving atomic.Bool
-	fence   func() bool // nil: none
+	fence   func() bool // nil never fences
 }
 
-// Since is when the worker last started, as its list says; 0 means long ago.
+// Since returns when the worker last started, as its list states it; 0 means long ago.
 func (w *Worker) Since() logic.Time { return w.since }
 
-// MaySend tells whether something new may go to the worker. A sender asks right
-// before the first byte: between the decision and the write a connection may
-// have had to come up, and a drain may have been told meanwhile.
+// MaySend reports whether a new request may be sent to the worker. A sender asks right before the
+// first byte, because connecting takes time in which a drain may have been announced.
 func (w *Worker) MaySend() bool { return !w.leaving.Load() && (w.fence == nil || w.fence()) }
 
-// workerSet holds the workers that discovery has named. Discovery's goroutine marks
-// a leaving worker here before the core hears of it, so that queued sends stop.
+// workerSet holds the workers that discovery has listed. Discovery's goroutine marks a leaving
+// worker here before the core is informed, so that queued sends stop.
 type workerSet struct {
 	mu     sync.RWMutex
 	byID   map[logic.ServerID]*Worker
-	fence  func() bool // nil: none
+	fence  func() bool // nil never fences
 	starts Starts
 }
 
-// dated returns the lines as the decisions take them, with starts on the core's clock. The clock tells the time there.
-func (s *workerSet) dated(members []Member, now time.Time, clock func(time.Time) logic.Time) []logic.Member {
+// withStartTimes returns the members for the decider, with their starts converted by clock to the
+// decider's clock.
+func (s *workerSet) withStartTimes(members []Member, now time.Time, clock func(time.Time) logic.Time) []logic.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]logic.Member, len(members))
@@ -62,8 +63,9 @@
 	return out
 }
 
-// apply takes a list and returns the workers whose connections are void.
-func (s *workerSet) apply(members []Member, whole bool) (void []*Worker) {
+// apply applies a list and returns the workers that were removed or replaced, whose connections
+// must be dropped.
+func (s *workerSet) apply(members []Member, whole bool) (removed []*Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	named := make(map[logic.ServerID]bool, len(members))
@@ -71,8 +73,8 @@
 		named[m.Server] = true
 		w := s.byID[m.Server]
 		if w != nil && (w.Addr != m.Addr && m.Addr != "" || m.Health == logic.Ready && w.since != m.Since) {
-			w.leaving.Store(true) // another process by now
-			void, w = append(void, w), nil
+			w.leaving.Store(true) // the address now belongs to another process
+			removed, w = append(removed, w), nil
 		}
 		if w == nil {
 			if m.Health == logic.Gone {
@@ -83,23 +85,23 @@
 		}
 		w.leaving.Store(m.Health != logic.Ready)
 		if m.Health == logic.Gone {
-			void = append(void, w)
+			removed = append(removed, w)
 		}
 	}
 	if whole {
 		for id, w := range s.byID {
 			if !named[id] {
 				w.leaving.Store(true)
-				void = append(void, w)
+				removed = append(removed, w)
 			}
 		}
 	}
-	for _, w := range void {
+	for _, w := range removed {
 		if s.byID[w.ID] == w {
 			delete(s.byID, w.ID)
 		}
 	}
-	return void
+	return removed
 }
 
 func (s *workerSet) worker(id logic.ServerID) *Worker {
@@ -108,8 +110,8 @@
 	return s.byID[id]
 }
 
-// running returns the workers in random order, those that are leaving last: they
-// run still, and take a release where no other does.
+// running returns the workers in random order, leaving ones last: those are still running and
+// accept a release if no other worker does.
 func (s *workerSet) running() []*Worker {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
