--- a/downstream/arrivals.go
+++ b/downstream/arrivals.go
@@ -6,21 +6,24 @@
 	"lichenshelf/internal/socket"
 )
 
-// started is what times of arrival are counted from: a step of the wall clock moves none of them.
-var started = time.Now()
+// processStart is the base of all receive times, so that steps of the wall clock do not change
+// them.
+var processStart = time.Now()
 
-// sinceStart is the monotonic time since the process has started.
-func sinceStart() time.Duration { return time.Since(started) }
+// sinceStart returns the monotonic time since the process started.
+func sinceStart() time.Duration { return time.Since(processStart) }
 
-// mergeWithin is how close together bytes count as one arrival. Clients that send byte by byte would take more memory for
-// the times than for the bytes.
-const mergeWithin = 5 * time.Millisecond
+// arrivalMergeWindow is the time within which received bytes count as one arrival. Otherwise the
+// receive times of clients that send byte by byte would take more memory than the bytes.
+const arrivalMergeWindow = 5 * time.Millisecond
 
-// arrivalResolution is an age of received bytes that the system can tell from none: its clock ticks each 10 ms or more often.
+// arrivalResolution is the age of received bytes below which they count as just received: the
+// system's clock ticks every 10 ms or more often.
 const arrivalResolution = 20 * time.Millisecond
 
-// receivedAt is when what was just read had come, or later: bytes wait in the system until their connection is accepted, for
-// which a descriptor may lack, and until their reader runs.
+// receivedAt returns the time when the bytes just read were received, or a later time. Bytes wait
+// in the kernel until their connection is accepted, which can be delayed by a lack of descriptors,
+// and until their reader runs.
 func (c *conn) receivedAt() time.Duration {
 	now := sinceStart()
 	raw, err := socket.Raw(c.Conn)
@@ -31,29 +34,31 @@
 	if err != nil || age < arrivalResolution {
 		return now
 	}
-	c.home.count.Add("reads_delayed", 1)
+	c.owner.count.Add("reads_delayed", 1)
 	return now - age
 }
 
-// arrival is a part of what was read ahead, and when it came.
+// arrival is a part of the bytes read ahead, with its receive time.
 type arrival struct {
 	bytes int
 	at    time.Duration
 }
 
-// arrivals are the parts of what was read ahead, in order.
+// arrivals are the parts of the bytes read ahead, in order.
 type arrivals []arrival
 
-// add notes bytes that have come. Those that follow others at once count as come with them.
+// add appends n bytes received at the given time. Bytes that follow others within
+// arrivalMergeWindow are merged with them.
 func (a arrivals) add(n int, at time.Duration) arrivals {
-	if last := len(a) - 1; last >= 0 && at-a[last].at < mergeWithin {
+	if last := len(a) - 1; last >= 0 && at-a[last].at < arrivalMergeWindow {
 		a[last].bytes += n
 		return a
 	}
 	return append(a, arrival{n, at})
 }
 
-// take hands out the next n bytes at most, no more than came together, and tells how many and when they came.
+// take removes at most the next n bytes, but no more than arrived together. It returns their number
+// and their receive time.
 func (a arrivals) take(n int) (rest arrivals, taken int, at time.Duration) {
 	taken, at = min(n, a[0].bytes), a[0].at
 	if a[0].bytes -= taken; a[0].bytes == 0 {
--- a/downstream/arrivals_test.go
+++ b/downstream/arrivals_test.go
@@ -11,11 +11,12 @@
 	"lichenshelf/metrics"
 )
 
-// All bytes are handed out once, in order, as having come when they came or up to mergeWithin before.
-func TestArrivalsKeepTheirTimes(t *testing.T) {
+// All bytes are returned once and in order. Their receive time is the real one or up to
+// arrivalMergeWindow earlier.
+func TestArrivalsKeepReceiveTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a arrivals
-		var times []time.Duration // by byte
+		var times []time.Duration // of each byte
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "reads") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * time.Millisecond
@@ -29,7 +30,7 @@
 			rest, n, at := a.take(rapid.IntRange(1, 12).Draw(t, "asked"))
 			for _, came := range times[:n] {
 				require.GreaterOrEqual(t, came, at)
-				require.Less(t, came-at, mergeWithin)
+				require.Less(t, came-at, arrivalMergeWindow)
 			}
 			a, times = rest, times[n:]
 		}
@@ -37,8 +38,9 @@
 	})
 }
 
-// The time of a request's arrival is no wall clock reading: a step of the clock would move what is left to its client.
-func TestTheTimeOfArrivalIsMonotonic(t *testing.T) {
+// The receive time of a request is not a reading of the wall clock: a step of the clock would
+// change the client's remaining time.
+func TestReceiveTimeIsMonotonic(t *testing.T) {
 	came := make(chan time.Time, 1)
 	_, url := serve(t, Config{Handler: func(c *Call) {
 		_, release, ok := c.Body()
@@ -53,13 +55,14 @@
 	require.NotEqual(t, at, at.Round(0), "Round(0) strips the monotonic reading")
 }
 
-// A request whose connection waits to be accepted, for want of a descriptor or of a process that has started, has come when its
-// bytes have, on each connection: its client's time runs.
-func TestTheTimeOfArrivalIsThatBeforeTheAccept(t *testing.T) {
+// If the connection waits to be accepted, because descriptors have run out or the process is still
+// starting, the receive time of its request is still that of its bytes, because the client's time
+// is running.
+func TestReceiveTimePrecedesAccept(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	came := make(chan time.Time, 1)
-	s := NewServer(l, Config{MaxBody: 1 << 10, MaxConns: most, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
+	s := NewServer(l, Config{MaxBody: 1 << 10, MaxConns: maxTestConns, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
 		_, release, ok := c.Body()
 		if ok {
 			defer release()
@@ -73,8 +76,8 @@
 	done := make(chan error, 1)
 	go func() { done <- s.Serve() }()
 	at := <-came
-	require.True(t, at.Before(accepting), "it came %v after it was written, the accept %v", at.Sub(wrote), accepting.Sub(wrote))
+	require.True(t, at.Before(accepting), "received %v after it was written, the accept %v", at.Sub(wrote), accepting.Sub(wrote))
 	require.NoError(t, c.Close())
-	require.NoError(t, s.Stop(t.Context(), takes(0)))
+	require.NoError(t, s.Stop(t.Context(), constantTimeout(0)))
 	require.NoError(t, <-done)
 }
--- a/downstream/body.go
+++ b/downstream/body.go
@@ -11,38 +11,38 @@
 )
 
 var (
-	errNoRoom   = errors.New("too much is in hand, try again later")
-	errTooLarge = errors.New("the body is too large")
-	errSlow     = errors.New("the request did not come in time")
+	errOverloaded     = errors.New("too much is in hand, try again later")
+	errTooLarge       = errors.New("the body is too large")
+	errRequestTimeout = errors.New("the request did not come in time")
 )
 
-// firstPart is what a body gets before more of it has come.
-const firstPart = 4 << 10
+// initialBodyCapacity is the first allocation for a body, which grows as more of it arrives.
+const initialBodyCapacity = 4 << 10
 
-// room bounds the bodies in hand together.
-type room struct {
-	most int64 // 0 means no bound
-	used atomic.Int64
+// byteBudget bounds the bytes of all open bodies together.
+type byteBudget struct {
+	limit int64 // 0 means no bound
+	used  atomic.Int64
 }
 
-func (r *room) take(n int64) bool {
-	if r.used.Add(n) > r.most && r.most > 0 {
+func (r *byteBudget) reserve(n int64) bool {
+	if r.used.Add(n) > r.limit && r.limit > 0 {
 		r.used.Add(-n)
 		return false
 	}
 	return true
 }
 
-// Body reads the call's body, which is the caller's from then on, and takes room
-// for it until its answer begins or it is answered otherwise. Without room, or
-// where the body is none, it answers so.
+// Body reads the call's body, which then belongs to the caller, and reserves bytes of the budget
+// for it until release is called. If the budget is exhausted or the body is invalid, Body answers
+// the call with an error.
 //
-// Room is taken for what has come, not for what is announced: clients that announce
-// much and send little would take it all.
+// Bytes are reserved as they arrive, not as they are announced: otherwise clients that announce
+// much and send little could exhaust the budget.
 func (c *Call) Body() (body []byte, release func(), ok bool) {
 	in := &c.server.bodies
 	body, err := readBody(c.RequestBodyStream(), c.Request.Header.ContentLength(), c.server.cfg.MaxBody, in)
-	if err == nil && !c.conn.enter(serving) {
+	if err == nil && !c.conn.beginPhase(serving) {
 		err = net.ErrClosed
 	}
 	if err != nil {
@@ -50,33 +50,33 @@
 		c.refuseBody(err)
 		return nil, nil, false
 	}
-	c.read = true
+	c.bodyRead = true
 	c.ReadWhole = time.Now()
-	c.Received = started.Add(time.Duration(c.conn.lastRead.Load()))
+	c.Received = processStart.Add(time.Duration(c.conn.lastReceived.Load()))
 	return body, func() { in.used.Add(-int64(cap(body))) }, true
 }
 
 func (c *Call) refuseBody(err error) {
 	var late net.Error
-	if hurried(c.RequestCtx) {
-		err = errEnding
+	if isRefusedUnread(c.RequestCtx) {
+		err = errShuttingDown
 	}
 	switch {
-	case errors.Is(err, errEnding), errors.Is(err, errNoRoom):
+	case errors.Is(err, errShuttingDown), errors.Is(err, errOverloaded):
 		c.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
 		c.Problem(fasthttp.StatusServiceUnavailable, err)
 	case errors.Is(err, errTooLarge):
 		c.Problem(fasthttp.StatusRequestEntityTooLarge, err)
 	case errors.As(err, &late) && late.Timeout():
-		c.Problem(fasthttp.StatusRequestTimeout, errSlow)
+		c.Problem(fasthttp.StatusRequestTimeout, errRequestTimeout)
 	default:
 		c.Problem(fasthttp.StatusBadRequest, errUnreadable)
 	}
 }
 
-// readBody reads a body of the announced size, -1 if none is. Room is taken for
-// its capacity, also where it fails.
-func readBody(r io.Reader, size, most int, in *room) ([]byte, error) {
+// readBody reads a body of the announced size, -1 if none is announced. Its capacity is reserved in
+// the budget, also if reading fails.
+func readBody(r io.Reader, size, most int, in *byteBudget) ([]byte, error) {
 	if r == nil || size == 0 {
 		return nil, nil
 	}
@@ -92,9 +92,9 @@
 			if len(body) > most {
 				return body, errTooLarge
 			}
-			next := min(max(2*cap(body), firstPart), most+1)
-			if !in.take(int64(next - cap(body))) {
-				return body, errNoRoom
+			next := min(max(2*cap(body), initialBodyCapacity), most+1)
+			if !in.reserve(int64(next - cap(body))) {
+				return body, errOverloaded
 			}
 			body = append(make([]byte, 0, next), body...)
 		}
@@ -103,7 +103,8 @@
 		switch {
 		case err == io.EOF && len(body) > most:
 			return body, errTooLarge
-		case err == io.EOF && len(body) < size: // the server's reader takes an early end for the body's
+		// the server's reader reports a connection closed early as the body's end
+		case err == io.EOF && len(body) < size:
 			return body, io.ErrUnexpectedEOF
 		case err == io.EOF:
 			return body, nil
--- a/downstream/closing.go
+++ b/downstream/closing.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// phase is what a client's connection is at.
+// phase is the state of a client's connection.
 type phase int
 
 const (
-	lingering phase = iota // answered for good; what still comes is dropped
-	waiting                // no request has begun to come
-	reading                // a request has begun to come
-	serving                // it is whole, and its answer not yet out
+	lingering phase = iota // the last answer has been sent; further bytes are dropped
+	waiting                // no byte of a request has been received
+	reading                // part of a request has been received
+	serving                // the request is complete, and its answer has not been sent
 )
 
-// reason is why a connection that has no whole request in hand may have to end.
-type reason int
+// endReason is why a connection without a complete request may have to end.
+type endReason int
 
 const (
-	forRoom       reason = iota // the bound on connections is near
-	forRoomNow                  // it is met: a place is needed at once
-	forDescriptor               // the process, or the machine, has no descriptor left
-	forStop                     // the server stops, and has time
-	forExit                     // the process is about to end
+	forRoom       endReason = iota // the number of connections is near its bound
+	forRoomNow                     // the bound is reached, and a place is needed at once
+	forDescriptor                  // the process or the machine has run out of descriptors
+	forStop                        // the server stops, and has time
+	forExit                        // the process is about to end
 )
 
-// ending is how a connection may be ended.
-type ending int
+// endAction is how a connection may be ended.
+type endAction int
 
 const (
-	keep      ending = iota
-	shutIdle         // between requests: its sending is shut, and what still comes is dropped unread
-	answerNow        // the rest of its request is not waited for: it is refused, and may be made again
-	closeNow         // it is ending already, and its client has had its time
+	keep      endAction = iota
+	shutIdle            // between requests: shut down the sending side and drop further bytes unread
+	refuseNow           // refuse the partial request without waiting for the rest; it may be repeated
+	closeNow            // it is ending already, and its client has had time to close it
 )
 
-// freshFor is how long a new connection is left open at the end, for its request to come; slowAfter how long that, or a
-// request that has begun, may take before it gives way for want of a descriptor.
+// newConnGrace is how long a new connection stays open during a stop, waiting for its first
+// request. descriptorGrace is how long such a connection, or one with a partial request, is kept
+// when descriptors run out.
 const (
-	freshFor  = time.Second
-	slowAfter = 500 * time.Millisecond
+	newConnGrace    = time.Second
+	descriptorGrace = 500 * time.Millisecond
 )
 
-// connState is what of a connection counts for its ending.
+// connState is the state of a connection that determines how it may be ended.
 type connState struct {
 	phase  phase
-	ending bool          // it has been shut, or its last answer is out
-	used   bool          // something has come on it
-	age    time.Duration // since its phase began
+	ending bool          // it has been shut down, or its last answer has been sent
+	used   bool          // bytes have been received on it
+	age    time.Duration // time since its phase began
 }
 
-// endingOf is the one rule for all that ends clients' connections: a request that is whole never loses its connection, and one
-// of which a part has come has its answer. A connection that waits may be shut only if no bytes have come that nobody has
-// read: who shuts it looks right before.
-func endingOf(c connState, why reason) ending {
+// decideEnd decides for all reasons how a client's connection may be ended: a complete request
+// never loses its connection, and a partial one is answered. A waiting connection may be shut down
+// only if it has no unread bytes, which the caller checks right before.
+func decideEnd(c connState, why endReason) endAction {
 	switch {
 	case c.phase == serving:
 		return keep
@@ -61,13 +62,13 @@
 		}
 		return keep
 	case c.phase == waiting:
-		expected := !c.used && (why == forStop && c.age < freshFor || why == forDescriptor && c.age < slowAfter)
+		expected := !c.used && (why == forStop && c.age < newConnGrace || why == forDescriptor && c.age < descriptorGrace)
 		if expected { // its first request may be on its way
 			return keep
 		}
 		return shutIdle
-	case why == forStop, why == forDescriptor && c.age < slowAfter:
+	case why == forStop, why == forDescriptor && c.age < descriptorGrace:
 		return keep
 	}
-	return answerNow
+	return refuseNow
 }
--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -12,50 +12,53 @@
 	"lichenshelf/internal/socket"
 )
 
-// conn is a client's connection. The server reads it between requests; while
-// one is handled, the watch reads it to see the client leave.
+// conn is a client's connection. The server reads it between requests. While a request is handled,
+// the watch reads it to detect that the client closes it.
 type conn struct {
 	net.Conn
-	home *listener
-	// Under the lock of home:
+	owner *listener
+	// Guarded by the owner's mu:
 	phase   phase
 	since   time.Time // when the phase began
-	dropped bool      // shut from outside, and to be served no more
-	lingers time.Time // until when it is open for its client to close it; zero: its server is not done with it
-	hurried bool      // what has not come of its request is not waited for
-	ending  bool      // it is one of these, or its last answer is out
-	used    bool      // something has come on it
-	// Of home's order, where it stands there; nil: it is not in it.
-	place    *list.Element
-	placedIn evictionClass
+	dropped bool      // shut down by the listener; no further request is served
+	// when it is closed if its client has not closed it; zero while the server uses it
+	lingerDeadline time.Time
+	restRefused    bool // the rest of its request is not awaited
+	ending         bool // it is dropped, lingering or restRefused, or its last answer has been sent
+	used           bool // bytes have been received on it
+	// Position in the owner's eviction order; nil if it is not there.
+	orderElement *list.Element
+	orderClass   evictionClass
 
-	turn     turns        // of which its server has one; nil: it has none
-	routed   bool         // a request of its was handed to the router
-	lastRead atomic.Int64 // when the bytes came that the server got last, by sinceStart
-	deadline time.Time    // the server's own
-	watching chan struct{}
-	left     func()   // what the watch calls
-	ahead    []byte   // read by the watch, for the server
-	came     arrivals // of what was read ahead
-	err      error    // met by the watch, for the server
-	given    int64    // bytes that the server has got
-	asked    int64    // of them, those of the requests that it has handled, as far as can be told
+	// of which the server holds a slot for this connection; nil if it holds none
+	heldSlots workSlots
+	routed    bool // a request on it was passed to the router
+	// when the bytes that the server read last were received, by sinceStart
+	lastReceived      atomic.Int64
+	deadline          time.Time // the read deadline that the server has set
+	watchDone         chan struct{}
+	onLeave           func()   // called by the watch when the client leaves
+	readAhead         []byte   // bytes read by the watch, for the server
+	readAheadArrivals arrivals // of the bytes read ahead
+	err               error    // read error of the watch, returned to the server
+	bytesRead         int64    // bytes passed to the server
+	bytesHandled      int64    // of bytesRead, those of handled requests, as far as known
 }
 
-// enter begins a phase. It tells whether the connection is still there.
-func (c *conn) enter(p phase) bool {
-	c.home.mu.Lock()
-	defer c.home.mu.Unlock()
+// beginPhase sets the phase. It returns false if the connection has been dropped.
+func (c *conn) beginPhase(p phase) bool {
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
 	if c.dropped {
 		return false
 	}
 	if c.phase != p {
-		c.home.become(c, p)
+		c.owner.setPhase(c, p)
 	}
 	return true
 }
 
-// pending tells whether bytes have come that nobody has read.
+// pending reports whether the kernel holds unread bytes.
 func (c *conn) pending() bool {
 	raw, err := socket.Raw(c.Conn)
 	if err != nil {
@@ -65,71 +68,73 @@
 	return n > 0
 }
 
-// mostAhead bounds what is read ahead of a connection's server: a request of the largest size. What is
-// further behind stays with the system; a client that sends more than both take is seen to leave
-// when the server gets there. It is read by aheadStep at first, then by as much as there is, to aheadMost.
+// maxReadAhead bounds the bytes read ahead of a connection's server; it holds one request of the
+// largest size. Further bytes stay in the kernel. If a client sends more than both hold, its
+// leaving is detected only when the server has read that far. Reads ahead start with
+// minReadAheadStep and grow with what has been read, up to maxReadAheadStep.
 const (
-	mostAhead = 256<<10 + headBuffer
-	aheadStep = 512
-	aheadMost = 16 << 10
-	// behindAhead is what the system is asked to take of a connection that is not read ahead any further; it grants less,
-	// by net.core.rmem_max.
-	behindAhead = 1 << 20
+	maxReadAhead     = 256<<10 + headBuffer
+	minReadAheadStep = 512
+	maxReadAheadStep = 16 << 10
+	// watchReceiveBuffer is the receive buffer requested for a connection that has been read ahead
+	// to the limit; the kernel grants less if net.core.rmem_max is lower.
+	watchReceiveBuffer = 1 << 20
 )
 
-// watch calls left once if the client closes the connection, also behind requests that it has sent
-// ahead. It ends when the server reads again.
-func (c *conn) watch(left func()) {
-	if c.gone() {
-		left()
+// watch calls onLeave once if the client closes the connection, also behind pipelined requests. It
+// ends when the server reads again.
+func (c *conn) watch(onLeave func()) {
+	if c.clientClosed() {
+		onLeave()
 		return
 	}
-	c.left = left
-	c.look(mostAhead)
+	c.onLeave = onLeave
+	c.startWatch(maxReadAhead)
 }
 
-// look is the watch, which reads so much ahead at most.
-func (c *conn) look(most int) {
+// startWatch starts the watch goroutine, which reads at most limit bytes ahead.
+func (c *conn) startWatch(limit int) {
 	done := make(chan struct{})
-	c.watching = done
+	c.watchDone = done
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	go func() {
 		defer close(done)
-		for len(c.ahead) < most {
-			step := min(max(len(c.ahead), aheadStep), aheadMost, most-len(c.ahead))
-			if !c.home.ahead.take(int64(step)) {
+		for len(c.readAhead) < limit {
+			step := min(max(len(c.readAhead), minReadAheadStep), maxReadAheadStep, limit-len(c.readAhead))
+			if !c.owner.readAheadBudget.reserve(int64(step)) {
 				break
 			}
 			b := make([]byte, step)
 			n, err := c.Conn.Read(b)
 			if n > 0 {
-				c.ahead, c.came = append(c.ahead, b[:n]...), c.came.add(n, c.receivedAt())
+				c.readAhead, c.readAheadArrivals = append(c.readAhead, b[:n]...), c.readAheadArrivals.add(n, c.receivedAt())
 			}
-			c.home.ahead.used.Add(int64(n - step))
+			c.owner.readAheadBudget.used.Add(int64(n - step))
 			if err != nil {
-				c.ended(err)
+				c.watchEnded(err)
 				return
 			}
 		}
-		// Its client's close comes behind what it has sent: the system must take that for the close to be seen.
-		if tcp, ok := c.Conn.(*net.TCPConn); ok && most == mostAhead {
-			_ = tcp.SetReadBuffer(behindAhead)
+		// The client's close follows the bytes that it has sent, so the kernel must accept those
+		// for the close to be detected.
+		if tcp, ok := c.Conn.(*net.TCPConn); ok && limit == maxReadAhead {
+			_ = tcp.SetReadBuffer(watchReceiveBuffer)
 		}
-		c.ended(c.hungUp())
+		c.watchEnded(c.waitClientClose())
 	}()
 }
 
-// ended takes the error that a watch met.
-func (c *conn) ended(err error) {
+// watchEnded handles the error that ended a watch.
+func (c *conn) watchEnded(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return // the server wants to read
+		return // the server takes over reading
 	}
 	c.err = err
-	c.left()
+	c.onLeave()
 }
 
-// hungUp waits, without reading, until the client has closed its side.
-func (c *conn) hungUp() error {
+// waitClientClose waits, without reading, until the client has closed its side.
+func (c *conn) waitClientClose() error {
 	raw, err := socket.Raw(c.Conn)
 	if err != nil {
 		return os.ErrDeadlineExceeded
@@ -140,71 +145,74 @@
 	return io.EOF
 }
 
-// gone tells whether the client has closed the connection, as far as was seen; the watch ends.
-func (c *conn) gone() bool {
+// clientClosed ends the watch and reports whether it has detected that the client closed the
+// connection.
+func (c *conn) clientClosed() bool {
 	c.endWatch()
 	return c.err != nil
 }
 
-// endWatch takes the connection back from the watch.
+// endWatch ends the watch, so that the server can read again.
 func (c *conn) endWatch() {
-	if c.watching == nil {
+	if c.watchDone == nil {
 		return
 	}
-	_ = c.Conn.SetReadDeadline(longAgo)
-	<-c.watching
-	c.watching = nil
+	_ = c.Conn.SetReadDeadline(pastDeadline)
+	<-c.watchDone
+	c.watchDone = nil
 	_ = c.SetReadDeadline(c.deadline)
 }
 
-// takeTurn takes a turn for what has been read, unless its server has one: what was read together may be many calls.
-func (c *conn) takeTurn() {
-	if c.turn != nil {
+// acquireSlot acquires a slot for the bytes just read, unless the server holds one: bytes read
+// together may contain many calls.
+func (c *conn) acquireSlot() {
+	if c.heldSlots != nil {
 		return
 	}
-	c.turn = c.home.newcomers
+	c.heldSlots = c.owner.unroutedSlots
 	if c.routed {
-		c.turn = c.home.clients
+		c.heldSlots = c.owner.routedSlots
 	}
-	c.turn.take()
-	c.turn.yield()
+	c.heldSlots.acquire()
+	c.heldSlots.yield()
 }
 
-// endTurn gives the turn back, if its server has one.
-func (c *conn) endTurn() {
-	if c.turn != nil {
-		c.turn.give()
-		c.turn = nil
+// releaseSlot releases the slot, if the server holds one.
+func (c *conn) releaseSlot() {
+	if c.heldSlots != nil {
+		c.heldSlots.release()
+		c.heldSlots = nil
 	}
 }
 
-// Write implements net.Conn for the server. A client may take its time to read.
+// Write implements net.Conn for the server. It releases the slot because a slow client may block
+// the write.
 func (c *conn) Write(p []byte) (int, error) {
-	c.endTurn()
+	c.releaseSlot()
 	return c.Conn.Write(p)
 }
 
 // Read implements net.Conn for the server.
 func (c *conn) Read(p []byte) (int, error) {
-	c.endTurn()
+	c.releaseSlot()
 	c.endWatch()
 	if c.err != nil {
 		return 0, c.err
 	}
-	// Only now is the answer out: a stream goes on long after its handler has
-	// returned, and must not be closed as idle.
-	if !c.between() {
+	// The answer is complete only now: a stream continues long after its handler has returned, and
+	// must not be closed as idle.
+	if !c.awaitNextRequest() {
 		return 0, net.ErrClosed
 	}
-	if len(c.ahead) > 0 {
-		rest, n, at := c.came.take(len(p))
-		copy(p, c.ahead[:n])
-		c.home.ahead.used.Add(-int64(n))
-		c.came = rest
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead, c.came = nil, nil
+	if len(c.readAhead) > 0 {
+		rest, n, at := c.readAheadArrivals.take(len(p))
+		copy(p, c.readAhead[:n])
+		c.owner.readAheadBudget.used.Add(-int64(n))
+		c.readAheadArrivals = rest
+		if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+			c.readAhead, c.readAheadArrivals = nil, nil
 		}
-		c.takeTurn()
+		c.acquireSlot()
 		return c.arrived(n, nil, at)
 	}
 	n, err := c.Conn.Read(p)
@@ -212,69 +220,70 @@
 		return c.arrived(n, err, 0)
 	}
 	at := c.receivedAt()
-	c.takeTurn()
+	c.acquireSlot()
 	return c.arrived(n, err, at)
 }
 
-// between begins the wait for the next request where an answer is out. It tells whether the
-// connection is still there.
-func (c *conn) between() bool {
-	c.home.mu.Lock()
-	defer c.home.mu.Unlock()
+// awaitNextRequest begins the wait for the next request if an answer has been sent. It returns
+// false if the connection has been dropped.
+func (c *conn) awaitNextRequest() bool {
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
 	if c.phase == serving {
-		c.home.become(c, waiting)
+		c.owner.setPhase(c, waiting)
 	}
 	return !c.dropped
 }
 
-// arrived takes what was read and when it came, unless the connection has been shut meanwhile: its client knows by
-// then that nothing was served.
+// arrived records the bytes that were read and their receive time. If the connection has been shut
+// down meanwhile, it discards them: the client can tell by then that nothing was served.
 func (c *conn) arrived(n int, err error, at time.Duration) (int, error) {
 	if n > 0 {
-		if !c.enter(reading) {
+		if !c.beginPhase(reading) {
 			return 0, net.ErrClosed
 		}
-		c.given += int64(n)
-		c.lastRead.Store(int64(at))
+		c.bytesRead += int64(n)
+		c.lastReceived.Store(int64(at))
 	}
-	if err != nil && !c.between() {
+	if err != nil && !c.awaitNextRequest() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// late tells whether the rest of the request was not waited for.
-func (c *conn) late() bool {
-	c.home.mu.Lock()
-	defer c.home.mu.Unlock()
-	return c.hurried
+// isRestRefused reports whether the rest of the request is not awaited.
+func (c *conn) isRestRefused() bool {
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	return c.restRefused
 }
 
-// leastRequest is the size of the shortest request.
-const leastRequest = len("GET / HTTP/1.1\n\n")
+// minRequestSize is the size of the shortest request.
+const minRequestSize = len("GET / HTTP/1.1\n\n")
 
-// handled notes a request that the server has read, of a size that may be told a few bytes too small;
-// below 0 it is not known.
+// handled records a request that the server has read. Its size may be a few bytes too small; below
+// 0 it is unknown.
 func (c *conn) handled(size int) {
 	if size < 0 {
-		c.asked = c.given
+		c.bytesHandled = c.bytesRead
 		return
 	}
-	c.asked += int64(size)
+	c.bytesHandled += int64(size)
 }
 
-// last tells whether the answer that begins may be the connection's last: nothing has been read of further
-// requests, nor will be. A client whose request was read can't tell that it was not served.
-func (c *conn) last() bool {
-	watched := c.watching != nil
+// isLastAnswer reports whether the answer that begins may be the connection's last: nothing has
+// been read of further requests, nor will be. A client whose request was read could not tell that
+// it was not served.
+func (c *conn) isLastAnswer() bool {
+	watched := c.watchDone != nil
 	c.endWatch()
-	last := len(c.ahead) == 0 && c.given-c.asked < int64(leastRequest)
+	last := len(c.readAhead) == 0 && c.bytesRead-c.bytesHandled < int64(minRequestSize)
 	if watched && c.err == nil {
-		most := mostAhead
+		limit := maxReadAhead
 		if last {
-			most = 0
+			limit = 0
 		}
-		c.look(most)
+		c.startWatch(limit)
 	}
 	return last
 }
@@ -282,13 +291,13 @@
 // SetReadDeadline implements net.Conn for the server.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.deadline = t
-	if c.watching != nil {
-		return nil // set when the watch has ended
+	if c.watchDone != nil {
+		return nil // set when the watch ends
 	}
-	c.home.mu.Lock()
-	defer c.home.mu.Unlock()
-	if c.dropped || c.hurried {
-		return nil // it is over
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	if c.dropped || c.restRefused {
+		return nil // the connection is ending
 	}
 	return c.Conn.SetReadDeadline(t)
 }
--- a/downstream/crossings_test.go
+++ b/downstream/crossings_test.go
@@ -18,16 +18,18 @@
 )
 
 const (
-	get     = "GET /next HTTP/1.1\r\nHost: x\r\n\r\n"
-	atLast  = 10 * time.Second
-	goneFor = 100 * time.Millisecond // after its client's close nothing may begin for a request
+	nextRequest = "GET /next HTTP/1.1\r\nHost: x\r\n\r\n"
+	testTimeout = 10 * time.Second
+	// nothing may begin for a request later than this after its client has left
+	maxLeaveDelay = 100 * time.Millisecond
 )
 
-// An answer that is whole goes out whole, whatever its client has sent behind its request: kept back, a
-// refusal or the end of a stream would come with the next answer, seconds late.
-func TestAnswersDoNotWaitForTheNextRequest(t *testing.T) {
+// A complete answer must be sent even if its client has sent part of a further request. If the
+// server kept the end back, a refusal or the end of a stream would arrive with the next answer,
+// seconds late.
+func TestAnswersAreSentBeforeNextRequestEnds(t *testing.T) {
 	for name, first := range map[string]func(*Call){
-		"refusal": func(c *Call) { c.Problem(http.StatusServiceUnavailable, errNoRoom) },
+		"refusal": func(c *Call) { c.Problem(http.StatusServiceUnavailable, errOverloaded) },
 		"stream":  func(c *Call) { c.Stream("text/plain", io.NopCloser(strings.NewReader("whole"))) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -40,30 +42,30 @@
 				first(c)
 			}})
 			defer close(goOn)
-			c := dial(t, url, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"+get)
-			require.NoError(t, c.SetReadDeadline(time.Now().Add(atLast)))
+			c := dial(t, url, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"+nextRequest)
+			require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			require.NoError(t, err)
 			_, err = io.ReadAll(resp.Body)
-			require.NoError(t, err, "the answer has come to its end while the next request is at work")
+			require.NoError(t, err, "the answer ends while the next request is being handled")
 		})
 	}
 }
 
-// ways in which a client leaves.
-var ways = map[string]func(net.Conn) error{
+// leaveWays are the ways in which a client leaves.
+var leaveWays = map[string]func(net.Conn) error{
 	"closes": net.Conn.Close,
 	"resets": func(c net.Conn) error { _ = c.(*net.TCPConn).SetLinger(0); return c.Close() },
 	"shuts":  func(c net.Conn) error { return c.(*net.TCPConn).CloseWrite() },
 }
 
-// A client that leaves is seen to, whatever it has sent ahead.
-func TestAClientIsSeenToLeaveBehindWhatItSentAhead(t *testing.T) {
+// A client that leaves is detected, whatever it has sent ahead.
+func TestClientLeaveIsDetectedBehindPipelinedRequests(t *testing.T) {
 	for name, ahead := range map[string]string{
-		"nothing": "", "a byte": "G", "a request": get, "many requests": strings.Repeat(get, 500),
-		"more than is read ahead": strings.Repeat(get, (mostAhead+headBuffer/2)/len(get)),
+		"nothing": "", "a byte": "G", "a request": nextRequest, "many requests": strings.Repeat(nextRequest, 500),
+		"more than is read ahead": strings.Repeat(nextRequest, (maxReadAhead+headBuffer/2)/len(nextRequest)),
 	} {
-		for way, leave := range ways {
+		for way, leave := range leaveWays {
 			for _, together := range []bool{true, false} {
 				t.Run(name+", "+way, func(t *testing.T) {
 					t.Parallel()
@@ -88,16 +90,17 @@
 						_, err := io.WriteString(c, ahead)
 						require.NoError(t, err)
 					}
-					_ = s.listener.open() // bytes on their way have come: the watch reads up to its bound
+					// takes the lock; the watch reads up to its bound meanwhile
+					_ = s.listener.open()
 					from := time.Now()
 					require.NoError(t, leave(c))
 					select {
 					case at := <-left:
 						left <- at
-						require.Less(t, at.Sub(from), goneFor+time.Second)
-					case <-time.After(atLast):
+						require.Less(t, at.Sub(from), maxLeaveDelay+time.Second)
+					case <-time.After(testTimeout):
 						left <- time.Now()
-						t.Fatal("the client was not seen to leave")
+						t.Fatal("the client's leaving was not detected")
 					}
 				})
 			}
@@ -105,11 +108,11 @@
 	}
 }
 
-// What is read ahead is bounded for each connection and for all, and given back.
-func TestWhatIsReadAheadIsBounded(t *testing.T) {
-	const room = mostAhead + mostAhead/4
+// The bytes read ahead are bounded for each connection and for all together, and are released.
+func TestReadAheadIsBounded(t *testing.T) {
+	const room = maxReadAhead + maxReadAhead/4
 	began, goOn := make(chan struct{}), make(chan struct{})
-	s, url := serve(t, Config{MaxBytes: room * aheadPart, Handler: func(c *Call) {
+	s, url := serve(t, Config{MaxBytes: room * readAheadDivisor, Handler: func(c *Call) {
 		if string(c.Path()) == "/first" {
 			c.conn.watch(func() {})
 			began <- struct{}{}
@@ -120,28 +123,28 @@
 	for range 2 {
 		c := dial(t, url, "GET /first HTTP/1.1\r\nHost: x\r\n\r\n")
 		<-began
-		_, err := io.WriteString(c, strings.Repeat(get, mostAhead/len(get)))
+		_, err := io.WriteString(c, strings.Repeat(nextRequest, maxReadAhead/len(nextRequest)))
 		require.NoError(t, err)
 		clients = append(clients, c)
 	}
-	require.Eventually(t, func() bool { return s.listener.ahead.used.Load() > room-2*aheadMost }, atLast, time.Millisecond)
-	require.LessOrEqual(t, s.listener.ahead.used.Load(), int64(room))
+	require.Eventually(t, func() bool { return s.listener.readAheadBudget.used.Load() > room-2*maxReadAheadStep }, testTimeout, time.Millisecond)
+	require.LessOrEqual(t, s.listener.readAheadBudget.used.Load(), int64(room))
 	close(goOn)
 	for _, c := range clients {
 		answers := bufio.NewReader(c)
-		for range 1 + mostAhead/len(get) {
+		for range 1 + maxReadAhead/len(nextRequest) {
 			resp, err := http.ReadResponse(answers, nil)
 			require.NoError(t, err)
 			require.NoError(t, resp.Body.Close())
 		}
 		require.NoError(t, c.Close())
 	}
-	require.Eventually(t, func() bool { return s.listener.ahead.used.Load() == 0 }, atLast, time.Millisecond)
+	require.Eventually(t, func() bool { return s.listener.readAheadBudget.used.Load() == 0 }, testTimeout, time.Millisecond)
 }
 
-// A request that its client has sent ahead and left behind is not routed.
-func TestWhatAClientLeftBehindIsNotRouted(t *testing.T) {
-	for way, leave := range ways {
+// A pipelined request whose client has left is not routed.
+func TestPipelinedRequestOfLeftClientIsNotRouted(t *testing.T) {
+	for way, leave := range leaveWays {
 		t.Run(way, func(t *testing.T) {
 			began, seen, routed := make(chan struct{}), make(chan struct{}), make(chan Answer, 1)
 			counters := &metrics.Set{}
@@ -158,35 +161,36 @@
 				close(began)
 				<-seen
 			}})
-			c := dial(t, url, "GET /first HTTP/1.1\r\nHost: x\r\n\r\n"+get)
+			c := dial(t, url, "GET /first HTTP/1.1\r\nHost: x\r\n\r\n"+nextRequest)
 			<-began
 			require.NoError(t, leave(c))
 			<-seen
 			select {
 			case a := <-routed:
 				require.True(t, a.Left)
-			case <-time.After(200 * time.Millisecond): // the server has met the end first
+			// the server has read the end of the connection first
+			case <-time.After(200 * time.Millisecond):
 			}
 			require.Zero(t, counters.Get("requests_taken"))
 		})
 	}
 }
 
-// read reads to the end of a connection, which must not be a reset.
-func read(t *testing.T, c net.Conn) string {
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(atLast)))
+// readToEnd reads to the end of a connection, which must not be a reset.
+func readToEnd(t *testing.T, c net.Conn) string {
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	text, err := io.ReadAll(c)
 	require.NoError(t, err, "the connection ends, and is not reset")
 	return string(text)
 }
 
-// A request that comes right as its resting connection is shut is not served, and its client sees the end
-// of the connection and no reset.
-func TestARequestThatCrossesTheEndOfARestingConnection(t *testing.T) {
+// A request that arrives just as its idle connection is shut down is not served. Its client must
+// see the end of the connection and no reset.
+func TestRequestDuringIdleConnectionCloseIsNotServed(t *testing.T) {
 	for name, end := range map[string]func(*Server){
-		"stopping":   func(s *Server) { s.listener.closeUnused() },
-		"giving way": func(s *Server) { s.listener.mu.Lock(); s.listener.evict(forRoom); s.listener.mu.Unlock() },
-		"leaving":    func(s *Server) { s.DropUnread() },
+		"stopping": func(s *Server) { s.listener.closeUnused() },
+		"evicted":  func(s *Server) { s.listener.mu.Lock(); s.listener.evict(forRoom); s.listener.mu.Unlock() },
+		"leaving":  func(s *Server) { s.DropUnread() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			served := make(chan string, 2)
@@ -198,12 +202,12 @@
 			require.NoError(t, err)
 			require.NoError(t, resp.Body.Close())
 			waitPhase(t, s, waiting)
-			s.listener.crossing = func() {
-				_, err := io.WriteString(c, get)
+			s.listener.beforeShut = func() {
+				_, err := io.WriteString(c, nextRequest)
 				require.NoError(t, err)
 			}
 			end(s)
-			require.Empty(t, read(t, c), "nothing is answered after the end")
+			require.Empty(t, readToEnd(t, c), "nothing is answered after the end")
 			require.Empty(t, served)
 		})
 	}
@@ -217,11 +221,11 @@
 			return c.phase == p
 		}
 		return false
-	}, atLast, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
-// The last answer of a connection is not lost to bytes that its client sends meanwhile.
-func TestTheLastAnswerIsNotResetByWhatComesBehind(t *testing.T) {
+// The last answer of a connection must not be lost because its client sends bytes meanwhile.
+func TestLastAnswerIsNotResetByLaterBytes(t *testing.T) {
 	began, goOn := make(chan struct{}), make(chan struct{})
 	_, url := serve(t, Config{Handler: func(c *Call) {
 		close(began)
@@ -234,12 +238,12 @@
 	_, err := io.WriteString(c, "GET /half")
 	require.NoError(t, err)
 	close(goOn)
-	require.Equal(t, 100<<10, strings.Count(read(t, c), "z"))
+	require.Equal(t, 100<<10, strings.Count(readToEnd(t, c), "z"))
 }
 
-// A process that stops answers what it has read, also of requests that came along with each other: their client
-// can't tell that they were not served.
-func TestAStopAnswersTheRequestsThatWereRead(t *testing.T) {
+// A process that stops answers the requests that it has read, including pipelined ones: their
+// client cannot tell that they were not served.
+func TestStopAnswersRequestsAlreadyRead(t *testing.T) {
 	for name, together := range map[string]bool{"together": true, "one after the other": false} {
 		t.Run(name, func(t *testing.T) {
 			began, goOn := make(chan struct{}, 3), make(chan struct{})
@@ -252,15 +256,15 @@
 			rest := strings.Repeat("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 2)
 			var c net.Conn
 			if together {
-				c = dial(t, url, get+rest)
+				c = dial(t, url, nextRequest+rest)
 				<-began
 			} else {
-				c = dial(t, url, get)
+				c = dial(t, url, nextRequest)
 				<-began
 				_, err := io.WriteString(c, rest)
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return s.listener.ahead.used.Load() == int64(len(rest)+aheadStep) },
-					atLast, time.Millisecond, "it is read ahead, and the watch goes on")
+				require.Eventually(t, func() bool { return s.listener.readAheadBudget.used.Load() == int64(len(rest)+minReadAheadStep) },
+					testTimeout, time.Millisecond, "the rest is read ahead, and the watch continues")
 			}
 			s.stopping.Store(true)
 			close(goOn)
@@ -282,8 +286,8 @@
 	}
 }
 
-// Half a request at the very end is refused in good order, head or body.
-func TestHalfARequestIsRefusedAtTheEnd(t *testing.T) {
+// A partial request, in head or body, is refused with an answer when the process exits.
+func TestPartialRequestIsRefusedAtExit(t *testing.T) {
 	for _, text := range []string{"GET / HT", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n{"} {
 		s, url := serve(t, Config{Handler: func(c *Call) {
 			if _, release, ok := c.Body(); ok {
@@ -293,13 +297,14 @@
 		c := dial(t, url, text)
 		waitPhase(t, s, reading)
 		s.DropUnread()
-		require.Regexp(t, "^HTTP/1.1 503 (?s:.*)Retry-After: ", read(t, c), "%q", text)
+		require.Regexp(t, "^HTTP/1.1 503 (?s:.*)Retry-After: ", readToEnd(t, c), "%q", text)
 	}
 }
 
-// A body that breaks off is no request, however much of it has come: sent on, it would be another than its client's.
-func TestABodyThatBreaksOffIsNoRequest(t *testing.T) {
-	for way, leave := range ways {
+// A body that ends early must not be passed on, however much of it has been received: it would be
+// another request than the client's.
+func TestTruncatedBodyIsNotPassedOn(t *testing.T) {
+	for way, leave := range leaveWays {
 		for _, came := range []int{0, 1, 5000, 20000, 39999} {
 			for _, chunked := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s after %d, chunked %v", way, came, chunked), func(t *testing.T) {
@@ -317,9 +322,9 @@
 					}
 					c := dial(t, url, "POST / HTTP/1.1\r\nHost: x\r\n"+head+strings.Repeat("x", came))
 					waitPhase(t, s, reading)
-					require.Eventually(t, func() bool { return !pendingAt(s) }, atLast, time.Millisecond, "all that came is read")
+					require.Eventually(t, func() bool { return !hasPendingBytes(s) }, testTimeout, time.Millisecond, "all received bytes are read")
 					require.NoError(t, leave(c))
-					require.Eventually(t, func() bool { return s.listener.open() == 0 }, atLast, time.Millisecond)
+					require.Eventually(t, func() bool { return s.listener.open() == 0 }, testTimeout, time.Millisecond)
 					require.Empty(t, whole)
 				})
 			}
@@ -327,8 +332,8 @@
 	}
 }
 
-// pendingAt tells whether bytes have come on a connection that its server has not read.
-func pendingAt(s *Server) bool {
+// hasPendingBytes reports whether the kernel holds bytes that the server has not read.
+func hasPendingBytes(s *Server) bool {
 	s.listener.mu.Lock()
 	defer s.listener.mu.Unlock()
 	for c := range s.listener.conns.all() {
--- a/downstream/eviction.go
+++ b/downstream/eviction.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// evictionClass is a group of connections of which the one that has been in it for longest is missed least.
+// evictionClass is a group of connections of which the one that has been in it longest is evicted
+// first.
 type evictionClass int
 
 const (
-	endedLingering evictionClass = iota // on their way out, by what they are at
+	endedLingering evictionClass = iota // ending, by phase
 	endedWaiting
 	endedReading
-	waitingUnused // nothing has come on them yet
+	waitingUnused // no byte has been received on them
 	waitingUsed
 	readingRequest
-	inUse // a whole request is in hand: these never give way
+	inUse // with a complete request; never evicted
 	evictionClasses
 )
 
-// class tells where a connection stands; the lock is held.
+// class returns the connection's class. The owner's mu is held.
 func (c *conn) class() evictionClass {
 	switch {
 	case c.phase == serving:
@@ -40,43 +41,44 @@
 	return waitingUnused
 }
 
-// evictionOrder is all connections of a listener. It finds the one that gives way without looking at the others: a crowd of
-// clients makes one give way with each that it opens, and what that costs is taken from the requests in hand.
+// evictionOrder holds all connections of a listener. It finds the victim without scanning them:
+// under a flood of connections each new one evicts another, and a scan would take processor time
+// from open requests.
 type evictionOrder struct {
-	classes [evictionClasses]list.List // of *conn, the one first that has been there for longest
+	classes [evictionClasses]list.List // of *conn, the longest in the class first
 	size    int
 }
 
-// place puts a connection where it stands now, behind the others there; a new one is added.
+// place moves a connection to the end of its current class; a new one is added.
 func (o *evictionOrder) place(c *conn) {
-	if c.place == nil {
+	if c.orderElement == nil {
 		o.size++
 	} else {
-		o.classes[c.placedIn].Remove(c.place)
+		o.classes[c.orderClass].Remove(c.orderElement)
 	}
-	c.placedIn = c.class()
-	c.place = o.classes[c.placedIn].PushBack(c)
+	c.orderClass = c.class()
+	c.orderElement = o.classes[c.orderClass].PushBack(c)
 }
 
-// remove takes a connection out, if it is there.
+// remove removes a connection, if it is present.
 func (o *evictionOrder) remove(c *conn) {
 	if !o.has(c) {
 		return
 	}
-	o.classes[c.placedIn].Remove(c.place)
-	c.place = nil
+	o.classes[c.orderClass].Remove(c.orderElement)
+	c.orderElement = nil
 	o.size--
 }
 
-// has tells whether a connection is there.
-func (o *evictionOrder) has(c *conn) bool { return c.place != nil }
+// has reports whether a connection is present.
+func (o *evictionOrder) has(c *conn) bool { return c.orderElement != nil }
 
-// ending is how many connections are on their way out.
+// ending returns the number of connections that are ending.
 func (o *evictionOrder) ending() int {
 	return o.classes[endedLingering].Len() + o.classes[endedWaiting].Len() + o.classes[endedReading].Len()
 }
 
-// all iterates over the connections that are there as it begins; they may be placed and removed meanwhile.
+// all iterates over the connections present at the start; they may be placed and removed meanwhile.
 func (o *evictionOrder) all() iter.Seq[*conn] {
 	all := make([]*conn, 0, o.size)
 	for i := range o.classes {
@@ -87,13 +89,14 @@
 	return slices.Values(all)
 }
 
-// evictionRanks are the classes by how little their connections are missed; of classes of one rank the connection that has
-// waited for longest gives way.
+// evictionRanks lists the classes in eviction order. Among the classes of one rank, the connection
+// that has waited longest is evicted.
 var evictionRanks = [][]evictionClass{{endedLingering}, {endedWaiting}, {endedReading}, {waitingUnused, waitingUsed}, {readingRequest}}
 
-// victim returns the connection that gives way for a reason, nil if none may. What a class keeps of its oldest connection it
-// keeps of all of them (endingOf goes by age within a class).
-func (o *evictionOrder) victim(why reason, now time.Time) *conn {
+// victim returns the connection to evict for a reason, nil if there is none. If the oldest
+// connection of a class is kept, all of the class are, because decideEnd goes by age within a
+// class.
+func (o *evictionOrder) victim(why endReason, now time.Time) *conn {
 	for _, rank := range evictionRanks {
 		var victim *conn
 		for _, class := range rank {
@@ -102,7 +105,7 @@
 				continue
 			}
 			c := front.Value.(*conn)
-			if c.end(why, now) != keep && (victim == nil || c.since.Before(victim.since)) {
+			if c.endActionFor(why, now) != keep && (victim == nil || c.since.Before(victim.since)) {
 				victim = c
 			}
 		}
--- a/downstream/eviction_test.go
+++ b/downstream/eviction_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// missedLess is the order in which connections give way, told by looking at two of them.
-func missedLess(c, than *conn) bool {
+// evictedBefore defines the eviction order by comparing two connections.
+func evictedBefore(c, than *conn) bool {
 	switch {
 	case c.ending != than.ending:
 		return c.ending
@@ -21,9 +21,9 @@
 	return c.since.Before(than.since)
 }
 
-// Whatever becomes of connections, the one that gives way is the one that a look at all of them finds.
-func TestTheVictimIsThatOfALookAtAll(t *testing.T) {
-	reasons := []reason{forRoom, forRoomNow, forDescriptor, forStop, forExit}
+// Whatever happens to the connections, the victim is the one that a scan of all of them finds.
+func TestVictimMatchesFullScan(t *testing.T) {
+	reasons := []endReason{forRoom, forRoomNow, forDescriptor, forStop, forExit}
 	rapid.Check(t, func(t *rapid.T) {
 		l := &listener{}
 		var conns []*conn
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			clock = clock.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
 			if len(conns) == 0 || rapid.IntRange(0, 2).Draw(t, "what") == 0 {
-				c := &conn{home: l, phase: waiting, since: clock}
+				c := &conn{owner: l, phase: waiting, since: clock}
 				l.conns.place(c)
 				conns = append(conns, c)
 				continue
@@ -63,7 +63,7 @@
 			if c.ending && c.phase != serving {
 				ending++
 			}
-			if c.end(why, clock) != keep && (want == nil || missedLess(c, want)) {
+			if c.endActionFor(why, clock) != keep && (want == nil || evictedBefore(c, want)) {
 				want = c
 			}
 		}
@@ -74,14 +74,14 @@
 	})
 }
 
-// BenchmarkVictim shows what a new connection costs that another one has to give way to.
+// BenchmarkVictim measures the cost of evicting a connection for a new one.
 func BenchmarkVictim(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := &listener{}
 			now := time.Now()
 			for range n {
-				l.conns.place(&conn{home: l, phase: waiting, since: now})
+				l.conns.place(&conn{owner: l, phase: waiting, since: now})
 			}
 			for b.Loop() {
 				c := l.conns.victim(forRoom, now)
--- a/downstream/faults_test.go
+++ b/downstream/faults_test.go
@@ -16,43 +16,43 @@
 	"lichenshelf/metrics"
 )
 
-// short is a listener whose next accept fails where it is told so.
-type short struct {
+// failingListener is a listener whose next accept fails with errno, if it is set.
+type failingListener struct {
 	net.Listener
-	errno atomic.Int64
-	met   chan struct{}
+	errno  atomic.Int64
+	failed chan struct{}
 }
 
-func (s *short) Accept() (net.Conn, error) {
+func (s *failingListener) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if errno := syscall.Errno(s.errno.Swap(0)); errno != 0 {
 		_ = c.Close()
-		close(s.met)
+		close(s.failed)
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 	}
 	return c, err
 }
 
-// Where a descriptor lacks for a moment, a request that has just begun to come is waited for: refused, it would pay for what
-// is nobody's fault, and what is short may not even be this process's.
-func TestARequestThatHasJustBegunOutlivesTheLackOfADescriptor(t *testing.T) {
+// If descriptors run out for a moment, a request that has just begun to arrive must not be refused:
+// its client is not at fault, and the shortage may not be caused by this process.
+func TestNewPartialRequestSurvivesDescriptorShortage(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		l := &short{Listener: inner, met: make(chan struct{})}
+		l := &failingListener{Listener: inner, failed: make(chan struct{})}
 		counters := &metrics.Set{}
-		s := NewServer(l, Config{MaxConns: most, Counters: counters, Problem: TextProblem, Handler: func(*Call) {}})
+		s := NewServer(l, Config{MaxConns: maxTestConns, Counters: counters, Problem: TextProblem, Handler: func(*Call) {}})
 		go func() { _ = s.Serve() }()
 		c, err := net.Dial("tcp", inner.Addr().String())
 		require.NoError(t, err)
 		_, err = io.WriteString(c, "GET / HTTP/1.1\r\n")
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return s.reading() == 1 }, atLast, goneFor/100, "half a head has come")
+		require.Eventually(t, func() bool { return s.readingCount() == 1 }, testTimeout, maxLeaveDelay/100, "half a head has been received")
 		l.errno.Store(int64(errno))
 		other, err := net.Dial("tcp", inner.Addr().String())
 		require.NoError(t, err)
-		<-l.met
-		require.Eventually(t, func() bool { return counters.Get("connections_without_a_descriptor") == 1 }, atLast, goneFor/100)
+		<-l.failed
+		require.Eventually(t, func() bool { return counters.Get("connections_without_a_descriptor") == 1 }, testTimeout, maxLeaveDelay/100)
 		_, err = io.WriteString(c, "Host: x\r\n\r\n")
 		require.NoError(t, err)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -62,8 +62,8 @@
 	}
 }
 
-// reading is how many connections have half a request.
-func (s *Server) reading() (n int) {
+// readingCount returns the number of connections with a partial request.
+func (s *Server) readingCount() (n int) {
 	s.listener.mu.Lock()
 	defer s.listener.mu.Unlock()
 	for c := range s.listener.conns.all() {
@@ -74,13 +74,13 @@
 	return n
 }
 
-// breaking is a connection whose reads fail by an error once it is told so.
-type breaking struct {
+// failingConn is a connection whose reads fail with errno, once it is set.
+type failingConn struct {
 	*net.TCPConn
 	errno *atomic.Int64
 }
 
-func (b breaking) Read(p []byte) (int, error) {
+func (b failingConn) Read(p []byte) (int, error) {
 	n, err := b.TCPConn.Read(p)
 	if errno := syscall.Errno(b.errno.Load()); errno != 0 && n > 0 {
 		return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", errno)}
@@ -88,29 +88,30 @@
 	return n, err
 }
 
-// brittle is a listener of such connections.
-type brittle struct {
+// failingConnListener is a listener that accepts failingConns.
+type failingConnListener struct {
 	net.Listener
 	errno atomic.Int64
 }
 
-func (b *brittle) Accept() (net.Conn, error) {
+func (b *failingConnListener) Accept() (net.Conn, error) {
 	c, err := b.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return breaking{c.(*net.TCPConn), &b.errno}, nil
+	return failingConn{c.(*net.TCPConn), &b.errno}, nil
 }
 
-// A client's connection may break by any of the errors that Linux documents for it: its request has nobody who waits then.
-func TestAConnectionThatBreaksIsAClientThatHasGone(t *testing.T) {
+// Any of the errors that Linux documents for a broken connection means that the client has left and
+// nobody waits for the answer.
+func TestBrokenConnectionCountsAsClientLeave(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPIPE} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			inner, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			l := &brittle{Listener: inner}
+			l := &failingConnListener{Listener: inner}
 			began, left, goOn := make(chan struct{}), make(chan struct{}), make(chan struct{})
-			s := NewServer(l, Config{MaxConns: most, MaxBytes: 1 << 20, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
+			s := NewServer(l, Config{MaxConns: maxTestConns, MaxBytes: 1 << 20, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
 				c.conn.watch(func() { close(left) })
 				close(began)
 				<-goOn
@@ -119,7 +120,7 @@
 			c, err := net.Dial("tcp", inner.Addr().String())
 			require.NoError(t, err)
 			defer func() { close(goOn); _, _ = c.Close(), inner.Close() }()
-			_, err = io.WriteString(c, get)
+			_, err = io.WriteString(c, nextRequest)
 			require.NoError(t, err)
 			<-began
 			l.errno.Store(int64(errno))
@@ -127,8 +128,8 @@
 			require.NoError(t, err)
 			select {
 			case <-left:
-			case <-time.After(goneFor + time.Second):
-				t.Fatal("the client was not seen to leave")
+			case <-time.After(maxLeaveDelay + time.Second):
+				t.Fatal("the client's leaving was not detected")
 			}
 		})
 	}
--- a/downstream/handover.go
+++ b/downstream/handover.go
@@ -11,23 +11,25 @@
 	"lichenshelf/internal/socket"
 )
 
-// Listen opens a client address with SO_REUSEPORT: in an upgrade both processes
-// take clients there, and the kernel deals new connections out between them. Connections are accepted without keep-alive probes,
-// which cost four system calls each: every wait for a client has a timer of its own.
+// Listen opens a client address with SO_REUSEPORT: during an upgrade both processes accept clients
+// there, and the kernel distributes new connections between them. Connections are accepted without
+// keep-alive probes, which cost four system calls each; every wait for a client has its own
+// time-out.
 func Listen(addr string) (net.Listener, error) {
 	shared := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return onSocket(raw, func(fd int) error {
 			return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
 	}}
-	shared.SetMultipathTCP(false) // Go's default, whose sockets take no program
+	// multipath TCP is Go's default, but its sockets accept no BPF program
+	shared.SetMultipathTCP(false)
 	return shared.Listen(context.Background(), "tcp", addr)
 }
 
-// handOver has the kernel deal new connections to the process that began to listen
-// at the address after this one, if there is one. The sockets of a group stand in
-// the order in which they began; the program names the second, and where there is
-// none the kernel goes by its hash, as without a program. It goes when the group does.
+// handOver makes the kernel pass new connections to the process that began to listen at the address
+// after this one, if there is one. The sockets of a reuseport group are in the order in which they
+// began to listen. The BPF program selects the second; if there is none, the kernel selects by
+// hash, as without a program. The program is removed with the group.
 func handOver(l net.Listener) error {
 	raw, err := socket.Raw(l)
 	if err != nil {
@@ -40,22 +42,22 @@
 	})
 }
 
-// emptyWait bounds the wait for a listener's queue to be empty.
-const emptyWait = 250 * time.Millisecond
+// emptyQueueTimeout bounds the wait for a listener's queue to be empty.
+const emptyQueueTimeout = 250 * time.Millisecond
 
-// closeEmpty closes a listener that is being accepted from, at an instant when no
-// connection waits in its queue: one that does would be reset unread. While the
-// queue does not empty within emptyWait, it is closed all the same.
+// closeEmpty closes a listener that is being accepted from at a moment when no connection waits in
+// its queue, because a waiting one would be reset unread. If the queue does not empty within
+// emptyQueueTimeout, the listener is closed all the same.
 func closeEmpty(l net.Listener) error {
 	if raw, err := socket.Raw(l); err == nil {
-		for until := time.Now().Add(emptyWait); socket.Queued(raw) && time.Now().Before(until); {
+		for until := time.Now().Add(emptyQueueTimeout); socket.Queued(raw) && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return l.Close()
 }
 
-// onSocket runs f on the descriptor and returns its error.
+// onSocket runs f on the file descriptor and returns its error.
 func onSocket(raw syscall.RawConn, f func(fd int) error) error {
 	var err error
 	if cerr := raw.Control(func(fd uintptr) { err = f(int(fd)) }); cerr != nil {
--- a/downstream/handover_test.go
+++ b/downstream/handover_test.go
@@ -15,11 +15,11 @@
 	"lichenshelf/metrics"
 )
 
-// beside starts a server at the address, as a second process would.
-func beside(t *testing.T, addr string, answer http.HandlerFunc) (*Server, net.Listener) {
+// serveAt starts a server at the address, as a second process would.
+func serveAt(t *testing.T, addr string, answer http.HandlerFunc) (*Server, net.Listener) {
 	l, err := Listen(addr)
 	require.NoError(t, err)
-	s := NewServer(l, Config{MaxConns: most, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
+	s := NewServer(l, Config{MaxConns: maxTestConns, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
 		answer(nil, nil)
 		c.SetBodyString("done")
 	}})
@@ -32,12 +32,12 @@
 	return s, l
 }
 
-// In an upgrade clients never stop coming. The old process must come to its end all
-// the same, with every request answered: those in hand, and those that come meanwhile.
-func TestStopEndsWhileAnotherProcessTakesOver(t *testing.T) {
+// During an upgrade clients keep arriving. The old process must end all the same, with every
+// request answered: the open ones and those that arrive meanwhile.
+func TestStopEndsWhileAnotherProcessAccepts(t *testing.T) {
 	inHand, goOn := make(chan struct{}), make(chan struct{})
 	first := true
-	old, l := beside(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {
+	old, l := serveAt(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {
 		if first {
 			first = false
 			close(inHand)
@@ -49,11 +49,11 @@
 	go func() { held <- post(t, url, 0).StatusCode }()
 	<-inHand
 	var taken atomic.Int64
-	beside(t, l.Addr().String(), func(http.ResponseWriter, *http.Request) { taken.Add(1) })
+	serveAt(t, l.Addr().String(), func(http.ResponseWriter, *http.Request) { taken.Add(1) })
 
 	ended := make(chan error, 1)
-	go func() { ended <- old.Stop(context.Background(), takes(time.Minute)) }()
-	for closed := false; !closed; { // until the old one takes nothing more
+	go func() { ended <- old.Stop(context.Background(), constantTimeout(time.Minute)) }()
+	for closed := false; !closed; { // until the old process accepts no more
 		require.Equal(t, http.StatusOK, post(t, url, 0).StatusCode)
 		raw, err := l.(*net.TCPListener).SyscallConn()
 		closed = err != nil || raw.Control(func(uintptr) {}) != nil
@@ -61,7 +61,7 @@
 	require.Positive(t, taken.Load())
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with a request in hand: %v", err)
+		t.Fatalf("ended with an open request: %v", err)
 	default:
 	}
 	close(goOn)
@@ -72,8 +72,8 @@
 	}
 }
 
-// Of two processes the one that began later takes all that is new.
-func TestHandOverDealsToTheNewerProcess(t *testing.T) {
+// Of two processes, the one that began to listen later accepts all new connections.
+func TestHandOverDirectsConnectionsToNewerProcess(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer old.Close()
@@ -88,7 +88,7 @@
 	}
 	require.NoError(t, old.(*net.TCPListener).SetDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err = old.Accept()
-	require.Error(t, err, "the old one got a connection")
+	require.Error(t, err, "the old process got a connection")
 	require.NoError(t, old.Close())
 	for range 64 {
 		_, err := later.Accept()
@@ -96,8 +96,8 @@
 	}
 }
 
-// A listener whose queue is not empty is closed only once it is.
-func TestCloseWaitsForTheQueue(t *testing.T) {
+// A listener is closed only once its queue is empty.
+func TestCloseWaitsForEmptyQueue(t *testing.T) {
 	l, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	client, err := net.Dial("tcp", l.Addr().String())
@@ -110,16 +110,16 @@
 	closed := make(chan error, 1)
 	go func() { closed <- closeEmpty(l) }()
 	c, err := l.Accept()
-	require.NoError(t, err, "closed over a connection that waits")
+	require.NoError(t, err, "closed while a connection was waiting")
 	accepted <- c
 	require.NoError(t, <-closed)
 	_, err = (<-accepted).Write([]byte("x"))
 	require.NoError(t, err)
 }
 
-// A request that never becomes whole must not keep a process from leaving.
-func TestDropUnreadEndsAStopBesideHalfARequest(t *testing.T) {
-	s, l := beside(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
+// A request that is never completed must not keep a process from exiting.
+func TestDropUnreadEndsStopDespitePartialRequest(t *testing.T) {
+	s, l := serveAt(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
 	half, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	defer half.Close()
@@ -134,7 +134,7 @@
 		return false
 	}, 10*time.Second, time.Millisecond)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Stop(context.Background(), takes(0)) }()
+	go func() { ended <- s.Stop(context.Background(), constantTimeout(0)) }()
 	_, err = l.Accept() // until the listener is closed
 	for err == nil {
 		_, err = l.Accept()
@@ -146,16 +146,16 @@
 	require.Regexp(t, "^HTTP/1.1 503 ", string(text))
 }
 
-// Nor may a connection that was shut a moment before, whose client keeps its side open.
-func TestDropUnreadShortensWhatLingers(t *testing.T) {
-	s, l := beside(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
-	s.listener.linger = time.Hour
+// Neither must a connection that was shut down just before, and whose client keeps its side open.
+func TestDropUnreadShortensLinger(t *testing.T) {
+	s, l := serveAt(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
+	s.listener.lingerTimeout = time.Hour
 	c := dial(t, "http://"+l.Addr().String(), "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	require.Contains(t, read(t, c), "done")
+	require.Contains(t, readToEnd(t, c), "done")
 	ended := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	go func() { ended <- s.Stop(ctx, takes(0)) }()
+	go func() { ended <- s.Stop(ctx, constantTimeout(0)) }()
 	_, err := l.Accept() // until the listener is closed
 	for err == nil {
 		_, err = l.Accept()
@@ -164,19 +164,20 @@
 	require.NoError(t, <-ended)
 }
 
-// Nor one that comes after that, out of a queue that was long: nothing is served on it any more.
-func TestWhatIsAcceptedAfterDropUnreadIsShutAtOnce(t *testing.T) {
-	s, l := beside(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
+// Neither must a connection that is accepted afterwards from a long queue: nothing is served on it
+// any more.
+func TestConnectionAcceptedAfterDropUnreadIsShut(t *testing.T) {
+	s, l := serveAt(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
 	ended := make(chan error, 1)
-	go func() { ended <- s.Stop(context.Background(), takes(time.Hour)) }()
+	go func() { ended <- s.Stop(context.Background(), constantTimeout(time.Hour)) }()
 	s.DropUnread()
 	from := time.Now()
 	c, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
-	require.NoError(t, c.SetReadDeadline(from.Add(atLast)))
+	require.NoError(t, c.SetReadDeadline(from.Add(testTimeout)))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	require.Less(t, time.Since(from), freshFor)
+	require.Less(t, time.Since(from), newConnGrace)
 	require.NoError(t, c.Close())
 	require.NoError(t, <-ended)
 }
--- a/downstream/head.go
+++ b/downstream/head.go
@@ -10,9 +10,9 @@
 
 var errHead = errors.New("the request's head can be read in more than one way")
 
-// checkHead refuses the heads that the server lets pass though others on the way
-// may read them differently: what one of them takes for a body could be a second
-// request for the next.
+// checkHead refuses heads that the server accepts but that other parties on the way may parse
+// differently. Otherwise the body seen by one of them could be a second request to the next
+// (request smuggling).
 func checkHead(h *fasthttp.RequestHeader) error {
 	if v := string(h.Protocol()); v != "HTTP/1.1" && v != "HTTP/1.0" {
 		return errHead
@@ -28,7 +28,7 @@
 		}
 		name, value, ok := strings.Cut(text, ":")
 		if !ok || !token(name) {
-			return errHead // also a line that goes on with the one before
+			return errHead // also a folded line
 		}
 		switch value = strings.Trim(value, " \t"); strings.ToLower(name) {
 		case "content-length":
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// token tells whether a header's name is one.
+// token reports whether s is a valid header name.
 func token(s string) bool {
 	for _, c := range []byte(s) {
 		alphanumeric := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
--- a/downstream/linger.go
+++ b/downstream/linger.go
@@ -6,61 +6,64 @@
 	"time"
 )
 
-// Close implements net.Conn. Unless its client has gone, the connection is shut first and closed when
-// its client has closed it, or after a moment: closed at once, it would be reset by what comes just then,
-// and the answer lost before the client has read it.
+// Close implements net.Conn. Unless the client has closed the connection, Close shuts down the
+// sending side first, and closes the connection when the client has closed it or lingerTimeout is
+// over. If it were closed at once, bytes that arrive just then would cause a reset, and the client
+// could lose the answer before it has read it.
 func (c *conn) Close() error {
-	c.endTurn()
+	c.releaseSlot()
 	c.endWatch()
-	c.home.ahead.used.Add(-int64(len(c.ahead)))
-	c.ahead, c.came = nil, nil
+	c.owner.readAheadBudget.used.Add(-int64(len(c.readAhead)))
+	c.readAhead, c.readAheadArrivals = nil, nil
 	tcp, ok := c.Conn.(*net.TCPConn)
-	c.home.mu.Lock()
-	defer c.home.mu.Unlock()
-	if !c.home.conns.has(c) || !ok || c.err != nil {
-		c.home.conns.remove(c)
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	if !c.owner.conns.has(c) || !ok || c.err != nil {
+		c.owner.conns.remove(c)
 		return c.Conn.Close()
 	}
 	c.ending = true
-	c.home.become(c, lingering)
-	c.lingerUntil(c.since.Add(c.home.linger))
+	c.owner.setPhase(c, lingering)
+	c.lingerUntil(c.since.Add(c.owner.lingerTimeout))
 	go c.discard(tcp)
 	return nil
 }
 
-// lingerUntil bounds how long a connection that its server is done with stays open. The lock is held.
+// lingerUntil bounds how long a connection that the server has finished with stays open. The
+// owner's mu is held.
 func (c *conn) lingerUntil(t time.Time) {
-	c.lingers = t
+	c.lingerDeadline = t
 	_ = c.Conn.SetReadDeadline(t)
 }
 
-// lingerFor bounds how long connections stay open that have been shut or will be. The lock is held.
-func (l *listener) lingerFor(most time.Duration) {
-	l.linger = most
-	until := time.Now().Add(most)
+// limitLinger bounds how long connections stay open that have been shut down, now and later. The
+// listener's mu is held.
+func (l *listener) limitLinger(timeout time.Duration) {
+	l.lingerTimeout = timeout
+	until := time.Now().Add(timeout)
 	for c := range l.conns.all() {
-		if c.lingers.After(until) {
+		if c.lingerDeadline.After(until) {
 			c.lingerUntil(until)
 		}
 	}
 }
 
 const (
-	discardFor  = 500 * time.Millisecond
-	discardLast = 200 * time.Millisecond // where the process is about to be killed
-	discardMost = 4 << 20
+	discardTimeout     = 500 * time.Millisecond
+	exitDiscardTimeout = 200 * time.Millisecond // when the process is about to be killed
+	maxDiscardBytes    = 4 << 20
 )
 
-// discard drops what the client still sends before it closes the connection.
+// discard drops the bytes that the client sends before it closes the connection.
 func (c *conn) discard(tcp *net.TCPConn) {
 	defer func() {
-		c.home.mu.Lock()
-		defer c.home.mu.Unlock()
-		c.home.conns.remove(c)
+		c.owner.mu.Lock()
+		defer c.owner.mu.Unlock()
+		c.owner.conns.remove(c)
 		_ = tcp.Close()
 	}()
 	if tcp.CloseWrite() != nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, tcp, discardMost)
+	_, _ = io.CopyN(io.Discard, tcp, maxDiscardBytes)
 }
--- a/downstream/listener.go
+++ b/downstream/listener.go
@@ -1,7 +1,6 @@
-// Package downstream serves clients over HTTP/1.1 with fasthttp's server, and
-// adds what that server lacks: it notices a client that leaves while its request
-// is being handled, knows when a request's last byte came, and closes idle
-// connections in good order at the end.
+// Package downstream serves clients over HTTP/1.1 with fasthttp's server and adds what that server
+// lacks: it detects a client that leaves while its request is being handled, records when a
+// request's last byte was received, and closes idle connections gracefully on a stop.
 package downstream
 
 import (
@@ -13,55 +12,58 @@
 	"lichenshelf/router"
 )
 
-// listener hands out connections that can be watched, and bounds their number.
+// listener accepts connections that can be watched, and bounds their number.
 type listener struct {
 	net.Listener
-	most               int
-	count              router.Counters
-	ahead              room  // what watches have read ahead
-	clients, newcomers turns // of connections whose requests the router has had, and of others
-	// crossing, if set, is called right before a connection is shut: tests let bytes come there.
-	crossing func()
-	mu       sync.Mutex
-	conns    evictionOrder
-	last     time.Time     // when the latest was accepted
-	linger   time.Duration // how long what is shut may take to be closed
-	exiting  bool          // the process is about to end
+	maxConns        int
+	count           router.Counters
+	readAheadBudget byteBudget // bytes read ahead by watches
+	// for connections that have had a request routed, and for others
+	routedSlots, unroutedSlots workSlots
+	// beforeShut, if set, is called right before a connection is shut down, so that tests can send
+	// bytes at that moment.
+	beforeShut    func()
+	mu            sync.Mutex
+	conns         evictionOrder
+	lastAccept    time.Time     // when the latest connection was accepted
+	lingerTimeout time.Duration // from the shutdown of a connection to its close
+	exiting       bool          // the process is about to end
 }
 
-// One of endingPart connections may be ending beside those in use: what gives way is shut first, and
-// closed when its client has seen that.
-const endingPart = 16
+// One of endingDivisor connections may be ending in addition to those in use: an evicted connection
+// is shut down first, and closed when its client has noticed that.
+const endingDivisor = 16
 
-// Accept implements net.Listener. Clients come with more connections than there
-// is room for, and some ask once and keep theirs for good: what has waited
-// longest gives way, or the others would be turned away.
+// Accept implements net.Listener. Clients may open more connections than the bound allows, and some
+// send one request and keep the connection for good. Therefore the connection that has waited
+// longest is evicted; otherwise new ones would be turned away.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
-		l.newcomers.take()
+		l.unroutedSlots.acquire()
 		nc, err := l.Listener.Accept()
 		if err != nil {
-			l.newcomers.give()
+			l.unroutedSlots.release()
 			if !accepting.Passes(err) {
 				return nil, err
 			}
-			l.failed(err) // the server would end on the error
+			l.acceptFailed(err) // the server would end on the error
 			time.Sleep(accepting.RetryAfter)
 			continue
 		}
-		l.newcomers.yield()
-		c := &conn{Conn: nc, home: l, phase: waiting, since: time.Now(), turn: l.newcomers}
-		if l.take(c) {
+		l.unroutedSlots.yield()
+		c := &conn{Conn: nc, owner: l, phase: waiting, since: time.Now(), heldSlots: l.unroutedSlots}
+		if l.admit(c) {
 			return c, nil
 		}
-		l.newcomers.give()
+		l.unroutedSlots.release()
 		l.count.Add("connections_turned_away", 1)
 		_ = nc.Close()
 	}
 }
 
-// failed takes an error of accept that passes by itself, or, where a descriptor lacks, as one of ours is closed.
-func (l *listener) failed(err error) {
+// acceptFailed handles an accept error that is temporary. If descriptors have run out, it evicts a
+// connection to free one.
+func (l *listener) acceptFailed(err error) {
 	if !accepting.LacksDescriptor(err) {
 		l.count.Add("accepts_failed", 1)
 		return
@@ -72,13 +74,13 @@
 	l.evict(forDescriptor)
 }
 
-// take adds a connection, if need be in place of another.
-func (l *listener) take(c *conn) bool {
+// admit adds a connection, if necessary in place of another one.
+func (l *listener) admit(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.most > 0 && (l.conns.size >= l.most || l.conns.size-l.conns.ending() >= l.most-l.most/endingPart) {
+	for l.maxConns > 0 && (l.conns.size >= l.maxConns || l.conns.size-l.conns.ending() >= l.maxConns-l.maxConns/endingDivisor) {
 		why := forRoom
-		if l.conns.size >= l.most {
+		if l.conns.size >= l.maxConns {
 			why = forRoomNow
 		}
 		if !l.evict(why) {
@@ -86,12 +88,13 @@
 		}
 	}
 	l.conns.place(c)
-	l.last = c.since
+	l.lastAccept = c.since
 	return true
 }
 
-// evict ends the connection that is missed least, as far as the reason goes. The lock is held.
-func (l *listener) evict(why reason) bool {
+// evict ends the first connection in the eviction order that may be ended for the reason. mu is
+// held.
+func (l *listener) evict(why endReason) bool {
 	for {
 		now := time.Now()
 		victim := l.conns.victim(why, now)
@@ -99,31 +102,31 @@
 			return false
 		}
 		if victim.phase == waiting && victim.pending() {
-			l.become(victim, reading) // its server has not got to it yet
+			l.setPhase(victim, reading) // its server has not read the bytes yet
 			continue
 		}
-		switch victim.end(why, now) {
+		switch victim.endActionFor(why, now) {
 		case closeNow:
 			l.conns.remove(victim)
 			_ = victim.Conn.Close()
 			return true
 		case shutIdle:
 			l.shut(victim)
-		case answerNow:
-			l.hurry(victim)
+		case refuseNow:
+			l.refuseRest(victim)
 		}
 		l.count.Add("connections_evicted", 1)
 		return true
 	}
 }
 
-// end tells how the connection may be ended for a reason; the lock is held.
-func (c *conn) end(why reason, now time.Time) ending {
-	return endingOf(connState{phase: c.phase, ending: c.ending, used: c.used, age: now.Sub(c.since)}, why)
+// endActionFor returns how the connection may be ended for a reason. The owner's mu is held.
+func (c *conn) endActionFor(why endReason, now time.Time) endAction {
+	return decideEnd(connState{phase: c.phase, ending: c.ending, used: c.used, age: now.Sub(c.since)}, why)
 }
 
-// become begins a phase of a connection; the lock is held.
-func (l *listener) become(c *conn, p phase) {
+// setPhase sets the phase of a connection. mu is held.
+func (l *listener) setPhase(c *conn, p phase) {
 	c.phase, c.since = p, time.Now()
 	c.used = c.used || p != waiting
 	if l.conns.has(c) {
@@ -131,53 +134,56 @@
 	}
 }
 
-// shut ends a connection that is between requests: its sending is shut, so that its client sees it end,
-// and what still comes is dropped unread by anybody. Closed at once, it would be reset by a request that
-// comes just then, and take what its client has not read yet with it. The lock is held.
+// shut ends a connection that is between requests. It shuts down the sending side, so that the
+// client sees the end, and further bytes are dropped unread. If it were closed at once, a request
+// that arrives just then would cause a reset, and the client could lose what it has not read yet.
+// mu is held.
 func (l *listener) shut(c *conn) {
-	if l.crossing != nil {
-		l.crossing()
+	if l.beforeShut != nil {
+		l.beforeShut()
 	}
 	c.dropped, c.ending = true, true
-	l.become(c, lingering)
+	l.setPhase(c, lingering)
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	_ = c.Conn.SetReadDeadline(longAgo) // its server wakes, and closes it
+	_ = c.Conn.SetReadDeadline(pastDeadline) // wakes the server, which closes the connection
 }
 
-// hurry ends the wait for the rest of a request: its server answers at once. The lock is held.
-func (l *listener) hurry(c *conn) {
-	c.hurried, c.ending = true, true
-	l.become(c, reading)
-	_ = c.Conn.SetReadDeadline(longAgo)
+// refuseRest ends the wait for the rest of a request, so that the server answers at once. mu is
+// held.
+func (l *listener) refuseRest(c *conn) {
+	c.restRefused, c.ending = true, true
+	l.setPhase(c, reading)
+	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// longAgo is a deadline that is over.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has expired.
+var pastDeadline = time.Unix(1, 0)
 
-// quietSince is how long no connection has been accepted, since the given time at most.
-func (l *listener) quietSince(t time.Time) time.Duration {
+// idleSince returns for how long no connection has been accepted, counted from t at the earliest.
+func (l *listener) idleSince(t time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.last.After(t) {
-		t = l.last
+	if l.lastAccept.After(t) {
+		t = l.lastAccept
 	}
 	return time.Since(t)
 }
 
-// open is the number of client connections.
+// open returns the number of client connections.
 func (l *listener) open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conns.size
 }
 
-// closeUnused ends the connections that a stop need not wait for: those between requests, and once the process is about to end
-// also those with a part of a request. A request that crosses this is sent again by its client, on a new connection; one whose
-// bytes have come already, but that the server has not read yet, is left to be served: closing on it would lose a request that
-// was taken. So is, for a moment, a new connection whose first request may be on its way. Once the process is about to end,
-// both are refused.
+// closeUnused ends the connections that a stop need not wait for: those between requests and, once
+// the process is about to end, also those with a partial request. If a request arrives at the same
+// time, its client repeats it on a new connection. A connection with bytes that the server has not
+// read yet is left to be served, because closing it would lose a request that the kernel has
+// accepted. A new connection is left for newConnGrace, because its first request may be on its way.
+// Once the process is about to end, both are refused.
 func (l *listener) closeUnused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,12 +193,12 @@
 	}
 	now := time.Now()
 	for c := range l.conns.all() {
-		switch end := c.end(why, now); {
+		switch end := c.endActionFor(why, now); {
 		case end == keep:
 		case end == shutIdle && !c.pending():
 			l.shut(c)
 		case why == forExit:
-			l.hurry(c)
+			l.refuseRest(c)
 		}
 	}
 }
--- a/downstream/server.go
+++ b/downstream/server.go
@@ -17,70 +17,74 @@
 )
 
 const (
-	headBuffer  = 16 << 10
-	wholeWait   = 2500 * time.Millisecond // for a request, whole; a new connection's counts from its start
-	defaultWait = 10 * time.Second
-	idleWait    = 10 * time.Minute // for a client's next request
-	lingerAfter = 500 * time.Millisecond
-	quietFor    = 300 * time.Millisecond
-	lookEvery   = 20 * time.Millisecond
-	aheadPart   = 4           // of the bound of bodies, for what is read ahead beside them
-	elsewhere   = time.Second // advice that goes with a refusal at the end
+	headBuffer = 16 << 10
+	// for a complete request; on a new connection it counts from the accept
+	requestReadTimeout  = 2500 * time.Millisecond
+	defaultWriteTimeout = 10 * time.Second
+	idleTimeout         = 10 * time.Minute // until a client's next request
+	minAcceptAfterStop  = 500 * time.Millisecond
+	acceptQuietPeriod   = 300 * time.Millisecond
+	stopPollInterval    = 20 * time.Millisecond
+	// the read-ahead budget is this part of the body budget, in addition to it
+	readAheadDivisor   = 4
+	shutdownRetryAfter = time.Second // retry advice for requests refused at shutdown
 )
 
-// Config is what a Server is made of.
+// Config configures a Server.
 type Config struct {
 	Core     *router.Core
 	Handler  func(*Call) // answers each call, once
 	Problem  func(ctx *fasthttp.RequestCtx, status int, fault error)
-	MaxBody  int   // bound of a request's body
-	MaxBytes int64 // bound of all bodies in hand together; 0 means none
+	MaxBody  int   // of one request, in bytes
+	MaxBytes int64 // of all open bodies together; 0 means no bound
 	MaxConns int
 	Counters router.Counters
 
-	writeWait time.Duration // for a client to take its answer, or its next event; 0 means the default
+	// for a client to accept an answer, or the next event of a stream; 0 means the default
+	writeTimeout time.Duration
 }
 
-// Server is a front's client side.
+// Server is the client side of a front.
 type Server struct {
 	cfg      Config
 	http     *fasthttp.Server
 	listener *listener
 	stopping atomic.Bool
-	over     atomic.Bool // what still comes is refused
-	bodies   room
+	refusing atomic.Bool // new requests are refused
+	bodies   byteBudget
 }
 
 // NewServer returns a server for the listener.
 func NewServer(l net.Listener, cfg Config) *Server {
-	if cfg.writeWait == 0 {
-		cfg.writeWait = defaultWait
+	if cfg.writeTimeout == 0 {
+		cfg.writeTimeout = defaultWriteTimeout
 	}
-	s := &Server{cfg: cfg, listener: &listener{Listener: l, most: cfg.MaxConns, count: cfg.Counters, linger: discardFor, clients: newTurns(), newcomers: newTurns()}}
-	s.bodies.most, s.listener.ahead.most = cfg.MaxBytes, cfg.MaxBytes/aheadPart
-	// The listener bounds the connections. The server's own bound would turn new ones
-	// away while those that gave way to them are still ending.
+	s := &Server{cfg: cfg, listener: &listener{Listener: l, maxConns: cfg.MaxConns, count: cfg.Counters, lingerTimeout: discardTimeout, routedSlots: newWorkSlots(), unroutedSlots: newWorkSlots()}}
+	s.bodies.limit, s.listener.readAheadBudget.limit = cfg.MaxBytes, cfg.MaxBytes/readAheadDivisor
+	// The listener bounds the connections. The server's own bound would turn new ones away while
+	// evicted ones are still ending.
 	s.http = &fasthttp.Server{
-		Handler:                      s.handle,
-		ErrorHandler:                 s.unreadable,
-		StreamRequestBody:            true, // or what is announced is allocated before anybody has looked at it
+		Handler:      s.handle,
+		ErrorHandler: s.badRequest,
+		// otherwise the announced size is allocated before the head is checked
+		StreamRequestBody:            true,
 		ReadBufferSize:               headBuffer,
 		MaxRequestBodySize:           cfg.MaxBody,
-		ReadTimeout:                  wholeWait,
-		IdleTimeout:                  idleWait,
+		ReadTimeout:                  requestReadTimeout,
+		IdleTimeout:                  idleTimeout,
 		NoDefaultServerHeader:        true,
 		NoDefaultDate:                true,
 		DisablePreParseMultipartForm: true,
 		SecureErrorLogMessage:        true,
-		Logger:                       quiet{},
+		Logger:                       discardLogger{},
 	}
 	return s
 }
 
-// quiet drops the server's own log: clients that go away are no news.
-type quiet struct{}
+// discardLogger drops the server's own log, which mostly reports clients that disconnect.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Serve serves until Stop has closed the listener.
 func (s *Server) Serve() error {
@@ -90,30 +94,30 @@
 	return nil
 }
 
-// Stop ends the server in good order. New connections go to another process at the
-// same address from now on, if there is one. Otherwise, since connections are still
-// on their way and other routers may be stopping as well, it goes on accepting for a
-// moment and then until none has come for quietFor, takeMost at most, which is asked for again and again. Then it closes
-// the listener, while nothing waits there, and returns once no connection is left.
-// Requests that come after takeMost, on connections that are open still, are refused:
-// their answers might not end before the process has to.
-func (s *Server) Stop(ctx context.Context, takeMost func() time.Duration) error {
+// Stop stops the server gracefully. From now on the kernel passes new connections to another
+// process at the same address, if there is one. Otherwise, since connections are still on their way
+// and other routers may be stopping as well, Stop goes on accepting for minAcceptAfterStop and then
+// until none has come for acceptQuietPeriod, at most until acceptTimeout, which is called
+// repeatedly. Then it closes the listener while its queue is empty, and returns once no connection
+// is left. Requests that arrive after acceptTimeout on open connections are refused, because their
+// answers might not end before the process has to.
+func (s *Server) Stop(ctx context.Context, acceptTimeout func() time.Duration) error {
 	began := time.Now()
 	s.stopping.Store(true)
-	_ = handOver(s.listener.Listener) // without it the kernel deals to both until the close
+	_ = handOver(s.listener.Listener) // if it fails, the kernel distributes to both until the close
 	select {
-	case <-time.After(lingerAfter):
+	case <-time.After(minAcceptAfterStop):
 	case <-ctx.Done():
 	}
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(stopPollInterval)
 	defer tick.Stop()
 	for closed := false; ; {
 		s.listener.closeUnused()
-		over := time.Since(began) >= takeMost()
-		if over {
-			s.over.Store(true)
+		acceptOver := time.Since(began) >= acceptTimeout()
+		if acceptOver {
+			s.refusing.Store(true)
 		}
-		if !closed && (over || s.listener.quietSince(began) >= quietFor) {
+		if !closed && (acceptOver || s.listener.idleSince(began) >= acceptQuietPeriod) {
 			if err := closeEmpty(s.listener.Listener); err != nil {
 				return fmt.Errorf("close listener: %w", err)
 			}
@@ -130,10 +134,10 @@
 	}
 }
 
-// OpenConnections is how many clients' connections there are.
+// OpenConnections returns the number of client connections.
 func (s *Server) OpenConnections() int { return s.listener.open() }
 
-// Connections tells how many clients' connections there are in each phase, as text for the log.
+// Connections returns the number of client connections in each phase, as text for the log.
 func (s *Server) Connections() string {
 	s.listener.mu.Lock()
 	defer s.listener.mu.Unlock()
@@ -144,30 +148,30 @@
 	return fmt.Sprintf("%d lingering, %d waiting, %d reading, %d serving", n[lingering], n[waiting], n[reading], n[serving])
 }
 
-// DropUnread ends all connections but those with a whole request in hand, for a process that must
-// leave: half a request would keep Stop waiting until its deadline. It is refused. So are, from then on, connections
-// that Stop still accepts.
+// DropUnread ends all connections except those with a complete request, for a process that must
+// exit: a partial request would keep Stop waiting until its deadline. Partial requests are refused,
+// and so are connections that Stop accepts afterwards.
 func (s *Server) DropUnread() {
 	s.listener.mu.Lock()
 	s.listener.exiting = true
-	s.listener.lingerFor(discardLast)
+	s.listener.limitLinger(exitDiscardTimeout)
 	s.listener.mu.Unlock()
 	s.listener.closeUnused()
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	call := &Call{RequestCtx: ctx, server: s, conn: ctx.Conn().(*conn)}
-	call.conn.takeTurn()
-	call.conn.endTurn() // what a call waits for is not known here
+	call.conn.acquireSlot()
+	call.conn.releaseSlot() // how long the handler waits is unknown here
 	head := &ctx.Request.Header
 	size := head.ContentLength()
 	if err := checkHead(head); err != nil {
 		call.Problem(fasthttp.StatusBadRequest, err)
-		call.end()
+		call.closeAfterAnswer()
 	} else {
 		s.cfg.Handler(call)
-		if !call.read && (size == -1 || size > 0) {
-			call.end()
+		if !call.bodyRead && (size == -1 || size > 0) {
+			call.closeAfterAnswer()
 		}
 	}
 	if size == -1 { // chunked
@@ -175,29 +179,29 @@
 	} else {
 		call.conn.handled(max(size, 0) + len(head.Method()) + len(head.RequestURI()) + len(head.Protocol()) + len(head.RawHeaders()))
 	}
-	if s.stopping.Load() && call.conn.last() {
+	if s.stopping.Load() && call.conn.isLastAnswer() {
 		ctx.Response.SetConnectionClose()
 	}
-	call.conn.enter(serving)
-	// With a deadline of its own the answer goes out whole now. Else the server keeps its end back
-	// while it has read of a further request, until that is answered.
-	_ = ctx.SetWriteDeadline(time.Now().Add(s.cfg.writeWait))
+	call.conn.beginPhase(serving)
+	// With a new deadline the answer is sent completely now. Otherwise the server would delay its
+	// end while it has read part of a further request, until that is answered.
+	_ = ctx.SetWriteDeadline(time.Now().Add(s.cfg.writeTimeout))
 }
 
-// allow gives the answer its time to be taken. Each one needs it anew: a deadline
+// allowWrite gives the client time to accept the answer. Each answer needs its own deadline: one
 // left over from an earlier stream would cut the next answer off.
-func (s *Server) allow(c *conn) { _ = c.SetWriteDeadline(time.Now().Add(s.cfg.writeWait)) }
+func (s *Server) allowWrite(c *conn) { _ = c.SetWriteDeadline(time.Now().Add(s.cfg.writeTimeout)) }
 
-// unreadable answers what is no request that can be served.
-func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
+// badRequest answers a request that cannot be parsed or read.
+func (s *Server) badRequest(ctx *fasthttp.RequestCtx, err error) {
 	status, fault := fasthttp.StatusBadRequest, errUnreadable
 	var small *fasthttp.ErrSmallBuffer
 	var late net.Error
 	switch {
-	case hurried(ctx):
+	case isRefusedUnread(ctx):
 		status = fasthttp.StatusServiceUnavailable
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
-		fault = errEnding
+		fault = errShuttingDown
 	case errors.As(err, &late) && late.Timeout():
 		status = fasthttp.StatusRequestTimeout
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
@@ -208,37 +212,38 @@
 	s.cfg.Counters.Add("calls_answered_"+strconv.Itoa(status), 1)
 	s.cfg.Problem(ctx, status, fault)
 	if c, ok := ctx.Conn().(*conn); ok {
-		s.allow(c)
+		s.allowWrite(c)
 	}
 	ctx.Response.SetConnectionClose()
 }
 
-// hurried tells whether the rest of the call's request was not waited for.
-func hurried(ctx *fasthttp.RequestCtx) bool {
+// isRefusedUnread reports whether the rest of the call's request is not awaited.
+func isRefusedUnread(ctx *fasthttp.RequestCtx) bool {
 	c, ok := ctx.Conn().(*conn)
-	return ok && c.late()
+	return ok && c.isRestRefused()
 }
 
 var (
-	errUnreadable = errors.New("the request can't be read, or is too large")
-	errEnding     = errors.New("the rest of the request is not waited for, try again")
+	errUnreadable   = errors.New("the request can't be read, or is too large")
+	errShuttingDown = errors.New("the rest of the request is not waited for, try again")
 )
 
-// Call is one call of a client.
+// Call is one HTTP call of a client.
 type Call struct {
 	*fasthttp.RequestCtx
-	// Received is when its last byte came, and ReadWhole when that was read, once its body is.
+	// Received is when its last byte was received, and ReadWhole is when that was read. Both are
+	// set once the body is read.
 	Received, ReadWhole time.Time
 	server              *Server
 	conn                *conn
-	read                bool // its body has been read whole
+	bodyRead            bool // completely
 }
 
-// end closes the connection after the answer. Nothing that comes on it is served.
-func (c *Call) end() { c.Response.SetConnectionClose() }
+// closeAfterAnswer closes the connection after the answer. Further requests on it are not served.
+func (c *Call) closeAfterAnswer() { c.Response.SetConnectionClose() }
 
-// TextProblem answers a call that is not routed with a status and what is
-// wrong, as plain text: a Config.Problem for fronts that have no form of their own.
+// TextProblem answers a call that is not routed with a status and the fault as plain text. It is a
+// Config.Problem for fronts without an error format of their own.
 func TextProblem(ctx *fasthttp.RequestCtx, status int, fault error) {
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(status)
@@ -246,13 +251,13 @@
 	ctx.SetBodyString(fault.Error() + "\n")
 }
 
-// Problem answers with a status and what is wrong.
+// Problem answers with a status and the fault.
 func (c *Call) Problem(status int, fault error) {
 	c.server.cfg.Counters.Add("calls_answered_"+strconv.Itoa(status), 1)
 	c.server.cfg.Problem(c.RequestCtx, status, fault)
 }
 
-// Allow tells whether the call has the method; if not, it answers so.
+// Allow reports whether the call uses the method; if not, it answers with an error.
 func (c *Call) Allow(method string) bool {
 	if string(c.Method()) == method {
 		return true
@@ -264,7 +269,7 @@
 
 var errNotReady = errors.New("not ready")
 
-// Ready answers a call that asks whether this process takes clients, as plain text.
+// Ready answers a readiness check as plain text.
 func (c *Call) Ready(ready func() bool) {
 	switch {
 	case !c.Allow(fasthttp.MethodGet):
@@ -275,25 +280,25 @@
 	}
 }
 
-// Answer is how a routed request ended: Body is set if it is being answered.
+// Answer is the result of a routed request. Body is set if the request is being answered.
 type Answer struct {
 	Body       router.Answer
 	Refused    bool
 	RetryAfter time.Duration
-	Last       logic.Status // how the last attempt of one that was not answered ended
-	Left       bool         // the client has gone
+	Last       logic.Status // status of the last attempt, if the request was not answered
+	Left       bool         // the client has left
 }
 
-// Route hands the call's request to the core and waits for its answer.
+// Route submits the call's request to the core and waits for its answer.
 func (c *Call) Route(r *router.Request) Answer {
-	if c.server.over.Load() {
+	if c.server.refusing.Load() {
 		c.server.cfg.Counters.Add("requests_refused_at_the_end", 1)
-		return Answer{Refused: true, RetryAfter: elsewhere, Last: logic.NotSent}
+		return Answer{Refused: true, RetryAfter: shutdownRetryAfter, Last: logic.NotSent}
 	}
-	if c.conn.gone() { // with what it had sent ahead unanswered
+	if c.conn.clientClosed() { // requests pipelined by a client that has left are not routed
 		return Answer{Left: true}
 	}
-	c.conn.endTurn()
+	c.conn.releaseSlot()
 	c.conn.routed = true
 	w := &waiter{answers: make(chan Answer, 2)}
 	ticket := c.server.cfg.Core.Submit(r, w)
@@ -304,7 +309,8 @@
 	return <-w.answers
 }
 
-// waiter implements router.Client. Its channel holds the answer and the leaving.
+// waiter implements router.Client. Its channel has room for the answer and for the client's
+// leaving.
 type waiter struct{ answers chan Answer }
 
 func (w *waiter) Stream(body router.Answer) { w.answers <- Answer{Body: body} }
@@ -313,28 +319,28 @@
 }
 func (w *waiter) Fail(last logic.Status) { w.answers <- Answer{Last: last} }
 
-// Stream sends the body as it comes. Its end in any way but io.EOF closes the
-// connection without the last chunk.
+// Stream sends the body as it arrives. If it ends in any way but io.EOF, the connection is closed
+// without the last chunk.
 func (c *Call) Stream(contentType string, body io.ReadCloser) {
 	c.SetContentType(contentType)
-	c.Response.SetBodyStream(&timed{ReadCloser: body, conn: c.conn, server: c.server}, -1)
+	c.Response.SetBodyStream(&timedBody{ReadCloser: body, conn: c.conn, server: c.server}, -1)
 }
 
-// Whole sends a body whose length is known.
+// Whole sends a body of known length.
 func (c *Call) Whole(contentType string, body io.ReadCloser, size int) {
 	c.SetContentType(contentType)
 	c.Response.SetBodyStream(body, size)
 }
 
-// timed gives every event its own time to be taken, not the answer as a whole.
-type timed struct {
+// timedBody applies the write time-out to every event instead of the whole answer.
+type timedBody struct {
 	io.ReadCloser
 	conn   *conn
 	server *Server
 }
 
-func (t *timed) Read(p []byte) (int, error) {
+func (t *timedBody) Read(p []byte) (int, error) {
 	n, err := t.ReadCloser.Read(p)
-	t.server.allow(t.conn)
+	t.server.allowWrite(t.conn)
 	return n, err
 }
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -18,14 +18,14 @@
 	"lichenshelf/metrics"
 )
 
-// most is how many connections the servers here hold.
-const most = 16
+// maxTestConns is the bound on connections of the servers in these tests.
+const maxTestConns = 16
 
 // serve starts a server with the handler and returns its URL.
 func serve(t *testing.T, cfg Config) (*Server, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	cfg.MaxBody, cfg.MaxConns, cfg.Counters = cmp.Or(cfg.MaxBody, 1<<10), most, &metrics.Set{}
+	cfg.MaxBody, cfg.MaxConns, cfg.Counters = cmp.Or(cfg.MaxBody, 1<<10), maxTestConns, &metrics.Set{}
 	cfg.Problem = func(ctx *fasthttp.RequestCtx, status int, fault error) {
 		ctx.SetStatusCode(status)
 		ctx.SetBodyString(fault.Error())
@@ -37,7 +37,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		http.DefaultClient.CloseIdleConnections()
-		require.NoError(t, s.Stop(ctx, takes(0)))
+		require.NoError(t, s.Stop(ctx, constantTimeout(0)))
 		require.NoError(t, <-done)
 	})
 	return s, "http://" + l.Addr().String()
@@ -46,16 +46,16 @@
 func post(t *testing.T, url string, size int) *http.Response {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(strings.Repeat("x", size)))
 	require.NoError(t, err)
-	req.Close = true // or it may meet a connection that has just given way
+	req.Close = true // or it may use a connection that has just been evicted
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	return resp
 }
 
-// Many large bodies at once would go over the memory limit: what has no room is
-// refused, and room comes back.
-func TestBodiesInHandAreBounded(t *testing.T) {
+// Many large bodies at once would exceed the memory limit. A body beyond the budget is refused, and
+// the budget is released afterwards.
+func TestOpenBodiesAreBounded(t *testing.T) {
 	holding, goOn := make(chan struct{}), make(chan struct{})
 	_, url := serve(t, Config{MaxBytes: 1000, Handler: func(c *Call) {
 		body, release, ok := c.Body()
@@ -80,9 +80,9 @@
 	require.Equal(t, http.StatusOK, post(t, url, 900).StatusCode)
 }
 
-// Requests may come along with each other: the watch of the first must have ended
-// before that of the second begins, and a byte that it has read is not lost.
-func TestEarlyNextRequestIsKept(t *testing.T) {
+// Requests may be pipelined: the watch of the first must end before that of the second begins, and
+// a byte that it has read must not be lost.
+func TestPipelinedRequestsAreKept(t *testing.T) {
 	goOn := make(chan struct{})
 	_, url := serve(t, Config{Handler: func(c *Call) {
 		c.conn.watch(func() {})
@@ -108,7 +108,7 @@
 	}
 }
 
-// dial sends text on a connection of its own.
+// dial opens a connection and sends text on it.
 func dial(t *testing.T, url, text string) net.Conn {
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	require.NoError(t, err)
@@ -118,9 +118,9 @@
 	return c
 }
 
-// What parsers read differently may hide a second request in a body. It must be
-// refused, and nothing behind it served.
-func TestHeadsThatCanBeReadInTwoWaysAreRefused(t *testing.T) {
+// A head that parsers read differently may hide a second request in a body. It must be refused, and
+// nothing after it served.
+func TestAmbiguousHeadsAreRefused(t *testing.T) {
 	served := make(chan string, 100)
 	_, url := serve(t, Config{Handler: func(c *Call) {
 		if _, release, ok := c.Body(); ok {
@@ -158,20 +158,20 @@
 	require.Equal(t, "/good", <-served)
 }
 
-// Clients that connect and say nothing, or stop half-way, come by the hundreds:
-// each is closed in good time, and the others find a place meanwhile.
-func TestSilentClientsGiveWay(t *testing.T) {
+// Clients that connect and send nothing, or stop half-way, come by the hundreds. Each connection is
+// closed in time, and other clients are served meanwhile.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	s, url := serve(t, Config{MaxBytes: 64 << 10, Handler: func(c *Call) {
 		if _, release, ok := c.Body(); ok {
 			release()
 		}
 	}})
 	var bad []net.Conn
-	for range 4 * most {
+	for range 4 * maxTestConns {
 		bad = append(bad, dial(t, url, ""))
 	}
-	require.LessOrEqual(t, s.listener.open(), most)
-	for range 2 * most {
+	require.LessOrEqual(t, s.listener.open(), maxTestConns)
+	for range 2 * maxTestConns {
 		bad = append(bad, dial(t, url, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n{"))
 		require.Equal(t, http.StatusOK, post(t, url, 10).StatusCode)
 	}
@@ -182,12 +182,12 @@
 			require.ErrorIs(t, err, syscall.ECONNRESET)
 		}
 	}
-	require.Less(t, time.Since(from), wholeWait+2*time.Second)
+	require.Less(t, time.Since(from), requestReadTimeout+2*time.Second)
 }
 
-// A connection kept for good by a client that asked once gives way to new ones,
-// one with a request in hand does not.
-func TestIdleConnectionsGiveWay(t *testing.T) {
+// An idle connection that its client keeps for good is evicted for new ones; one with an open
+// request is not.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	began, goOn := make(chan struct{}), make(chan struct{})
 	s, url := serve(t, Config{Handler: func(c *Call) {
 		if _, release, ok := c.Body(); ok {
@@ -200,33 +200,33 @@
 	}})
 	held := dial(t, url, "GET /held HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	<-began
-	for range 4 * most {
+	for range 4 * maxTestConns {
 		c := dial(t, url, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		_, err := c.Read(make([]byte, 256))
 		require.NoError(t, err)
 	}
-	require.LessOrEqual(t, s.listener.open(), most)
+	require.LessOrEqual(t, s.listener.open(), maxTestConns)
 	close(goOn)
 	text, err := io.ReadAll(held)
 	require.NoError(t, err)
 	require.Contains(t, string(text), "200 OK")
 }
 
-// A stream's deadline must not outlast it: a refusal that came later on the same
-// connection was cut off by it, and the request lost.
-func TestAnswerAfterAStreamHasItsOwnTime(t *testing.T) {
+// The deadline of a stream must not remain in force after it: it would cut off a later refusal on
+// the same connection, and the request would be lost.
+func TestAnswerAfterStreamHasOwnDeadline(t *testing.T) {
 	const wait = 50 * time.Millisecond
-	_, url := serve(t, Config{writeWait: wait, Handler: func(c *Call) {
+	_, url := serve(t, Config{writeTimeout: wait, Handler: func(c *Call) {
 		if string(c.Path()) == "/stream" {
 			c.Stream("text/plain", io.NopCloser(strings.NewReader("whole")))
 			return
 		}
 		time.Sleep(2 * wait) // the stream's time is over
-		c.Problem(http.StatusServiceUnavailable, errNoRoom)
+		c.Problem(http.StatusServiceUnavailable, errOverloaded)
 	}})
 	c := dial(t, url, "")
 	answers := bufio.NewReader(c)
-	for _, tc := range []struct{ path, want string }{{"/stream", "whole"}, {"/refused", errNoRoom.Error()}} {
+	for _, tc := range []struct{ path, want string }{{"/stream", "whole"}, {"/refused", errOverloaded.Error()}} {
 		_, err := c.Write([]byte("GET " + tc.path + " HTTP/1.1\r\nHost: x\r\n\r\n"))
 		require.NoError(t, err)
 		resp, err := http.ReadResponse(answers, nil)
@@ -237,5 +237,5 @@
 	}
 }
 
-// takes is how long a server that stops takes clients that still come.
-func takes(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+// constantTimeout returns an accept time-out for Stop that does not change.
+func constantTimeout(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
--- a/downstream/turns.go
+++ b/downstream/turns.go
@@ -6,35 +6,38 @@
 )
 
 const (
-	// turnsPerProcessor bounds the pieces of work for clients' bytes that are under way at once, beside the wait for a new
-	// connection: with fewer, turns would be what a server with many processors waits for.
-	turnsPerProcessor = 4
-	// promptly is how soon what is ready to run does run where processor time does not lack.
-	promptly = 2 * time.Millisecond
-	// mostPause bounds a pause, and with it how long a client waits that comes alone.
-	mostPause = 50 * time.Millisecond
+	// slotsPerProcessor bounds the concurrent pieces of work on client bytes, in addition to the
+	// wait for a new connection. With fewer slots, a server with many processors would wait for
+	// slots.
+	slotsPerProcessor = 4
+	// maxPromptDelay is how soon runnable goroutines run when processor time is not short.
+	maxPromptDelay = 2 * time.Millisecond
+	// maxPause bounds a pause, and with it the delay of a single client.
+	maxPause = 50 * time.Millisecond
 )
 
-// turns keep what clients send from taking the processor time that requests in hand need. Goroutines run in the order in which they
-// became ready: without a bound, all connections that wait to be accepted and all bytes that wait to be read would come before
-// timers, releases and streams, as many of them as there are. So each such piece of work takes a turn: a new connection until its
-// server begins, what was read until its connection reads again, writes, or waits for the router. Who has a turn lets everything run
-// first that is ready, and where that took long, pauses for as long. What waits meanwhile stays with the system, and its time of
-// arrival is known (arrivals.go). Connections whose requests the router has had take turns of their own: a crowd of
-// others is not before them.
-type turns chan struct{}
+// workSlots keep client input from taking the processor time that open requests need. Goroutines
+// run in the order in which they became runnable: without a bound, all connections waiting to be
+// accepted and all bytes waiting to be read would run before timers, releases and streams.
+// Therefore each such piece of work holds a slot: a new connection until its server begins, and
+// bytes that were read until the connection reads again, writes, or waits for the router. The
+// holder of a slot first yields to all runnable goroutines and, if that took long, pauses for as
+// long. Meanwhile further input stays in the kernel, and its receive time is known (arrivals.go).
+// Connections that have had a request routed use separate slots, so that a flood of other
+// connections does not delay them.
+type workSlots chan struct{}
 
-// newTurns goes by the processors that the program may use now.
-func newTurns() turns { return make(turns, 1+turnsPerProcessor*runtime.GOMAXPROCS(0)) }
+// newWorkSlots returns slots for the processors that the program may use now.
+func newWorkSlots() workSlots { return make(workSlots, 1+slotsPerProcessor*runtime.GOMAXPROCS(0)) }
 
-// take waits for a turn.
-func (t turns) take() { t <- struct{}{} }
+// acquire waits for a slot.
+func (t workSlots) acquire() { t <- struct{}{} }
 
-// give ends a turn.
-func (t turns) give() { <-t }
+// release frees a slot.
+func (t workSlots) release() { <-t }
 
-// yield lets run what is ready, and pauses where that took long.
-func (t turns) yield() {
+// yield lets runnable goroutines run, and pauses if that took long.
+func (t workSlots) yield() {
 	from := time.Now()
 	runtime.Gosched()
 	if pause := pauseAfter(time.Since(from)); pause > 0 {
@@ -42,10 +45,11 @@
 	}
 }
 
-// pauseAfter is how long who has a turn pauses where all that was ready took so long to run.
+// pauseAfter returns the pause of a slot's holder after the runnable goroutines took the given
+// time.
 func pauseAfter(late time.Duration) time.Duration {
-	if late <= promptly {
+	if late <= maxPromptDelay {
 		return 0
 	}
-	return min(late, mostPause)
+	return min(late, maxPause)
 }
--- a/downstream/turns_test.go
+++ b/downstream/turns_test.go
@@ -14,17 +14,19 @@
 	"lichenshelf/metrics"
 )
 
-// A pause follows how late everything runs, within a bound, and there is none where all runs promptly.
-func TestThePauseFollowsHowLateAllRuns(t *testing.T) {
+// The pause follows the scheduling delay up to a bound, and there is none if everything runs
+// promptly.
+func TestPauseFollowsSchedulingDelay(t *testing.T) {
 	for late, want := range map[time.Duration]time.Duration{
-		0: 0, promptly: 0, promptly + 1: promptly + 1, 20 * time.Millisecond: 20 * time.Millisecond, mostPause: mostPause, time.Minute: mostPause,
+		0: 0, maxPromptDelay: 0, maxPromptDelay + 1: maxPromptDelay + 1, 20 * time.Millisecond: 20 * time.Millisecond, maxPause: maxPause, time.Minute: maxPause,
 	} {
 		require.Equal(t, want, pauseAfter(late), "late by %v", late)
 	}
 }
 
-// Turns are given back whatever becomes of a connection: served, refused, left half-way, routed and waiting, or gone.
-func TestTurnsAreGivenBack(t *testing.T) {
+// Slots are released whatever happens to a connection: served, refused, left half-way, routed and
+// waiting, or closed.
+func TestWorkSlotsAreReleased(t *testing.T) {
 	waiting, goOn := make(chan struct{}, 1), make(chan struct{})
 	s, url := serve(t, Config{Handler: func(c *Call) {
 		if string(c.Path()) == "/wait" {
@@ -32,7 +34,7 @@
 			<-goOn
 		}
 	}})
-	turns := cap(s.listener.newcomers)
+	turns := cap(s.listener.unroutedSlots)
 	addr := strings.TrimPrefix(url, "http://")
 	say := func(text string) net.Conn {
 		c, err := net.Dial("tcp", addr)
@@ -46,7 +48,7 @@
 		require.NoError(t, say("nonsense\r\n\r\n").Close())
 		require.NoError(t, say("").Close())
 	}
-	for range min(turns+1, most-2) {
+	for range min(turns+1, maxTestConns-2) {
 		defer say("GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").Close()
 		<-waiting
 	}
@@ -56,10 +58,10 @@
 	require.NoError(t, err)
 	require.Contains(t, status, "200")
 	close(goOn)
-	require.Eventually(t, func() bool { return len(s.listener.newcomers) <= 1 }, time.Minute, time.Millisecond, "but for that of the next connection")
+	require.Eventually(t, func() bool { return len(s.listener.unroutedSlots) <= 1 }, time.Minute, time.Millisecond, "except the slot for the next connection")
 }
 
-// BenchmarkCalls shows what calls on connections that are kept take, with turns.
+// BenchmarkCalls measures calls on kept connections, including the slots.
 func BenchmarkCalls(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
