--- a/router/core.go
+++ b/router/core.go
@@ -192,9 +192,7 @@
 
 // CutSilent ends the answers from which nothing has been received for the given time: a process
 // that ends cannot wait for their workers.
-func (c *Core) CutSilent(silent time.Duration) {
-	c.post(func() { c.sender.cancelSilentStreams(silent) })
-}
+func (c *Core) CutSilent(silent time.Duration) { c.post(func() { c.sender.cancelSilent(silent) }) }
 
 // Settle waits, at most for settleTimeout, until the latest releases have ended. It returns the
 // number of releases still in flight.
--- a/router/send.go
+++ b/router/send.go
@@ -213,9 +213,9 @@
 	}
 }
 
-// cancelSilentStreams cancels the running streams from which nothing has been received for the
+// cancelSilent cancels the running streams from which nothing has been received for the
 // given time.
-func (s *sender) cancelSilentStreams(silent time.Duration) {
+func (s *sender) cancelSilent(silent time.Duration) {
 	for _, ex := range s.core.admission.exchanges {
 		a := ex.attempt
 		if a == nil || !ex.answered || time.Since(a.sentAt)-time.Duration(a.lastReceived.Load()) < silent {
