--- a/discovery/sources/feed.go
+++ b/discovery/sources/feed.go
@@ -300,7 +300,7 @@
 func (p *Port) Discovered(members []router.Member, whole bool) {
 	r, news := membership.Report{Whole: whole}, false
 	for _, m := range members {
-		news = news || m.News
+		news = news || m.PreviousListCurrent
 		e := membership.Entry{Name: m.Name, Addr: m.Addr, Weight: m.Weight, Cell: m.Cell, Zone: m.Zone, Kind: m.Kind, Since: max(int64(m.Since), membership.LongAgo)}
 		switch m.Health {
 		case logic.Draining:
@@ -354,7 +354,7 @@
 
 func (f *Feed) member(c membership.Change, news bool) router.Member {
 	m := c.Member
-	out := router.Member{Name: m.Name, Addr: m.Addr, News: news, Member: logic.Member{Server: f.ids.ID(m.Name), Weight: m.Weight,
+	out := router.Member{Name: m.Name, Addr: m.Addr, PreviousListCurrent: news, Member: logic.Member{Server: f.ids.ID(m.Name), Weight: m.Weight,
 		Cell: m.Cell, Zone: m.Zone, Kind: m.Kind, Since: logic.Time(m.Since)}}
 	if m.Since == membership.LongAgo {
 		out.Since = 0
--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -18,7 +18,7 @@
 // Core is what is told of the workers and of others' load there.
 type Core interface {
 	Discovered(members []router.Member, whole bool)
-	Told(server logic.ServerID, l logic.Load)
+	ReportLoad(server logic.ServerID, l logic.Load)
 	SetZones(figures []float64)
 }
 
@@ -142,11 +142,11 @@
 	a.mu.Unlock()
 	switch r {
 	case attempts.TooCold:
-		return router.NotThere
+		return router.WorkerDenied
 	case attempts.Repeats:
-		return router.NotAgain
+		return router.RepeatDenied
 	}
-	return router.MayGo
+	return router.AttemptAllowed
 }
 
 // Watch returns a transport that sends by t and notes what becomes of each attempt.
@@ -294,7 +294,7 @@
 		}
 		if told != nil {
 			for _, t := range told[i] {
-				f.core.Told(t.Server, t.Load)
+				f.core.ReportLoad(t.Server, t.Load)
 			}
 		}
 	}
--- a/fleet/agent/zones.go
+++ b/fleet/agent/zones.go
@@ -41,7 +41,7 @@
 			delete(s.of, m.Name)
 			continue
 		}
-		s.of[m.Name] = place{names[m.Zone], m.Zone, m.Kind, s.starts.Began(m.Name, m.Since, m.News, now), m.Health == logic.Ready}
+		s.of[m.Name] = place{names[m.Zone], m.Zone, m.Kind, s.starts.Began(m.Name, m.Since, m.PreviousListCurrent, now), m.Health == logic.Ready}
 	}
 	if s.usual == nil {
 		s.usual = map[string]int{}
--- a/front/platform/members.go
+++ b/front/platform/members.go
@@ -37,7 +37,7 @@
 				continue
 			}
 		}
-		m.Server, m.News = ids.ID(in.ID), news
+		m.Server, m.PreviousListCurrent = ids.ID(in.ID), news
 		out = append(out, m)
 	}
 	if bad != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -174,7 +174,7 @@
 			err := f.server.Stop(ctx, f.endings.take)
 			close(stopped)
 			d.log.WithField("after_ms", time.Since(began).Milliseconds()).Info("stopping: no client is left")
-			unsettled := f.core.Settle(ctx)
+			unsettled := f.core.WaitForReleases(ctx)
 			d.log.WithFields(logrus.Fields{"after_ms": time.Since(began).Milliseconds(), "releases_out": unsettled}).Info("stopping: done")
 			ends <- err
 		}()
--- a/internal/daemon/ending.go
+++ b/internal/daemon/ending.go
@@ -67,7 +67,7 @@
 // drop ends what keeps connections open and will not end by itself in time.
 func (f *front) drop(ending) {
 	f.server.DropUnread()
-	f.core.CutSilent(silentFor)
+	f.core.CancelSilent(silentFor)
 }
 
 // giveUp has the front give up what is in hand, step by step, in time for the platform's kill. It returns when that is done, or
--- a/router/api.go
+++ b/router/api.go
@@ -109,9 +109,9 @@
 
 // The possible answers.
 const (
-	MayGo    Allowance = iota
-	NotThere           // this worker must not get the attempt now; another one may
-	NotAgain           // nothing may be repeated now: the request ends with the status of its last attempt
+	AttemptAllowed Allowance = iota
+	WorkerDenied             // this worker must not get the attempt now; another one may
+	RepeatDenied             // nothing may be repeated now: the request ends with the status of its last attempt
 )
 
 // Permit is asked right before an attempt is sent, on the core's goroutine. It must return at once.
--- a/router/core.go
+++ b/router/core.go
@@ -178,8 +178,8 @@
 	})
 }
 
-// Told passes a load report on a worker, received from another router, to the decider.
-func (c *Core) Told(server logic.ServerID, l logic.Load) {
+// ReportLoad passes a load report on a worker, received from another router, to the decider.
+func (c *Core) ReportLoad(server logic.ServerID, l logic.Load) {
 	c.post(func() { c.routing.push(logic.Event{Kind: logic.LoadTold, Server: server, Load: l}) })
 }
 
@@ -190,13 +190,13 @@
 	c.post(func() { c.routing.push(logic.Event{Kind: logic.Closing, Latency: in}) })
 }
 
-// CutSilent ends the answers from which nothing has been received for the given time: a process
+// CancelSilent ends the answers from which nothing has been received for the given time: a process
 // that ends cannot wait for their workers.
-func (c *Core) CutSilent(silent time.Duration) { c.post(func() { c.sender.cancelSilent(silent) }) }
+func (c *Core) CancelSilent(silent time.Duration) { c.post(func() { c.sender.cancelSilent(silent) }) }
 
-// Settle waits, at most for settleTimeout, until the latest releases have ended. It returns the
+// WaitForReleases waits, at most for settleTimeout, until the latest releases have ended. It returns the
 // number of releases still in flight.
-func (c *Core) Settle(ctx context.Context) int64 {
+func (c *Core) WaitForReleases(ctx context.Context) int64 {
 	timeout := time.After(settleTimeout)
 	for next := settleDelay; ; next = settlePollInterval {
 		select {
--- a/router/core_test.go
+++ b/router/core_test.go
@@ -348,7 +348,7 @@
 // after its read does not. An attempt denied for one worker has not run there. A request that must
 // not be repeated ends with the status of its last attempt.
 func TestPermitIsAskedBeforeEachAttempt(t *testing.T) {
-	w, p := newFakeTransport(), &fakePermit{make(chan bool, 8), []Allowance{NotThere, MayGo, MayGo, NotAgain}}
+	w, p := newFakeTransport(), &fakePermit{make(chan bool, 8), []Allowance{WorkerDenied, AttemptAllowed, AttemptAllowed, RepeatDenied}}
 	counters := &metrics.Set{}
 	ended := make(chan logic.Event, 8)
 	c := New(Config{Decider: deciderFunc(func(e logic.Event) []logic.Action {
--- a/router/rules/rules.go
+++ b/router/rules/rules.go
@@ -250,10 +250,10 @@
 	return Allowed
 }
 
-// TimeToTell returns the time-out that a worker is given for its answer, which is awaited until the
+// WorkerTimeout returns the time-out that a worker is given for its answer, which is awaited until the
 // given time. It is cut to the client's remaining time if it exceeds that by more than
 // TimeoutSlack.
-func TimeToTell(now, until, clientEnds time.Time) (time.Duration, Result) {
+func WorkerTimeout(now, until, clientEnds time.Time) (time.Duration, Result) {
 	left, wait := clientEnds.Sub(now), until.Sub(now)
 	if wait > left+TimeoutSlack {
 		return max(left, time.Millisecond), TimeoutTooLong
--- a/router/rules/rules_test.go
+++ b/router/rules/rules_test.go
@@ -80,10 +80,10 @@
 	left.Sent(start.Add(ClientLeftSlack+1), Place{})
 	require.Equal(t, SentAfterClientLeft, left.ClientLeft(start))
 
-	timeout, v := TimeToTell(start, start.Add(2*time.Second), deadline)
+	timeout, v := WorkerTimeout(start, start.Add(2*time.Second), deadline)
 	require.Equal(t, time.Second, timeout)
 	require.Equal(t, TimeoutTooLong, v)
-	timeout, v = TimeToTell(start, start.Add(time.Millisecond/2), deadline)
+	timeout, v = WorkerTimeout(start, start.Add(time.Millisecond/2), deadline)
 	require.Equal(t, time.Millisecond, timeout)
 	require.Equal(t, Allowed, v)
 
--- a/router/send.go
+++ b/router/send.go
@@ -55,11 +55,11 @@
 	repeat := ex.sends > 0 && ex.lastStatus != logic.PromptRead
 	if s.permit != nil {
 		switch s.permit.Allow(w, repeat) {
-		case NotThere:
+		case WorkerDenied:
 			s.count.Add("attempts_not_there", 1)
 			s.skip(a)
 			return
-		case NotAgain:
+		case RepeatDenied:
 			s.count.Add("attempts_not_again", 1)
 			s.report(a, Outcome{Status: logic.NotSent})
 			return
--- a/router/workers.go
+++ b/router/workers.go
@@ -14,9 +14,9 @@
 	logic.Member
 	Name string
 	Addr string
-	// News reports that the previous list was up to date: a start that first appears in this entry
+	// PreviousListCurrent reports that the previous list was up to date: a start that first appears in this entry
 	// has just happened.
-	News bool
+	PreviousListCurrent bool
 }
 
 // Worker is a member as senders see it.
@@ -56,7 +56,7 @@
 	out := make([]logic.Member, len(members))
 	for i, m := range members {
 		out[i] = m.Member
-		if began := s.starts.Began(m.Name, m.Since, m.News, now); !began.IsZero() {
+		if began := s.starts.Began(m.Name, m.Since, m.PreviousListCurrent, now); !began.IsZero() {
 			out[i].Began = clock(began)
 		}
 	}
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -254,7 +254,7 @@
 	for _, kv := range x.msg.Header {
 		h.Set(kv[0], kv[1])
 	}
-	told, v := rules.TimeToTell(time.Now(), x.until, x.Request.Received.Add(x.Request.Patience))
+	told, v := rules.WorkerTimeout(time.Now(), x.until, x.Request.Received.Add(x.Request.Patience))
 	if v != rules.Allowed {
 		router.CountViolation(x.client.cfg.Counters, v)
 	}
