--- a/upstream/arrival.go
+++ b/upstream/arrival.go
@@ -7,77 +7,82 @@
 	"lichenshelf/internal/socket"
 )
 
-// watchArrival gives the attempt up unless its worker's system confirms it promptly: a send that has not arrived takes no read
-// state, and a connection whose other end has vanished takes what is written all the same. Sent again by the system, it would
-// arrive late, and tell its worker a time that is no longer left.
-func (x *attempt) watchArrival(c *conn) (stop func()) {
+// watchAcknowledgement aborts the attempt unless the worker's kernel acknowledges the request
+// promptly. A request that has not arrived has not used its read state, and a connection whose peer
+// has become unreachable still accepts writes. A TCP retransmission would deliver the request late,
+// with a stated waiting time that has partly or wholly passed.
+func (x *attempt) watchAcknowledgement(c *conn) (stop func()) {
 	if !x.sendBy.IsZero() {
-		return x.watch(time.Until(confirmBy(c.wrote, x.sendBy)), func() time.Duration {
-			if unconfirmed(c) > 0 {
-				x.vanish(c)
+		return x.pollUntilHead(time.Until(ackDeadline(c.writtenAt, x.sendBy)), func() time.Duration {
+			if unacknowledgedBytes(c) > 0 {
+				x.abortUnacknowledged(c)
 			}
 			return 0
 		})
 	}
 	last := math.MaxInt
-	return x.watch(confirmAfter/2, func() time.Duration {
-		now := unconfirmed(c)
+	return x.pollUntilHead(minAckWait/2, func() time.Duration {
+		now := unacknowledgedBytes(c)
 		switch {
 		case now == 0:
 			return 0
-		case now < last: // a large request over a slow link goes on
+		case now < last: // progress: a large request over a slow link
 			last = now
-			return confirmAfter / 2
+			return minAckWait / 2
 		}
-		x.vanish(c)
+		x.abortUnacknowledged(c)
 		return 0
 	})
 }
 
-// watch looks at an attempt after a time, and again after as much as the look says, until that is 0, stop is called or the attempt
-// is heard of. Looks are made with the attempt's lock held.
-func (x *attempt) watch(after time.Duration, look func() time.Duration) (stop func()) {
+// pollUntilHead calls check after the given time, and again after each interval that check returns,
+// until the interval is 0 or stop is called. check runs with the attempt's lock held.
+func (x *attempt) pollUntilHead(after time.Duration, check func() time.Duration) (stop func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var timer *time.Timer
 	timer = time.AfterFunc(after, func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if x.heard {
+		if x.headDone {
 			return
 		}
-		if again := look(); again > 0 {
-			timer.Reset(again)
+		if interval := check(); interval > 0 {
+			timer.Reset(interval)
 		}
 	})
 	return func() {
 		timer.Stop()
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.heard = true
+		x.headDone = true
 	}
 }
 
-// vanish ends an attempt whose worker's system confirms nothing; the attempt's lock is held.
-func (x *attempt) vanish(c *conn) {
-	x.vanished = true
-	_ = c.Close() // which drops what is not confirmed
+// abortUnacknowledged ends an attempt whose request the worker's kernel has not acknowledged. The
+// attempt's lock must be held.
+func (x *attempt) abortUnacknowledged(c *conn) {
+	x.unacknowledged = true
+	_ = c.Close() // also discards the unacknowledged bytes
 }
 
-// confirmAfter is how long after its last byte a request may be unconfirmed though it has arrived: a system keeps an
-// acknowledgement back for 40 ms (Linux's TCP_DELACK_MIN), and the way there and back takes its time as well.
-const confirmAfter = 100 * time.Millisecond
+// minAckWait is how long after its last byte a request that has arrived may stay unacknowledged:
+// kernels delay acknowledgements by up to 40 ms (Linux's TCP_DELACK_MIN), and the round trip comes
+// on top.
+const minAckWait = 100 * time.Millisecond
 
-// confirmBy is when a request that was written at a time, and had to be by another, must have been confirmed.
-func confirmBy(wrote, sendBy time.Time) time.Time {
-	if least := wrote.Add(confirmAfter); least.After(sendBy) {
-		return least
+// ackDeadline returns when a request that was written at the time wrote, and had to be sent by
+// sendBy, must have been acknowledged.
+func ackDeadline(wrote, sendBy time.Time) time.Time {
+	if earliest := wrote.Add(minAckWait); earliest.After(sendBy) {
+		return earliest
 	}
 	return sendBy
 }
 
-// unconfirmed is how many bytes of what was written the other end's system has not confirmed; 0 where that can't be told.
-func unconfirmed(c *conn) int {
+// unacknowledgedBytes returns how many of the written bytes the peer's kernel has not acknowledged,
+// or 0 if that is unknown.
+func unacknowledgedBytes(c *conn) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -18,80 +18,83 @@
 	"lichenshelf/router/rules"
 )
 
-// attempt is one attempt on its way.
+// attempt is one attempt in progress.
 type attempt struct {
 	router.Attempt
-	client *Client
-	sink   router.Sink
-	cancel context.CancelFunc
-	until  time.Time // its answer is waited for
-	sendBy time.Time // by which its worker must have it whole; zero: not stated
-	// msg is the message as it was when the attempt began: the request lets go of it when an answer begins, which may be
-	// another attempt's than one that was given up and has not come to its end yet.
+	client   *Client
+	sink     router.Sink
+	cancel   context.CancelFunc
+	answerBy time.Time // when waiting for the answer ends
+	sendBy   time.Time // when the whole request must have been sent; zero: no limit
+	// msg is a copy of the request's message from the beginning of the attempt: the request drops
+	// its message when an answer begins, and that may be the answer of another attempt while this
+	// one, already aborted, has not ended yet.
 	msg Message
 
-	mu       sync.Mutex
-	conn     *conn
-	given    bool // given up
-	heard    bool // its worker has begun to answer
-	vanished bool // it was given up since its worker's system had not confirmed it
+	mu             sync.Mutex
+	conn           *conn
+	aborted        bool // abort was called
+	headDone       bool // waiting for the head of the answer has ended
+	unacknowledged bool // ended because the worker's kernel did not acknowledge the request
 }
 
-// giveUp ends the attempt's connection. The channel is closed when its worker knows; nil: nothing has been sent.
-func (x *attempt) giveUp() (known <-chan struct{}) {
+// abort cancels the attempt and shuts down its connection. The returned channel is closed when the
+// connection is closed; it is nil if nothing has been sent.
+func (x *attempt) abort() (closed <-chan struct{}) {
 	x.mu.Lock()
-	x.given = true
+	x.aborted = true
 	c := x.conn
 	x.mu.Unlock()
 	x.cancel()
 	if c == nil {
 		return nil
 	}
-	return c.end()
+	return c.shutdown()
 }
 
-// isGivenUp tells whether the attempt was given up.
-func (x *attempt) isGivenUp() bool {
+// isAborted reports whether abort was called.
+func (x *attempt) isAborted() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.given
+	return x.aborted
 }
 
-// own notes the connection in use, unless the attempt has been given up.
-func (x *attempt) own(c *conn) bool {
+// attachConn records the connection in use. It returns false if the attempt was aborted.
+func (x *attempt) attachConn(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = c
-	return !x.given
+	return !x.aborted
 }
 
-// disown takes the connection back from giveUp; false if it was given up.
-func (x *attempt) disown() bool {
+// detachConn removes the connection from the attempt, so that abort no longer closes it. It returns
+// false if the attempt was aborted.
+func (x *attempt) detachConn() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = nil
-	return !x.given
+	return !x.aborted
 }
 
 func (x *attempt) run(ctx context.Context) {
-	c, never, err := x.write(ctx)
+	c, failure, err := x.write(ctx)
 	if c == nil {
-		x.sink.Ended(router.Outcome{Status: never, Unreached: true, Cause: err})
+		x.sink.Ended(router.Outcome{Status: failure, Unreached: true, Cause: err})
 		return
 	}
-	stop := x.watchArrival(c)
+	stop := x.watchAcknowledgement(c)
 	head, err := readHead(c)
 	stop()
 	if err != nil {
-		if x.vanished {
+		if x.unacknowledged {
 			x.client.cfg.Counters.Add("attempts_unconfirmed", 1)
-			x.sink.Ended(router.Outcome{Status: logic.ConnectionReset, Unreached: true, Cause: errUnconfirmed})
+			x.sink.Ended(router.Outcome{Status: logic.ConnectionReset, Unreached: true, Cause: errNotAcknowledged})
 			return
 		}
-		if errors.Is(err, errNoAnswer) && c.stale() {
-			x.stale(c, err)
+		if errors.Is(err, errNoAnswer) && c.isStale() {
+			x.reportStale(c, err)
 		} else {
-			x.broken(c, err)
+			x.reportReset(c, err)
 		}
 		return
 	}
@@ -99,43 +102,43 @@
 	status := head.StatusCode()
 	switch answer := status == fasthttp.StatusOK || x.client.cfg.Final != nil && x.client.cfg.Final(status); {
 	case !answer:
-		x.sink.Ended(x.judge(c, head, body, err))
+		x.sink.Ended(x.classify(c, head, body, err))
 	case err != nil:
-		x.broken(c, err)
+		x.reportReset(c, err)
 	case status == fasthttp.StatusOK && x.msg.Stream:
-		if err := body.await(); err != nil {
-			x.broken(c, err)
+		if err := body.awaitFirstEvent(); err != nil {
+			x.reportReset(c, err)
 			return
 		}
 		x.sink.Started(body)
 	default:
-		whole, err := body.whole(x.client.cfg.MaxAnswer)
+		whole, err := body.readAll(x.client.cfg.MaxAnswer)
 		switch {
 		case errors.Is(err, errTooLarge):
-			hangUp(c, err)
+			abandonAndWait(c, err)
 			x.sink.Ended(router.Outcome{Status: logic.ServerError, Cause: err})
 		case err != nil:
-			x.broken(c, err)
+			x.reportReset(c, err)
 		default:
 			x.sink.Started(&buffered{whole, headOf(head, len(whole)), body.load})
 		}
 	}
 }
 
-// judge tells the outcome of what is no answer for the client. Its body, which may break off or never end, is
-// waited for within BodyWait: without its end nothing says that the request never ran. A prompt that was
-// read is held from the head on.
-func (x *attempt) judge(c *conn, head *fasthttp.ResponseHeader, body *body, err error) router.Outcome {
+// classify returns the outcome of a response that is no answer for the client. The body may break
+// off or never end, so it is read within BodyWait: an incomplete response does not prove that the
+// request never ran. A prompt that was read is held as soon as the head has arrived.
+func (x *attempt) classify(c *conn, head *fasthttp.ResponseHeader, body *body, err error) router.Outcome {
 	var text []byte
 	if err == nil {
-		if err = c.SetReadDeadline(time.Now().Add(cmp.Or(x.client.cfg.BodyWait, headWait))); err == nil {
-			text, err = body.whole(x.client.cfg.MaxAnswer)
+		if err = c.SetReadDeadline(time.Now().Add(cmp.Or(x.client.cfg.BodyWait, headTimeout))); err == nil {
+			text, err = body.readAll(x.client.cfg.MaxAnswer)
 		}
 	}
 	o := x.client.cfg.Judge(head.StatusCode(), head, text)
 	if err != nil {
-		hangUp(c, err)
-		if o.Status != logic.PromptRead { // the head is of an answer that is spoilt: it may be of one that ran
+		abandonAndWait(c, err)
+		if o.Status != logic.PromptRead { // the response is broken, so the request may have run
 			o = router.Outcome{Status: logic.ConnectionReset}
 		}
 		o.Cause = err
@@ -146,14 +149,14 @@
 	return o
 }
 
-// readHead reads the head of an answer, past those that announce it.
+// readHead reads the head of an answer and skips interim (1xx) heads.
 func readHead(c *conn) (*fasthttp.ResponseHeader, error) {
 	var h fasthttp.ResponseHeader
-	for range mostInterim {
+	for range maxInterim {
 		if _, err := c.br.Peek(1); err != nil {
 			return nil, fmt.Errorf("%w: %w", errNoAnswer, err)
 		}
-		if err := c.SetReadDeadline(time.Now().Add(headWait)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(headTimeout)); err != nil {
 			return nil, fmt.Errorf("read head: %w", err)
 		}
 		if err := h.Read(c.br); err != nil {
@@ -166,32 +169,32 @@
 			return &h, nil
 		}
 	}
-	return nil, errInterim
+	return nil, errOnlyInterim
 }
 
-// hangUp ends a connection whose answer ended in an error, and waits, where the worker has not ended it itself, until
-// that one has learnt of it.
-func hangUp(c *conn, err error) {
+// abandonAndWait shuts down a connection on which reading the answer failed, and waits until it is
+// closed. Unless the worker has closed it already, that gives the worker time to notice.
+func abandonAndWait(c *conn, err error) {
 	c.abandon(err)
 	<-c.ended
 }
 
-// broken reports a connection that ended after the request's last byte.
-func (x *attempt) broken(c *conn, err error) {
-	hangUp(c, err)
+// reportReset reports a connection that broke after the request's last byte was written.
+func (x *attempt) reportReset(c *conn, err error) {
+	abandonAndWait(c, err)
 	x.sink.Ended(router.Outcome{Status: logic.ConnectionReset, Cause: err})
 }
 
-// stale reports a request that met a connection which its worker had dropped.
-func (x *attempt) stale(c *conn, err error) {
+// reportStale reports a request that was written to a connection that the worker had dropped.
+func (x *attempt) reportStale(c *conn, err error) {
 	_ = c.Close()
-	x.client.pool.doubt(c)
+	x.client.pool.noteStale(c)
 	x.client.cfg.Counters.Add("connections_stale", 1)
 	x.sink.Ended(router.Outcome{Status: logic.ConnectionReset, Stale: true, Cause: err})
 }
 
-// write gets the request to the worker, whole. A nil connection means that it
-// never was: the worker has not run it.
+// write sends the whole request to the worker. A nil connection means that it was not sent whole,
+// so the worker has not run it.
 func (x *attempt) write(ctx context.Context) (*conn, logic.Status, error) {
 	if x.SendWithin > 0 {
 		var done context.CancelFunc
@@ -201,7 +204,7 @@
 	}
 	body := x.msg.Body
 	for fresh := false; ; fresh = true {
-		c, err := x.client.pool.get(ctx, x.Worker, need{fresh: fresh, rest: x.client.pool.rest})
+		c, err := x.client.pool.get(ctx, x.Worker, connRequirements{fresh: fresh, reuseDelay: x.client.pool.reuseDelay})
 		if errors.Is(err, errFull) {
 			x.client.cfg.Counters.Add("attempts_without_a_connection", 1)
 			return nil, logic.Full, err
@@ -209,33 +212,34 @@
 		if err != nil {
 			return nil, logic.ConnectFailed, err
 		}
-		if !x.own(c) {
+		if !x.attachConn(c) {
 			_ = c.Close()
 			return nil, logic.Cancelled, nil
 		}
-		// The drain window is short and connecting takes its time: what was decided
-		// before a drain must not go out after it.
+		// The drain window is short and connecting takes time: an attempt that was decided before a
+		// drain must not be sent after it.
 		if !x.Worker.MaySend() {
 			_ = c.Close()
-			return nil, logic.Full, errLeaving
+			return nil, logic.Full, errDraining
 		}
 		if !c.reused {
 			x.client.cfg.Counters.Add("connections_opened", 1)
 		}
-		// The time told is what is left now: a connection may have taken its time to come up.
+		// The head is built here because it states the time left, and connecting may have taken
+		// long.
 		head := x.head()
 		bufs := net.Buffers{head, body}
-		_ = c.SetWriteDeadline(x.sendBy) // a worker that has stopped may take a part and no more
+		_ = c.SetWriteDeadline(x.sendBy) // a stopped worker may accept only a part of the request
 		n, err := bufs.WriteTo(c.TCPConn)
-		c.wrote = time.Now()
+		c.writtenAt = time.Now()
 		if n == int64(len(head)+len(body)) {
-			x.msg.Body, x.msg.Header = nil, nil // a stream may last
-			x.sink.Written(router.Written{At: c.wrote, Port: c.port(), Reused: c.reused, Bytes: int(n)})
+			x.msg.Body, x.msg.Header = nil, nil // not needed any more, and a stream may last long
+			x.sink.Written(router.Written{At: c.writtenAt, Port: c.port(), Reused: c.reused, Bytes: int(n)})
 			return c, 0, nil
 		}
 		_ = c.Close()
-		// The worker had closed a kept connection. Nothing of the request counts
-		// there, so it may go out on a new one as the same attempt.
+		// The worker had closed an idle connection. It does not run an incomplete request, so the
+		// same attempt may be sent on a new connection.
 		if err != nil && c.reused && !fresh {
 			continue
 		}
@@ -243,8 +247,8 @@
 	}
 }
 
-// head is the request's head. Method, path, query and the client's headers go as
-// they came.
+// head returns the request's head. Method, path, query and the client's headers are passed on
+// unchanged.
 func (x *attempt) head() []byte {
 	var h fasthttp.RequestHeader
 	h.SetMethod(x.msg.Method)
@@ -254,11 +258,11 @@
 	for _, kv := range x.msg.Header {
 		h.Set(kv[0], kv[1])
 	}
-	told, v := rules.TimeToTell(time.Now(), x.until, x.Request.Received.Add(x.Request.Patience))
+	timeLeft, v := rules.TimeToTell(time.Now(), x.answerBy, x.Request.Received.Add(x.Request.Patience))
 	if v != rules.Allowed {
 		router.CountViolation(x.client.cfg.Counters, v)
 	}
-	h.Set(x.client.cfg.WaitHeader, strconv.FormatInt(told.Milliseconds(), 10))
+	h.Set(x.client.cfg.WaitHeader, strconv.FormatInt(timeLeft.Milliseconds(), 10))
 	h.SetContentLength(len(x.msg.Body))
 	return slices.Clone(h.Header())
 }
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -15,153 +15,156 @@
 
 var errTooLarge = errors.New("answer too large")
 
-// body is a worker's answer as it comes. It implements router.Answer.
+// body is a worker's answer while it is received. It implements router.Answer.
 type body struct {
-	attempt *attempt
-	conn    *conn
-	head    *fasthttp.ResponseHeader
-	stream  io.Reader // nil for a status that has no body
-	events  bool      // it is one of events, and has one at least
-	ready   []byte    // events that have come, to be handed on
-	half    []byte    // of an event, what has come
-	ends    eventEnds
-	tail    []byte // its latest bytes, which tell what was found kept
-	load    logic.Load
-	stall   time.Duration
-	err     error
+	attempt       *attempt
+	conn          *conn
+	head          *fasthttp.ResponseHeader
+	stream        io.Reader // nil for a status that has no body
+	isEventStream bool      // a stream of events, which must have one at least
+	ready         []byte    // complete events that Read has not returned yet
+	partial       []byte    // the received part of an incomplete event
+	scanner       eventScanner
+	tail          []byte // the latest bytes, which hold the count of cached tokens
+	load          logic.Load
+	stallTimeout  time.Duration
+	err           error
 }
 
-// tailSize holds the event that tells the use of the prompt, the end mark and a report.
+// tailSize is enough, in bytes, for the event with the prompt's token usage, the end mark and a
+// report.
 const tailSize = 512
 
-// errNoEnd is for a body neither counted nor chunked: whole can't be told from broken.
-var errNoEnd = errors.New("an answer without an end")
+// errNoLength rejects a body without Content-Length and chunked encoding: a complete one can't be
+// distinguished from a truncated one.
+var errNoLength = errors.New("answer has neither a content length nor chunked encoding")
 
 func newBody(x *attempt, c *conn, head *fasthttp.ResponseHeader) (*body, error) {
-	b := &body{attempt: x, conn: c, head: head, stall: x.client.cfg.StreamStall}
-	b.load = x.client.report(b.load, head.Peek(x.client.cfg.LoadHeader))
-	b.events = head.StatusCode() == fasthttp.StatusOK && x.msg.Stream
+	b := &body{attempt: x, conn: c, head: head, stallTimeout: x.client.cfg.StreamStall}
+	b.load = x.client.parseReport(b.load, head.Peek(x.client.cfg.LoadHeader))
+	b.isEventStream = head.StatusCode() == fasthttp.StatusOK && x.msg.Stream
 	size := head.ContentLength()
 	switch {
 	case head.StatusCode() == fasthttp.StatusNoContent || head.StatusCode() == fasthttp.StatusNotModified:
 	case size >= 0:
-		b.stream = &counted{io.LimitedReader{R: c.br, N: int64(size)}}
+		b.stream = &fixedLength{io.LimitedReader{R: c.br, N: int64(size)}}
 	case size == -1:
 		b.stream = &chunked{br: c.br}
 	default:
-		return nil, errNoEnd
+		return nil, errNoLength
 	}
 	return b, nil
 }
 
-// counted is a body of a known length.
-type counted struct{ io.LimitedReader }
+// fixedLength reads a body of a known length and reports a truncated one.
+type fixedLength struct{ io.LimitedReader }
 
 // Read implements io.Reader.
-func (c *counted) Read(p []byte) (int, error) {
+func (c *fixedLength) Read(p []byte) (int, error) {
 	n, err := c.LimitedReader.Read(p)
 	if c.N > 0 {
-		err = short(err)
+		err = unexpectedEOF(err)
 	}
 	return n, err
 }
 
-// await reads a stream to the end of its first event, which may come in many parts: with the first byte
-// passed on the attempt belongs to the client, who has nothing of an event that breaks off. Once begun,
-// the event must end within headWait. A stream that ends before, in good order, is handed on as it is.
-func (b *body) await() error {
+// awaitFirstEvent reads a stream to the end of its first event, which may come in many parts. Once
+// a byte is passed on, the client is bound to this attempt, and an event that breaks off is of no
+// use to it. The event must end within headTimeout of its first byte. A stream that ends properly
+// before that is passed on as it is.
+func (b *body) awaitFirstEvent() error {
 	buf := make([]byte, readBuffer)
-	for came := 0; ; {
+	for received := 0; ; {
 		n, err := b.read(buf)
-		begun := came > 0
-		came += n
-		end, event := b.ends.last(buf[:n])
-		b.take(buf[:n], end, err)
+		begun := received > 0
+		received += n
+		end, event := b.scanner.scan(buf[:n])
+		b.appendPart(buf[:n], end, err)
 		switch {
-		case event, came >= mostChunk, err == io.EOF && came > 0:
+		case event, received >= maxChunk, err == io.EOF && received > 0:
 			b.err = err
 			if err == nil {
 				err = b.conn.SetReadDeadline(time.Time{})
 			}
 			if err != nil && err != io.EOF {
-				return fmt.Errorf("stream given up: %w", err)
+				return fmt.Errorf("read stream: %w", err)
 			}
 			return nil
 		case err != nil:
-			return fmt.Errorf("stream without an event: %w", err)
-		case !begun && came > 0:
-			if err := b.conn.SetReadDeadline(time.Now().Add(headWait)); err != nil {
-				return fmt.Errorf("stream given up: %w", err)
+			return fmt.Errorf("no complete event in stream: %w", err)
+		case !begun && received > 0:
+			if err := b.conn.SetReadDeadline(time.Now().Add(headTimeout)); err != nil {
+				return fmt.Errorf("set read deadline of stream: %w", err)
 			}
 		}
 	}
 }
 
-// take adds a part of a stream to what is to be handed on, up to the end of its last event; at the end all of it is, and
-// an event past all bounds goes in parts.
-func (b *body) take(part []byte, end int, err error) {
+// appendPart adds a part of a stream to the ready bytes, up to the end of its last complete event.
+// The remainder follows at the end of the stream, or when it exceeds maxChunk.
+func (b *body) appendPart(part []byte, end int, err error) {
 	if end > 0 {
-		b.ready = append(append(b.ready, b.half...), part[:end]...)
-		b.half = b.half[:0]
+		b.ready = append(append(b.ready, b.partial...), part[:end]...)
+		b.partial = b.partial[:0]
 	}
-	b.half = append(b.half, part[end:]...)
-	if err == io.EOF || len(b.half) >= mostChunk {
-		b.ready, b.half = append(b.ready, b.half...), b.half[:0]
+	b.partial = append(b.partial, part[end:]...)
+	if err == io.EOF || len(b.partial) >= maxChunk {
+		b.ready, b.partial = append(b.ready, b.partial...), b.partial[:0]
 	}
 }
 
-// eventEnds finds the ends of a stream's events: blank lines. Lines end with LF, CR LF or CR.
-type eventEnds struct {
-	data    bool // a line of data has ended since the last blank line
-	matched int  // of the field's name, at the beginning of the line
-	column  int
-	cr      bool // the byte before was one
+// eventScanner finds the blank lines that end a stream's events. Lines end with LF, CR LF or CR.
+type eventScanner struct {
+	hasData     bool // a data line has ended since the last blank line
+	nameMatched int  // matched bytes of the field's name at the beginning of the line
+	column      int
+	afterCR     bool // the previous byte was a CR
 }
 
-// last takes the next part of the stream. It returns how much of it there is to its last blank line, that included, and
-// whether an event with data has ended.
-func (e *eventEnds) last(part []byte) (end int, data bool) {
+// scan processes the next part of the stream. It returns the offset behind the part's last blank
+// line, and whether an event with data has ended.
+func (e *eventScanner) scan(part []byte) (end int, hasData bool) {
 	const field = "data"
 	for i, c := range part {
-		half := c == '\n' && e.cr // of a line's end
-		e.cr = c == '\r'
+		completesCRLF := c == '\n' && e.afterCR
+		e.afterCR = c == '\r'
 		switch {
-		case half && end == i: // what ended with the other half goes with it
+		case completesCRLF && end == i: // the LF belongs to the blank line that the CR ended
 			end++
-		case half:
+		case completesCRLF:
 		case c != '\n' && c != '\r':
-			if e.column < len(field) && e.matched == e.column && c == field[e.column] {
-				e.matched++
+			if e.column < len(field) && e.nameMatched == e.column && c == field[e.column] {
+				e.nameMatched++
 			}
 			e.column++
 		case e.column == 0:
-			end, data, e.data = i+1, data || e.data, false
+			end, hasData, e.hasData = i+1, hasData || e.hasData, false
 		default:
-			e.data = e.data || e.matched == len(field)
-			e.matched, e.column = 0, 0
+			e.hasData = e.hasData || e.nameMatched == len(field)
+			e.nameMatched, e.column = 0, 0
 		}
 	}
-	return end, data
+	return end, hasData
 }
 
-// Read implements io.Reader: whole events, as they come. Half of one is of no use to anybody, and must not be taken for one
-// that came late.
+// Read implements io.Reader. It returns whole events as they arrive: a partial one is of no use to
+// the client, and must not count as an event that arrived late.
 func (b *body) Read(p []byte) (int, error) {
 	for len(b.ready) == 0 {
 		if b.err != nil {
 			return 0, b.err
 		}
-		// A worker that has vanished says nothing, and its connection stays open.
-		if err := b.conn.SetReadDeadline(time.Now().Add(b.stall)); err != nil {
-			return 0, fmt.Errorf("stream given up: %w", err)
+		// The connection to an unreachable worker stays open and silent.
+		if err := b.conn.SetReadDeadline(time.Now().Add(b.stallTimeout)); err != nil {
+			return 0, fmt.Errorf("set read deadline of stream: %w", err)
 		}
 		var n int
 		n, b.err = b.read(p)
-		end, _ := b.ends.last(p[:n])
-		if n > 0 && end == n && len(b.half) == 0 {
+		end, _ := b.scanner.scan(p[:n])
+		if n > 0 && end == n && len(b.partial) == 0 {
 			return n, nil
 		}
-		b.take(p[:n], end, b.err)
+		b.appendPart(p[:n], end, b.err)
 	}
 	n := copy(p, b.ready)
 	if b.ready = b.ready[n:]; len(b.ready) == 0 {
@@ -170,7 +173,7 @@
 	return n, nil
 }
 
-// read passes on what the connection has, and at the end gives it back.
+// read reads from the connection, and returns the connection to the pool at the end of the body.
 func (b *body) read(p []byte) (int, error) {
 	if b.stream == nil {
 		b.finish()
@@ -180,13 +183,13 @@
 	b.tail = append(b.tail, p[:n]...)
 	b.tail = b.tail[max(0, len(b.tail)-tailSize):]
 	switch {
-	case err == io.EOF && b.events && b.attempt.isGivenUp() && !endsWhole(b.tail):
-		err = errCutShort
-		b.conn.end()
-	case err == io.EOF && b.events && len(b.tail) == 0: // no answer of this request's: a better one may follow
-		b.conn.end()
+	case err == io.EOF && b.isEventStream && b.attempt.isAborted() && !hasEndMark(b.tail):
+		err = errAborted
+		b.conn.shutdown()
+	case err == io.EOF && b.isEventStream && len(b.tail) == 0: // may answer an earlier request
+		b.conn.shutdown()
 	case err == io.EOF:
-		b.load = b.attempt.client.report(b.load, commentIn(b.tail, b.attempt.client.cfg.LoadHeader))
+		b.load = b.attempt.client.parseReport(b.load, lastComment(b.tail, b.attempt.client.cfg.LoadHeader))
 		b.finish()
 	case err != nil:
 		b.conn.abandon(err)
@@ -194,17 +197,19 @@
 	return n, err
 }
 
-// errCutShort is the end of a stream that was given up here: a worker that learns of it may end in good order what is not whole.
-var errCutShort = errors.New("the stream was broken off")
+// errAborted ends a stream whose attempt was aborted and that lacks its end mark: a worker that
+// notices the abort may end an incomplete stream properly.
+var errAborted = errors.New("stream cut short after its attempt was aborted")
 
-// endMark is what the last event of a whole stream holds.
+// endMark is the last event of a complete stream.
 const endMark = "data: [DONE]"
 
-// endsWhole tells whether a stream with these latest bytes came to its end by itself. A report may stand behind the mark.
-func endsWhole(tail []byte) bool { return bytes.Contains(tail, []byte(endMark)) }
+// hasEndMark reports whether the latest bytes of a stream hold the end mark. A load report may
+// follow it.
+func hasEndMark(tail []byte) bool { return bytes.Contains(tail, []byte(endMark)) }
 
 func (b *body) finish() {
-	if !b.attempt.disown() {
+	if !b.attempt.detachConn() {
 		return
 	}
 	if b.head.ConnectionClose() {
@@ -214,17 +219,17 @@
 	b.attempt.client.pool.put(b.attempt.Worker, b.conn)
 }
 
-// Close implements io.Closer: what has not been read is given up.
+// Close implements io.Closer. It aborts the attempt, unless the body was read to its end.
 func (b *body) Close() error {
-	b.attempt.giveUp()
+	b.attempt.abort()
 	return nil
 }
 
-// Head is what a front needs to know of an answer beside its bytes.
+// Head holds what a front needs to know of an answer besides its bytes.
 type Head struct {
 	Status      int
 	ContentType string
-	Size        int // -1 where the answer comes bit by bit
+	Size        int // in bytes; -1 for an answer that is streamed
 }
 
 func headOf(h *fasthttp.ResponseHeader, size int) Head {
@@ -240,13 +245,13 @@
 // Load implements router.Answer.
 func (b *body) Load() logic.Load { return b.load }
 
-// whole reads an answer to its end.
-func (b *body) whole(most int) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(readerFunc(b.read), int64(most)+1))
+// readAll reads an answer of at most limit bytes to its end.
+func (b *body) readAll(limit int) ([]byte, error) {
+	text, err := io.ReadAll(io.LimitReader(readerFunc(b.read), int64(limit)+1))
 	if err != nil {
 		return nil, fmt.Errorf("read answer: %w", err)
 	}
-	if len(text) > most {
+	if len(text) > limit {
 		return nil, errTooLarge
 	}
 	return text, nil
@@ -256,19 +261,20 @@
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// buffered is an answer that was read whole before it counted as begun.
+// buffered is an answer that was read whole before it was reported as started. It implements
+// router.Answer.
 type buffered struct {
-	rest []byte
-	head Head
-	load logic.Load
+	unread []byte
+	head   Head
+	load   logic.Load
 }
 
 func (b *buffered) Read(p []byte) (int, error) {
-	if len(b.rest) == 0 {
+	if len(b.unread) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
 	return n, nil
 }
 
@@ -280,8 +286,8 @@
 
 func (b *buffered) Load() logic.Load { return b.load }
 
-// CachedTokens finds the last count of prompt tokens found kept in an answer; 0
-// if there is none.
+// CachedTokens returns the last count of cached prompt tokens in the text of an answer, or 0 if
+// there is none.
 func CachedTokens(text []byte) uint32 {
 	const name = `"cached_tokens":`
 	i := bytes.LastIndex(text, []byte(name))
--- a/upstream/chunked.go
+++ b/upstream/chunked.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	mostChunk    = 256 << 10 // as much as a whole body may hold
-	mostTrailers = 16
-	mostSize     = 8 // digits of a chunk's size
+	maxChunk      = 256 << 10 // bytes; a whole body may hold as much
+	maxTrailers   = 16
+	maxSizeDigits = 8 // hexadecimal digits of a chunk's size
 )
 
-var errChunk = errors.New("the chunk can't be read")
+var errChunk = errors.New("malformed chunk")
 
-// chunked reads a chunked body and hands on whole chunks only. Workers' streams
-// arrive spoilt: a size that is none, data that does not fit it, 3 GB announced.
-// fasthttp's reader hands on what it has before it can tell, and has no bound.
+// chunked reads a chunked body and returns the data of complete chunks only. Workers' streams may
+// arrive malformed: a size that is no number, data that does not match the size, a size of 3 GB.
+// fasthttp's reader returns data before it detects such faults, and does not bound the size.
 type chunked struct {
 	br   *bufio.Reader
-	data bytes.Buffer // what is left of a chunk that was read whole
+	data bytes.Buffer // the unread rest of a complete chunk
 	err  error
 }
 
@@ -37,7 +37,7 @@
 	return c.data.Read(p)
 }
 
-// next reads a chunk whole; io.EOF stands for the last one.
+// next reads a whole chunk. It returns io.EOF after the last one.
 func (c *chunked) next() error {
 	size, err := c.size()
 	if err != nil {
@@ -49,12 +49,12 @@
 	c.data.Reset()
 	if _, err := io.CopyN(&c.data, c.br, size); err != nil {
 		c.data.Reset()
-		return short(err)
+		return unexpectedEOF(err)
 	}
 	end := make([]byte, 2)
 	if _, err := io.ReadFull(c.br, end); err != nil || string(end) != "\r\n" {
 		c.data.Reset()
-		return errors.Join(errChunk, short(err))
+		return errors.Join(errChunk, unexpectedEOF(err))
 	}
 	return nil
 }
@@ -67,15 +67,15 @@
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
 	size, err := strconv.ParseUint(string(digits), 16, 63)
-	if err != nil || len(digits) > mostSize || size > mostChunk {
+	if err != nil || len(digits) > maxSizeDigits || size > maxChunk {
 		return 0, fmt.Errorf("%w: size %.20q", errChunk, digits)
 	}
 	return int64(size), nil
 }
 
-// trailers reads to the end of the body.
+// trailers reads the trailer lines to the end of the body and returns io.EOF there.
 func (c *chunked) trailers() error {
-	for range mostTrailers {
+	for range maxTrailers {
 		line, err := c.line()
 		if err != nil {
 			return err
@@ -90,17 +90,17 @@
 func (c *chunked) line() ([]byte, error) {
 	line, err := c.br.ReadSlice('\n')
 	if err != nil {
-		return nil, short(err)
+		return nil, unexpectedEOF(err)
 	}
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
-	if !ok || bytes.IndexByte(line, '\r') >= 0 { // other readers end the line there
+	if !ok || bytes.IndexByte(line, '\r') >= 0 { // other readers accept a bare CR as a line end
 		return nil, errChunk
 	}
 	return line, nil
 }
 
-// short makes an end in the middle of something an error.
-func short(err error) error {
+// unexpectedEOF turns an io.EOF in the middle of a body into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/upstream/chunked_fuzz_test.go
+++ b/upstream/chunked_fuzz_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A chunked body that is taken whole is what the standard library reads there, to the byte, and what is handed on of
-// one that is not is a beginning of it. Nothing is held beyond a chunk.
+// A chunked body that is read without an error must equal what the standard library's reader
+// returns. After an error, the data returned so far must be a prefix of the body, and never exceeds
+// the input.
 func FuzzChunked(f *testing.F) {
 	for _, text := range []string{
 		wholeText, "0\r\n\r\n", "2\r\nab\r\n0\r\nX: y\r\n\r\n", "2;x=y\r\nab\r\n0\r\n\r\n", "00000002\r\nab\r\n0\r\n\r\n", "2 \r\nab\r\n0\r\n\r\n",
@@ -24,10 +25,10 @@
 		theirs, theirErr := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		require.LessOrEqual(t, len(ours), len(text))
 		if err == nil {
-			require.NoError(t, theirErr, "%q is taken", text)
+			require.NoError(t, theirErr, "%q is accepted", text)
 			require.Equal(t, string(theirs), string(ours))
 			return
 		}
-		require.True(t, bytes.HasPrefix(theirs, ours) || bytes.HasPrefix(ours, theirs), "%q: %q is handed on, not %q", text, ours, theirs)
+		require.True(t, bytes.HasPrefix(theirs, ours) || bytes.HasPrefix(ours, theirs), "%q: %q is returned, not %q", text, ours, theirs)
 	})
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -11,72 +11,72 @@
 	"lichenshelf/router"
 )
 
-// errNoAnswer says that not a byte of one came.
+// errNoAnswer means that not one byte of an answer arrived.
 var errNoAnswer = errors.New("no answer")
 
-// The reasons of this package's own for an attempt's end.
+// Reasons for which this package itself ends an attempt.
 var (
-	errUnconfirmed = errors.New("not acknowledged by the worker's system in time")
-	errLeaving     = errors.New("told to leave as the connection came up")
+	errNotAcknowledged = errors.New("request not acknowledged by the worker's kernel in time")
+	errDraining        = errors.New("worker began to drain while its connection was opened")
 )
 
-var errInterim = errors.New("nothing but heads that announce an answer")
+var errOnlyInterim = errors.New("only interim (1xx) heads received")
 
-// Message is a request as it goes to a worker; the payload of a router.Request.
+// Message is a request as it is sent to a worker. It is the payload of a router.Request.
 type Message struct {
 	Method string
-	URI    string // path and query, as they came
+	URI    string // path and query, unchanged
 	Header [][2]string
 	Body   []byte
-	// Stream says that the answer is passed on as it comes. Otherwise it is read
-	// whole first, so that one that breaks off can be tried again.
+	// Stream says that the answer is passed on as it arrives. Otherwise it is read whole first, so
+	// that the request can be retried if the answer breaks off.
 	Stream bool
 }
 
-// Config is what a Client is made of.
+// Config configures a Client.
 type Config struct {
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // workers close idle connections at the latest then
+	ConnIdle       time.Duration // after at most this time workers close an idle connection
 	MaxConns       int
-	MaxAnswer      int           // bound of an answer that is read whole
-	StreamStall    time.Duration // a stream without a byte for so long is broken
-	// BodyWait is how long the body of what is no answer for the client may take, once its head
-	// is there. 0 means headWait.
+	MaxAnswer      int           // bytes of an answer that is read whole
+	StreamStall    time.Duration // a stream that sends nothing for this long has failed
+	// BodyWait bounds the time from the head to the end of a response that is no answer for the
+	// client. 0 means headTimeout.
 	BodyWait    time.Duration
-	WaitHeader  string // tells a worker how long its answer is waited for
-	ReleasePath string // where held state is let go of, before the request's name
-	// Final tells which other statuses are answers for the client, as a 200 is.
-	// It may be nil.
+	WaitHeader  string // header that states how long the router waits for the answer, in ms
+	ReleasePath string // path that releases held state, before the request's name
+	// Final reports whether a status other than 200 is an answer for the client as well. It may be
+	// nil.
 	Final func(status int) bool
-	// LoadHeader names the header of answers that holds a worker's load report. At the
-	// end of a stream the report is a comment line of the same form. Empty: none is read.
+	// LoadHeader names the header of answers that holds a worker's load report. At the end of a
+	// stream the report is a comment line of the same form. If it is empty, reports are not read.
 	LoadHeader string
-	// Report reads one; a report that can't be read is counted and counts for nothing.
+	// Report parses a load report. A report that can't be parsed is counted and ignored.
 	Report func(text string) (logic.Load, error)
-	// Judge maps all that is no answer to its outcome.
+	// Judge maps a response that is no answer for the client to its outcome.
 	Judge    func(status int, header *fasthttp.ResponseHeader, body []byte) router.Outcome
 	Counters router.Counters
 }
 
-// Client is the transport to workers.
+// Client sends requests to workers. It implements router.Transport.
 type Client struct {
-	cfg         Config
-	pool        pool
-	releaseWait time.Duration
-	targets     releaseTargets
+	cfg                Config
+	pool               pool
+	releaseCallTimeout time.Duration
+	targets            releaseTargets
 }
 
-// idleShare of the time after which a worker closes an idle connection is how
-// long one is kept here: a request written to a connection that is just being
-// closed is lost as a reset, and may have run as far as anybody can tell.
+// idleShare is the share of ConnIdle for which an idle connection is kept: a request that is
+// written to a connection while the worker closes it ends in a reset, and the router can't tell
+// whether it ran.
 const idleShare = 0.7
 
-// New returns a transport.
+// New returns a Client.
 func New(cfg Config) *Client {
-	c := &Client{cfg: cfg, releaseWait: releaseWait}
+	c := &Client{cfg: cfg, releaseCallTimeout: releaseCallTimeout}
 	c.targets.windows = map[*router.Worker]*window{}
-	c.pool.dialTimeout, c.pool.most, c.pool.learning, c.pool.rest = cfg.ConnectTimeout, cfg.MaxConns, mostLearning, restFor
-	c.pool.idleFor = time.Duration(float64(cfg.ConnIdle) * idleShare)
+	c.pool.dialTimeout, c.pool.maxOpen, c.pool.shutdownWait, c.pool.reuseDelay = cfg.ConnectTimeout, cfg.MaxConns, maxShutdownWait, minReuseDelay
+	c.pool.idleTimeout = time.Duration(float64(cfg.ConnIdle) * idleShare)
 	c.pool.idle = map[*router.Worker][]*conn{}
 	return c
 }
@@ -90,14 +90,14 @@
 // Send implements router.Transport.
 func (c *Client) Send(a router.Attempt, sink router.Sink) func() <-chan struct{} {
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &attempt{Attempt: a, client: c, sink: sink, cancel: cancel, until: time.Now().Add(a.Wait), msg: *a.Request.Payload.(*Message)}
+	x := &attempt{Attempt: a, client: c, sink: sink, cancel: cancel, answerBy: time.Now().Add(a.Wait), msg: *a.Request.Payload.(*Message)}
 	go x.run(ctx)
-	return x.giveUp
+	return x.abort
 }
 
-// headWait is for an answer's head once it has begun: one that does not end must
-// not look like a worker that is still at work.
-const headWait = time.Second
+// headTimeout bounds the time from the first byte of an answer's head to its end: an incomplete
+// head must not look like a worker that is still processing the request.
+const headTimeout = time.Second
 
-// mostInterim bounds the 1xx heads before an answer.
-const mostInterim = 100
+// maxInterim bounds the number of 1xx heads before an answer.
+const maxInterim = 100
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -18,18 +18,19 @@
 	"lichenshelf/router"
 )
 
-// ends is a sink that hands on what it is told.
-type ends struct {
+// recordingSink is a router.Sink that passes outcomes and answers to channels.
+type recordingSink struct {
 	outcomes chan router.Outcome
 	answers  chan router.Answer
 }
 
-func (e ends) Written(router.Written)  {}
-func (e ends) Started(a router.Answer) { e.answers <- a }
-func (e ends) Ended(o router.Outcome)  { e.outcomes <- o }
+func (e recordingSink) Written(router.Written)  {}
+func (e recordingSink) Started(a router.Answer) { e.answers <- a }
+func (e recordingSink) Ended(o router.Outcome)  { e.outcomes <- o }
 
-// against starts a worker that serves each connection with f, and a client whose connections need no rest.
-func against(t *testing.T, f func(net.Conn)) (*Client, *router.Worker, *metrics.Set) {
+// startWorker starts a worker that serves each connection with f, and a client that reuses
+// connections without a delay.
+func startWorker(t *testing.T, f func(net.Conn)) (*Client, *router.Worker, *metrics.Set) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -51,17 +52,17 @@
 			}
 			return router.Outcome{Status: logic.ServerError}
 		}})
-	client.pool.rest = 0 // tests of what happens on a connection that is used again use it at once
+	client.pool.reuseDelay = 0 // tests of reused connections reuse them at once
 	return client, &router.Worker{Name: "w", Addr: l.Addr().String()}, counters
 }
 
-func send(c *Client, w *router.Worker, stream bool) (ends, func() <-chan struct{}) {
-	e := ends{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
+func send(c *Client, w *router.Worker, stream bool) (recordingSink, func() <-chan struct{}) {
+	e := recordingSink{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
 	m := &Message{Method: "POST", URI: "/x", Body: []byte("body"), Stream: stream}
 	return e, c.Send(router.Attempt{Request: &router.Request{Name: "a", Payload: m}, Worker: w, Wait: time.Second}, e)
 }
 
-// request reads one request whole.
+// request reads one whole request. It returns false if that fails.
 func request(c net.Conn) bool {
 	req := fasthttp.AcquireRequest()
 	return req.Read(bufio.NewReader(c)) == nil
@@ -69,23 +70,23 @@
 
 const accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-func TestOutcomeTellsWhetherItMayHaveRun(t *testing.T) {
-	c, w, _ := against(t, func(nc net.Conn) {
+func TestOutcomeShowsWhetherTheRequestMayHaveRun(t *testing.T) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_ = nc.Close()
 	})
 	e, _ := send(c, w, true)
 	require.Equal(t, logic.ConnectionReset, (<-e.outcomes).Status, "its last byte was written")
-	nobody := &router.Worker{Name: "n", Addr: "127.0.0.1:1"}
-	e, _ = send(c, nobody, true)
+	unreachable := &router.Worker{Name: "n", Addr: "127.0.0.1:1"}
+	e, _ = send(c, unreachable, true)
 	require.Equal(t, logic.ConnectFailed, (<-e.outcomes).Status)
 }
 
-// A worker that closes a kept connection just as a request goes out on it must
-// look like a reset, and must not get it twice.
+// A worker closes a reused connection just as a request is written to it. The attempt must end as a
+// reset, and the request must not be sent again.
 func TestResetOnAReusedConnectionIsNotSentAgain(t *testing.T) {
 	got := make(chan int, 8)
-	c, w, counters := against(t, func(nc net.Conn) {
+	c, w, counters := startWorker(t, func(nc net.Conn) {
 		for n := 1; request(nc); n++ {
 			got <- n
 			if n == 2 {
@@ -105,10 +106,10 @@
 	require.EqualValues(t, 1, counters.Get("connections_opened"))
 }
 
-// An idle connection that the worker has closed is not used again.
+// An idle connection that the worker has closed is not reused.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	closed := make(chan struct{}, 8)
-	c, w, counters := against(t, func(nc net.Conn) {
+	c, w, counters := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_, _ = nc.Write([]byte(accepted))
 		_ = nc.Close()
@@ -122,9 +123,9 @@
 	require.EqualValues(t, 2, counters.Get("connections_opened"))
 }
 
-// A worker that vanishes leaves its stream open and silent.
+// An unreachable worker leaves its stream open and silent. The stream must fail.
 func TestSilentStreamCountsAsBroken(t *testing.T) {
-	c, w, _ := against(t, func(nc net.Conn) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_, _ = nc.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n"))
 	})
@@ -139,7 +140,7 @@
 }
 
 func TestAnswerReadWholeIsBounded(t *testing.T) {
-	c, w, _ := against(t, func(nc net.Conn) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_, _ = nc.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4096\r\n\r\n"))
 		_, _ = nc.Write(make([]byte, 4096))
@@ -148,9 +149,10 @@
 	require.Equal(t, logic.ServerError, (<-e.outcomes).Status)
 }
 
-// Neither counted nor chunked, an answer that ends cannot be told whole from broken.
+// Without Content-Length and chunked encoding, a complete answer can't be distinguished
+// from a truncated one.
 func TestAnswerWithoutAnEndIsAReset(t *testing.T) {
-	c, w, _ := against(t, func(nc net.Conn) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_, _ = nc.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{}"))
 		_ = nc.Close()
@@ -161,7 +163,7 @@
 
 func TestConnectionsAreBounded(t *testing.T) {
 	hold := make(chan struct{})
-	c, w, _ := against(t, func(net.Conn) { <-hold })
+	c, w, _ := startWorker(t, func(net.Conn) { <-hold })
 	defer close(hold)
 	_, first := send(c, w, true)
 	_, second := send(c, w, true)
@@ -187,9 +189,10 @@
 	wholeText  = "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
 )
 
-// replies serves each connection's first request with text and leaves it open, as
-// a worker does whose answer arrives spoilt. It notes when the client closes it.
-func replies(text string, closed chan<- struct{}) func(net.Conn) {
+// respondAndWait answers each connection's first request with text and leaves the connection open,
+// as a worker with a malformed answer does. It sends to closed when the client closes the
+// connection.
+func respondAndWait(text string, closed chan<- struct{}) func(net.Conn) {
 	return func(nc net.Conn) {
 		if !request(nc) {
 			return
@@ -200,21 +203,21 @@
 	}
 }
 
-// An answer that is spoilt before its first event has to end the attempt at once:
-// the worker's connection stays open, and waiting would cost the client its time.
-// The connection is of no further use.
-func TestAnswerSpoiltFromTheStartIsAReset(t *testing.T) {
+// An answer that is malformed before its first event must end the attempt at once: the worker
+// leaves the connection open, and waiting would use up the client's time. The connection must be
+// closed.
+func TestAnswerMalformedFromTheStartIsAReset(t *testing.T) {
 	for _, text := range []string{
 		"noise \x00\xff that is no head\r\n\r\n", "noise without an end", "HTTP/1.1 200 OK\r\nX: ",
 		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 2*readBuffer), "HTTP/1.1 abc OK\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nab", "HTTP/1.1 200 OK\r\n\r\nab",
-		strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", mostInterim+1),
+		strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInterim+1),
 		streamHead + "zz\r\nab\r\n", streamHead + "-2\r\nab\r\n", streamHead + "\r\nab\r\n",
 		streamHead + "1\r\nab\r\n0\r\n\r\n", streamHead + "C0000000\r\nab", streamHead + "fffffffffffffffff\r\nab",
 		streamHead + "2\nab\n", streamHead + strings.Repeat("0", 2*readBuffer),
 	} {
 		closed := make(chan struct{}, 1)
-		c, w, _ := against(t, replies(text, closed))
+		c, w, _ := startWorker(t, respondAndWait(text, closed))
 		from := time.Now()
 		e, _ := send(c, w, true)
 		select {
@@ -224,16 +227,16 @@
 			t.Fatalf("%.60q began an answer", text)
 		}
 		<-closed
-		require.Less(t, time.Since(from), headWait+2*time.Second, "%.60q", text)
+		require.Less(t, time.Since(from), headTimeout+2*time.Second, "%.60q", text)
 	}
 }
 
-// One that is spoilt later must break off, not go on as if it were whole.
-func TestStreamSpoiltLaterBreaksOff(t *testing.T) {
+// A stream that is malformed after its first event must fail, not end as if it were complete.
+func TestStreamMalformedLaterFails(t *testing.T) {
 	for _, text := range []string{"zz\r\nab\r\n", "1\r\nab\r\n0\r\n\r\n", "C0000000\r\n" + strings.Repeat("x", 1<<20),
 		"0\r\nX: y", "1\r\nb"} {
 		closed := make(chan struct{}, 1)
-		c, w, _ := against(t, replies(streamHead+"9\r\ndata: a\n\n\r\n"+text, closed))
+		c, w, _ := startWorker(t, respondAndWait(streamHead+"9\r\ndata: a\n\n\r\n"+text, closed))
 		e, _ := send(c, w, true)
 		a := <-e.answers
 		got, err := io.ReadAll(a)
@@ -243,10 +246,10 @@
 	}
 }
 
-// Good answers may bring more than belongs to them. What comes behind one must not
-// be taken for the next.
-func TestAnswersWithMoreThanBelongsToThem(t *testing.T) {
-	c, w, counters := against(t, func(nc net.Conn) {
+// A worker may send bytes after a valid answer. They must not be taken for the next request's
+// answer.
+func TestSurplusBytesBehindAnAnswerAreDiscarded(t *testing.T) {
+	c, w, counters := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_, _ = nc.Write([]byte("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" +
 			streamHead + wholeText + streamHead + "5\r\nother\r\n0\r\n\r\n"))
@@ -260,18 +263,18 @@
 	require.EqualValues(t, 2, counters.Get("connections_opened"))
 }
 
-// Where idle connections are dropped early and without a word, each request that
-// meets one may have run. After the first, only those idle for less are used.
-func TestStaleConnectionsAreUsedNoMore(t *testing.T) {
-	c, w, counters := against(t, func(nc net.Conn) {
+// Idle connections are dropped early and silently, so that each request written to one may have
+// run. After the first such request, only connections with a shorter idle time are reused.
+func TestStaleConnectionLowersTheIdleLimit(t *testing.T) {
+	c, w, counters := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_, _ = nc.Write([]byte(accepted))
-		request(nc) // and the connection breaks
+		request(nc) // then the connection breaks
 		_ = nc.Close()
 	})
 	e, _ := send(c, w, true)
 	require.Equal(t, logic.PromptRead, (<-e.outcomes).Status)
-	time.Sleep(2 * leastTrust)
+	time.Sleep(2 * minIdleLimit)
 	e, _ = send(c, w, true)
 	o := <-e.outcomes
 	require.Equal(t, logic.ConnectionReset, o.Status)
@@ -279,14 +282,14 @@
 	for range 3 {
 		e, _ = send(c, w, true)
 		require.Equal(t, logic.PromptRead, (<-e.outcomes).Status, "on a new connection")
-		time.Sleep(4 * leastTrust)
+		time.Sleep(4 * minIdleLimit)
 	}
 	require.EqualValues(t, 4, counters.Get("connections_opened"))
 }
 
-// A worker that breaks off on a new connection is the one to doubt.
+// A reset of a new connection is the worker's failure.
 func TestResetOfANewConnectionIsNotStale(t *testing.T) {
-	c, w, _ := against(t, func(nc net.Conn) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_ = nc.Close()
 	})
@@ -296,15 +299,16 @@
 	require.False(t, o.Stale)
 }
 
-// What has arrived is confirmed late where the other end's system keeps its acknowledgement back.
-func TestArrivalsHaveTimeToBeConfirmed(t *testing.T) {
+// A request that has arrived is acknowledged late if the peer's kernel delays the acknowledgement.
+func TestAckDeadlineAllowsForDelayedAcks(t *testing.T) {
 	wrote := time.Now()
-	require.Equal(t, wrote.Add(confirmAfter), confirmBy(wrote, wrote.Add(confirmAfter/2)))
-	require.Equal(t, wrote.Add(2*confirmAfter), confirmBy(wrote, wrote.Add(2*confirmAfter)))
+	require.Equal(t, wrote.Add(minAckWait), ackDeadline(wrote, wrote.Add(minAckWait/2)))
+	require.Equal(t, wrote.Add(2*minAckWait), ackDeadline(wrote, wrote.Add(2*minAckWait)))
 }
 
-// brokenOff is a worker that sends the beginning of a stream, waits, and ends the stream in good order behind a rest.
-func brokenOff(nc net.Conn, first, rest string, wait func(io.Reader)) {
+// endAfterWait is a worker that sends the first part of a stream, waits, sends the rest, if there
+// is one, and ends the stream properly.
+func endAfterWait(nc net.Conn, first, rest string, wait func(io.Reader)) {
 	br := bufio.NewReader(nc)
 	_, _ = http.ReadRequest(br)
 	_, _ = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(first), first)
@@ -315,20 +319,21 @@
 	_, _ = io.WriteString(nc, "0\r\n\r\n")
 }
 
-// A stream that is given up is whole only if its worker had come to the end of it: some end in good order what they break off.
-func TestAStreamThatIsGivenUpIsWholeOnlyWithItsEnd(t *testing.T) {
+// A stream of an aborted attempt is whole only with its end mark: some workers end an incomplete
+// stream properly when they notice the abort.
+func TestAbortedStreamIsWholeOnlyWithItsEndMark(t *testing.T) {
 	const first = "data: {\"a\":1}\n\n"
-	for rest, want := range map[string]error{"": errCutShort, "data: {\"b\":2}\n\n": errCutShort, "data: [DONE]\n\n": nil, "data: [DONE]\n\n: load\n\n": nil} {
-		goOn := make(chan struct{})
-		c, w, _ := against(t, func(nc net.Conn) { brokenOff(nc, first, rest, func(io.Reader) { <-goOn }) })
-		e, giveUp := send(c, w, true)
+	for rest, want := range map[string]error{"": errAborted, "data: {\"b\":2}\n\n": errAborted, "data: [DONE]\n\n": nil, "data: [DONE]\n\n: load\n\n": nil} {
+		proceed := make(chan struct{})
+		c, w, _ := startWorker(t, func(nc net.Conn) { endAfterWait(nc, first, rest, func(io.Reader) { <-proceed }) })
+		e, abort := send(c, w, true)
 		a := (<-e.answers).(*body)
 		a.attempt.mu.Lock()
-		a.attempt.given = true // its connection stays open, so that the reader comes to the end of the stream
+		a.attempt.aborted = true // unlike abort, leaves the connection open to the stream's end
 		a.attempt.mu.Unlock()
-		close(goOn)
+		close(proceed)
 		got, err := io.ReadAll(a)
-		giveUp()
+		abort()
 		require.ErrorIs(t, err, want, "%q", rest)
 		if want == nil {
 			require.Equal(t, first+rest, string(got))
@@ -336,20 +341,21 @@
 	}
 }
 
-// The connection may be closed at the worker's end before its reader has come to the end of the stream: that is an error too,
-// and what was read is the beginning of the stream.
-func TestAStreamIsNotWholeWhereItsConnectionEndsFirst(t *testing.T) {
+// The connection may be closed before the stream is read to its end. That is an error too, and the
+// bytes read are the beginning of the stream.
+func TestStreamIsNotWholeIfItsConnectionClosesFirst(t *testing.T) {
 	const first, mark = "data: {\"a\":1}\n\n", "data: [DONE]\n\n"
 	for range 20 {
 		for _, rest := range []string{"", "data: {\"b\":2}\n\n", mark} {
-			c, w, _ := against(t, func(nc net.Conn) {
-				brokenOff(nc, first, rest, func(r io.Reader) { _, _ = io.Copy(io.Discard, r) }) // until it is given up
+			c, w, _ := startWorker(t, func(nc net.Conn) {
+				// Waits until the abort.
+				endAfterWait(nc, first, rest, func(r io.Reader) { _, _ = io.Copy(io.Discard, r) })
 				_ = nc.Close()
 			})
-			c.pool.learning = time.Minute // the machine may be busy
-			e, giveUp := send(c, w, true)
+			c.pool.shutdownWait = time.Minute // the machine may be busy
+			e, abort := send(c, w, true)
 			a := <-e.answers
-			giveUp()
+			abort()
 			got, err := io.ReadAll(a)
 			require.True(t, strings.HasPrefix(first+rest, string(got)), "%q", got)
 			if err == nil {
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -16,18 +16,18 @@
 // conn is a connection to a worker, used by one goroutine at a time.
 type conn struct {
 	*net.TCPConn
-	br     *bufio.Reader
-	reused bool
-	kept   time.Time     // since when it is idle
-	idled  time.Duration // before its latest use
-	wrote  time.Time     // when the latest request had been written
-	retire *time.Timer   // closes it while idle, well before the worker does
-	pool   *pool
-	ended  chan struct{} // closed when it is
-	once   sync.Once
+	br        *bufio.Reader
+	reused    bool
+	idleSince time.Time     // when it became idle
+	lastIdle  time.Duration // how long it was idle before its latest use
+	writtenAt time.Time     // when writing the latest request ended
+	idleTimer *time.Timer   // closes it while idle, well before the worker does so
+	pool      *pool
+	ended     chan struct{} // closed when the connection is closed
+	once      sync.Once
 }
 
-// port is the connection's at this end, by which records of both ends can be matched.
+// port returns the local port, by which log records of both ends can be matched.
 func (c *conn) port() int {
 	if a, ok := c.LocalAddr().(*net.TCPAddr); ok {
 		return a.Port
@@ -35,45 +35,49 @@
 	return 0
 }
 
-// Close closes the connection and gives its place back. It may be called again.
+// Close closes the connection and frees its slot in the pool. It may be called more than once.
 func (c *conn) Close() (err error) {
 	c.once.Do(func() { err = c.close() })
 	return err
 }
 
 func (c *conn) close() error {
-	c.dropUnconfirmed(0)
+	c.dropUnacknowledged(0)
 	err := c.TCPConn.Close()
-	c.pool.closed()
+	c.pool.releaseSlot()
 	close(c.ended)
 	return err
 }
 
-// mostLearning bounds the time that is left to a worker to learn that an attempt was given up: what follows
-// must still be within a request's time (router's answerMargin).
-const mostLearning = 10 * time.Millisecond
+// maxShutdownWait bounds the time that a worker has to notice that an attempt was aborted: what
+// follows must still be within the request's time (answerMargin in package router).
+const maxShutdownWait = 10 * time.Millisecond
 
-// finOctet is what the end of the sending counts among the bytes that are not confirmed.
+// finOctet is the FIN's share of the unacknowledged bytes: it uses up one sequence number.
 const finOctet = 1
 
-// end is Close for a connection that has a request out: it ends the sending, by which a worker learns that the attempt is
-// given up, and closes when the worker has ended its side as well, or after mostLearning. The channel is closed then. How long
-// that takes can't be foretold: the time in which the connection came up is often less (docs/measurements/crossings.md).
-func (c *conn) end() (known <-chan struct{}) {
+// shutdown closes a connection that has a request in flight: it closes the sending side, which
+// notifies the worker that the attempt was aborted, and closes the connection when the worker has
+// closed its side as well, or after maxShutdownWait. The returned channel is closed then. How long
+// the worker takes can't be predicted: it is often longer than opening the connection took
+// (docs/measurements/crossings.md).
+func (c *conn) shutdown() (closed <-chan struct{}) {
 	c.once.Do(func() {
-		if c.TCPConn.CloseWrite() != nil { // it has broken
+		if c.TCPConn.CloseWrite() != nil { // the connection is broken already
 			_ = c.close()
 			return
 		}
-		bound := time.AfterFunc(c.pool.learning, func() {
-			c.dropUnconfirmed(finOctet)
+		bound := time.AfterFunc(c.pool.shutdownWait, func() {
+			c.dropUnacknowledged(finOctet)
 			_ = c.TCPConn.Close()
 		})
 		go func() {
-			err := os.ErrDeadlineExceeded // one that is set, or set by who reads, is not meant for this
+			// A read deadline that is set, or that a reader sets meanwhile, is not meant for this
+			// wait.
+			err := os.ErrDeadlineExceeded
 			for errors.Is(err, os.ErrDeadlineExceeded) {
 				_ = c.SetReadDeadline(time.Time{})
-				err = c.hungUp()
+				err = c.waitPeerClosed()
 			}
 			bound.Stop()
 			_ = c.close()
@@ -82,26 +86,28 @@
 	return c.ended
 }
 
-// dropUnconfirmed has the system drop, at the close, what the other end's system has not confirmed, if that is more than so many
-// bytes. Left in the system's queue it would be sent again, and arrive when the other end is back: long after others have taken
-// the request on, its client has gone, or what was held for it has been let go of.
-func (c *conn) dropUnconfirmed(most int) {
-	if unconfirmed(c) > most {
+// dropUnacknowledged makes the kernel discard unacknowledged bytes when the connection is closed,
+// if there are more than the tolerated number. If they stayed in the send queue, they would be
+// retransmitted and arrive when the peer is reachable again: long after another worker has
+// processed the request, its client has left, or the state held for it has been released.
+func (c *conn) dropUnacknowledged(tolerated int) {
+	if unacknowledgedBytes(c) > tolerated {
 		_ = c.TCPConn.SetLinger(0)
 	}
 }
 
-// abandon ends a connection on which reading an answer failed, at once where the other end has ended it.
+// abandon closes a connection on which reading an answer failed: at once if the peer has closed it,
+// otherwise by shutdown.
 func (c *conn) abandon(err error) {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) {
 		_ = c.Close()
 		return
 	}
-	c.end()
+	c.shutdown()
 }
 
-// hungUp waits, beside who reads, until the other end has ended its side.
-func (c *conn) hungUp() error {
+// waitPeerClosed waits until the peer has closed its side. Another goroutine may read meanwhile.
+func (c *conn) waitPeerClosed() error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -109,8 +115,8 @@
 	return socket.WaitHungUp(raw)
 }
 
-// alive looks, without waiting, whether the worker has closed the connection or
-// has said something that nobody asked for.
+// alive reports, without waiting, whether an idle connection is usable: the worker has neither
+// closed it nor sent unrequested bytes.
 func (c *conn) alive() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -123,10 +129,10 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// staleWithin is how soon a request breaks off that met a connection which its
+// staleWithin bounds the time in which a request fails that was written to a connection that the
 // worker had dropped.
 const staleWithin = 50 * time.Millisecond
 
-// stale tells whether a request met a connection that its worker had dropped while
-// it was idle. That says nothing of the worker.
-func (c *conn) stale() bool { return c.reused && time.Since(c.wrote) < staleWithin }
+// isStale reports whether the latest request was written to a connection that the worker had
+// dropped while it was idle. Such a failure says nothing about the worker's health.
+func (c *conn) isStale() bool { return c.reused && time.Since(c.writtenAt) < staleWithin }
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -27,22 +27,22 @@
 	"lichenshelf/router"
 )
 
-// A worker is told the time that is left when its first byte goes out: a connection may have taken
-// long to come up, or the first one broke.
-func TestTheTimeToldIsWhatIsLeft(t *testing.T) {
+// The wait header must state the time that is left when the request's first byte is written:
+// opening the connection may have taken long, or the first connection may have failed.
+func TestWaitHeaderIsTheTimeLeft(t *testing.T) {
 	const wait, late = 10 * time.Second, 300 * time.Millisecond
-	told := make(chan int, 1)
+	stated := make(chan int, 1)
 	l, err := deaf.Listen()
 	require.NoError(t, err)
 	t.Cleanup(l.Close)
 	c := New(Config{ConnectTimeout: wait, ConnIdle: time.Minute, MaxConns: 8, WaitHeader: "X-Wait", Counters: &metrics.Set{},
 		Judge: func(int, *fasthttp.ResponseHeader, []byte) router.Outcome { return router.Outcome{} }})
 	w := &router.Worker{Name: "w", Addr: l.Addr()}
-	e := ends{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
+	e := recordingSink{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
 	m := &Message{Method: "POST", URI: "/x", Stream: true}
 	from := time.Now()
 	c.Send(router.Attempt{Request: &router.Request{Name: "a", Payload: m, Received: from, Request: logic.Request{Patience: wait}}, Worker: w, Wait: wait}, e)
-	time.Sleep(late) // its connection does not come up meanwhile
+	time.Sleep(late) // the connection is not accepted meanwhile
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -53,35 +53,36 @@
 				req, err := http.ReadRequest(bufio.NewReader(nc))
 				if err == nil {
 					ms, _ := strconv.Atoi(req.Header.Get("X-Wait"))
-					told <- ms
+					stated <- ms
 				}
 			}()
 		}
 	}()
-	ms := <-told
+	ms := <-stated
 	require.LessOrEqual(t, time.Duration(ms)*time.Millisecond, wait-late)
 	require.GreaterOrEqual(t, time.Duration(ms)*time.Millisecond, wait-time.Since(from)-time.Millisecond)
 }
 
-// A refusal whose body does not come to its end is waited for within a bound, and then may have run; a prompt that was
-// read is held from the head on, whatever becomes of the body.
-func TestTheBodyOfARefusalIsBounded(t *testing.T) {
+// Waiting for the end of a refusal's body is bounded. If the body is incomplete, the request may
+// have run. A prompt that was read is held as soon as the head has arrived, whatever happens to the
+// body.
+func TestRefusalBodyIsBounded(t *testing.T) {
 	heads := map[string]logic.Status{
 		"503 Service Unavailable\r\nX-Not-Run: 1": logic.ConnectionReset, "410 Gone\r\nX-Not-Run: 1": logic.ConnectionReset,
 		"202 Accepted": logic.PromptRead, "500 Internal Server Error": logic.ConnectionReset,
 	}
 	bodies := map[string]string{
-		"never comes": "Content-Length: 10\r\n\r\n", "stops": "Content-Length: 10\r\n\r\n{}", "has no end": "\r\n",
-		"never ends":  "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("2\r\nab\r\n", 10),
-		"is spoilt":   "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-		"is too long": "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("400\r\n"+strings.Repeat("x", 1<<10)+"\r\n", 4),
+		"is missing": "Content-Length: 10\r\n\r\n", "stops": "Content-Length: 10\r\n\r\n{}", "has no length": "\r\n",
+		"never ends":   "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("2\r\nab\r\n", 10),
+		"is malformed": "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+		"is too long":  "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("400\r\n"+strings.Repeat("x", 1<<10)+"\r\n", 4),
 	}
 	for head, want := range heads {
 		for name, body := range bodies {
 			t.Run(head[:3]+" "+name, func(t *testing.T) {
 				t.Parallel()
 				closed := make(chan struct{}, 1)
-				c, w, _ := against(t, replies("HTTP/1.1 "+head+"\r\n"+body, closed))
+				c, w, _ := startWorker(t, respondAndWait("HTTP/1.1 "+head+"\r\n"+body, closed))
 				c.cfg.BodyWait = 50 * time.Millisecond
 				c.cfg.Judge = func(status int, h *fasthttp.ResponseHeader, _ []byte) router.Outcome {
 					switch {
@@ -92,30 +93,31 @@
 					}
 					return router.Outcome{Status: logic.ServerError}
 				}
-				e := ends{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
+				e := recordingSink{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
 				m := &Message{Method: "POST", URI: "/x", Stream: true}
 				c.Send(router.Attempt{Request: &router.Request{Name: "a", Payload: m}, Worker: w, Wait: time.Hour}, e)
 				select {
 				case o := <-e.outcomes:
 					require.Equal(t, want, o.Status)
 				case <-time.After(10 * time.Second):
-					t.Fatal("it is waited for")
+					t.Fatal("the attempt did not end")
 				}
-				<-closed // the connection is of no further use
+				<-closed // the connection must not be reused
 			})
 		}
 	}
 }
 
-// A request that a worker stops taking half-way never reached it, and is not out for longer than it may take to get there.
-func TestReachBoundsARequestThatIsTakenInPart(t *testing.T) {
-	goOn := make(chan struct{})
-	defer close(goOn)
-	c, w, _ := against(t, func(nc net.Conn) {
+// A worker that stops reading in the middle of a request has not received it. The attempt must end
+// when SendWithin has passed.
+func TestSendWithinBoundsAPartlyWrittenRequest(t *testing.T) {
+	proceed := make(chan struct{})
+	defer close(proceed)
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		_, _ = nc.Read(make([]byte, 1))
-		<-goOn
+		<-proceed
 	})
-	e := ends{make(chan router.Outcome, 1), make(chan router.Answer, 1)}
+	e := recordingSink{make(chan router.Outcome, 1), make(chan router.Answer, 1)}
 	r := &router.Request{Payload: &Message{Method: "POST", URI: "/x", Body: make([]byte, 64<<20)}}
 	c.Send(router.Attempt{Request: r, Worker: w, Wait: time.Hour, SendWithin: 50 * time.Millisecond}, e)
 	select {
@@ -124,18 +126,19 @@
 		o.Cause = nil
 		require.Equal(t, router.Outcome{Status: logic.ConnectFailed, Unreached: true}, o)
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "the attempt is still out")
+		require.Fail(t, "the attempt did not end")
 	}
 }
 
-// taken is a release as a worker took it.
-type taken struct {
+// acceptedRelease is a release that a worker accepted.
+type acceptedRelease struct {
 	path string
 	at   time.Time
 }
 
-// fallSilent starts workers that take releases. Once quiet is set four in five of them say nothing more and take nothing.
-func fallSilent(t *testing.T, n int, took chan<- taken) (workers []*router.Worker, quiet *atomic.Bool) {
+// startPartlySilentWorkers starts workers that accept releases. Once quiet is set, four in five of
+// them neither answer nor accept any.
+func startPartlySilentWorkers(t *testing.T, n int, received chan<- acceptedRelease) (workers []*router.Worker, quiet *atomic.Bool) {
 	quiet = new(atomic.Bool)
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -151,7 +154,7 @@
 				if i%5 != 0 && quiet.Load() {
 					continue
 				}
-				took <- taken{req.URL.Path, time.Now()}
+				received <- acceptedRelease{req.URL.Path, time.Now()}
 				_, _ = io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 			}
 		}
@@ -165,31 +168,33 @@
 	return workers, quiet
 }
 
-// A release finds a worker that runs in time, though four in five of them say nothing, the latest used among
-// them.
-func TestReleasesFindAWorkerThatRuns(t *testing.T) {
+// A release must reach a running worker in time although four in five workers are silent, among
+// them those whose connections were used last.
+func TestReleaseReachesARunningWorker(t *testing.T) {
 	for _, n := range []int{16, 100, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := New(Config{ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute, MaxConns: 2 * n, MaxAnswer: 1 << 10,
 				ReleasePath: "/holds/", Counters: &metrics.Set{}})
-			took := make(chan taken, n)
-			workers, quiet := fallSilent(t, n, took)
+			received := make(chan acceptedRelease, n)
+			workers, quiet := startPartlySilentWorkers(t, n, received)
 			release := func(order []*router.Worker) time.Duration {
 				from, done := time.Now(), make(chan struct{})
 				c.Release("a", append([]*router.Worker(nil), order...), func(*router.Worker, error) { close(done) })
 				<-done
 				for last := from; ; {
 					select {
-					case r := <-took:
+					case r := <-received:
 						last = r.at
 						continue
 					default:
 					}
-					require.True(t, last.After(from), "a release that nobody took")
+					require.True(t, last.After(from), "no worker accepted the release")
 					return last.Sub(from)
 				}
 			}
-			for i := range workers { // a connection to each is at hand, those that fall silent are the latest used
+			// Opens an idle connection to each worker, the latest used ones to those that become
+			// silent.
+			for i := range workers {
 				release(workers[i : i+1])
 			}
 			for i := range workers {
@@ -202,24 +207,24 @@
 			for range 8 {
 				most = max(most, release(workers))
 			}
-			require.Less(t, most, releaseFor)
-			t.Logf("%d workers: %v at most", n, most)
+			require.Less(t, most, releaseTimeout)
+			t.Logf("%d workers: at most %v", n, most)
 		})
 	}
 }
 
-// As many states are let go of at once as reads were out at workers that fell silent together. Calls to silent workers
-// stay out until their time is over, here as long as releases are tried, and must not keep all connections from those that
-// would be answered.
-func TestManyReleasesAtOnceFindAWorkerThatRuns(t *testing.T) {
+// When workers fail together, as many releases start at once as reads were in flight there. Calls
+// to silent workers last until they time out, here as long as the whole release, and must not
+// occupy all connections while running workers could be called.
+func TestManyReleasesReachARunningWorker(t *testing.T) {
 	for _, size := range []struct{ workers, conns, releases int }{{16, 32, 40}, {100, 64, 200}, {400, 64, 200}, {400, 300, 200}} {
 		t.Run(fmt.Sprintf("%d at %d workers over %d connections", size.releases, size.workers, size.conns), func(t *testing.T) {
 			c := New(Config{ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute, MaxConns: size.conns, MaxAnswer: 1 << 10,
 				ReleasePath: "/holds/", Counters: &metrics.Set{}})
-			c.releaseWait = releaseFor
-			took := make(chan taken, size.workers*(size.releases+2))
-			workers, quiet := fallSilent(t, size.workers, took)
-			for range 2 { // some connections are at hand
+			c.releaseCallTimeout = releaseTimeout
+			received := make(chan acceptedRelease, size.workers*(size.releases+2))
+			workers, quiet := startPartlySilentWorkers(t, size.workers, received)
+			for range 2 { // opens some connections, which stay idle
 				for _, w := range workers {
 					done := make(chan struct{})
 					c.Release("before", []*router.Worker{w}, func(*router.Worker, error) { close(done) })
@@ -235,21 +240,21 @@
 			}
 			all.Wait()
 			first := map[string]time.Duration{}
-			for len(took) > 0 {
-				if r := <-took; first[r.path] == 0 && r.at.After(from) {
+			for len(received) > 0 {
+				if r := <-received; first[r.path] == 0 && r.at.After(from) {
 					first[r.path] = r.at.Sub(from)
 				}
 			}
-			require.Len(t, first, size.releases, "releases that a worker took")
-			t.Logf("%v at most", slices.Max(slices.Collect(maps.Values(first))))
+			require.Len(t, first, size.releases, "releases that a worker accepted")
+			t.Logf("at most %v", slices.Max(slices.Collect(maps.Values(first))))
 		})
 	}
 }
 
-// Nobody takes it at first: it is tried again.
-func TestAReleaseThatNobodyTookIsTriedAgain(t *testing.T) {
+// The only worker refuses the release at first. The release must be retried.
+func TestRefusedReleaseIsRetried(t *testing.T) {
 	var refused atomic.Int64
-	c, w, _ := against(t, func(nc net.Conn) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		for br := bufio.NewReader(nc); ; {
 			if _, err := http.ReadRequest(br); err != nil {
 				return
@@ -267,22 +272,21 @@
 	require.EqualValues(t, 4, refused.Load())
 }
 
-// Attempts that have all connections leave some to releases; and the lack of a descriptor is not held against
-// a worker.
-func TestAReleaseHasItsConnectionWhileAttemptsHaveAll(t *testing.T) {
-	taken, goOn := make(chan struct{}, 1), make(chan struct{})
-	defer close(goOn)
-	c, w, _ := against(t, func(nc net.Conn) {
+// Releases can open spare connections while attempts use all others.
+func TestReleaseHasSpareConnections(t *testing.T) {
+	taken, proceed := make(chan struct{}, 1), make(chan struct{})
+	defer close(proceed)
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(nc))
 		if err == nil && req.Method == http.MethodDelete {
 			taken <- struct{}{}
 			_, _ = io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 		}
-		<-goOn
+		<-proceed
 	})
 	for range 2 {
-		_, giveUp := send(c, w, true)
-		defer giveUp()
+		_, abort := send(c, w, true)
+		defer abort()
 	}
 	require.Eventually(t, func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return c.pool.open == 2 },
 		time.Minute, time.Millisecond)
@@ -292,31 +296,32 @@
 	require.Len(t, taken, 1)
 }
 
-// A worker that says something on a resting connection, half a line or another answer, is not taken at its word: the
-// next request goes out on a connection of its own.
-func TestWhatComesOnARestingConnectionIsNoAnswer(t *testing.T) {
+// A worker sends bytes on an idle connection, a partial line or another answer. They must not count
+// as an answer to the next request, which must use a new connection.
+func TestBytesOnAnIdleConnectionAreNoAnswer(t *testing.T) {
 	for _, text := range []string{"H", "HTTP/1.1 2", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", accepted} {
-		said := make(chan struct{}, 2)
-		c, w, counters := against(t, func(nc net.Conn) {
+		sent := make(chan struct{}, 2)
+		c, w, counters := startWorker(t, func(nc net.Conn) {
 			for first := true; request(nc); first = false {
 				_, _ = io.WriteString(nc, accepted)
 				if first {
 					_, _ = io.WriteString(nc, text)
-					said <- struct{}{}
+					sent <- struct{}{}
 				}
 			}
 		})
 		for range 2 {
 			e, _ := send(c, w, true)
 			require.Equal(t, logic.PromptRead, (<-e.outcomes).Status, "%q", text)
-			<-said
+			<-sent
 		}
 		require.EqualValues(t, 2, counters.Get("connections_opened"), "%q", text)
 	}
 }
 
-// The first event comes in parts, and its connection breaks between them: nothing of it is handed on, and the attempt
-// may be made elsewhere. So with one that comes no further. Whole, in whatever form, it is handed on at once.
+// The first event arrives in parts. If the connection breaks or stalls before its end, nothing is
+// passed on, so that the request can be retried at another worker. A whole event is passed on at
+// once.
 func TestAnAnswerBeginsWithAWholeEvent(t *testing.T) {
 	chunk := func(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 	for _, parts := range [][]string{
@@ -326,7 +331,7 @@
 		for _, stays := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%q %v", parts, stays), func(t *testing.T) {
 				t.Parallel()
-				c, w, _ := against(t, func(nc net.Conn) {
+				c, w, _ := startWorker(t, func(nc net.Conn) {
 					request(nc)
 					_, _ = io.WriteString(nc, streamHead)
 					for _, p := range parts {
@@ -341,9 +346,9 @@
 				case o := <-e.outcomes:
 					require.Equal(t, logic.ConnectionReset, o.Status)
 				case <-e.answers:
-					t.Fatal("a part was handed on")
+					t.Fatal("an incomplete event was passed on")
 				case <-time.After(10 * time.Second):
-					t.Fatal("it is waited for")
+					t.Fatal("the attempt did not end")
 				}
 			})
 		}
@@ -354,7 +359,7 @@
 	} {
 		t.Run(fmt.Sprintf("%q", parts), func(t *testing.T) {
 			t.Parallel()
-			c, w, _ := against(t, func(nc net.Conn) {
+			c, w, _ := startWorker(t, func(nc net.Conn) {
 				request(nc)
 				_, _ = io.WriteString(nc, streamHead)
 				for _, p := range parts {
@@ -362,8 +367,8 @@
 				}
 				_, _ = nc.Read(make([]byte, 1))
 			})
-			e, giveUp := send(c, w, true)
-			defer giveUp()
+			e, abort := send(c, w, true)
+			defer abort()
 			select {
 			case a := <-e.answers:
 				want, got := strings.Join(parts, ""), make([]byte, 64)
@@ -371,17 +376,17 @@
 				require.NoError(t, err)
 				require.Equal(t, want, string(got[:n]))
 			case o := <-e.outcomes:
-				t.Fatalf("it ended: %v", o.Status)
+				t.Fatalf("the attempt ended: %v", o.Status)
 			case <-time.After(10 * time.Second):
-				t.Fatal("it is waited for")
+				t.Fatal("the answer did not start")
 			}
 		})
 	}
 }
 
-// The lack of a descriptor says nothing of a worker, and the attempt has not reached it. It is looked at in a process
-// of its own, whose descriptors are taken away.
-func TestTheLackOfADescriptorIsNoFaultOfAWorker(t *testing.T) {
+// If the router has no free file descriptor, the attempt has not reached the worker, and the
+// failure is not the worker's. The test runs in a child process that lowers its descriptor limit.
+func TestDescriptorExhaustionIsNoWorkerFault(t *testing.T) {
 	const child = "LICHENSHELF_TEST_WITHOUT_DESCRIPTORS"
 	if os.Getenv(child) == "" {
 		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.count=1", "-test.v", "-test.timeout=10s")
@@ -391,10 +396,10 @@
 		require.Contains(t, string(out), "--- PASS: "+t.Name())
 		return
 	}
-	c, w, counters := against(t, func(nc net.Conn) { request(nc); _, _ = io.WriteString(nc, accepted) })
+	c, w, counters := startWorker(t, func(nc net.Conn) { request(nc); _, _ = io.WriteString(nc, accepted) })
 	var usual syscall.Rlimit
 	require.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &usual))
-	none := syscall.Rlimit{Cur: 3, Max: usual.Max} // those are open
+	none := syscall.Rlimit{Cur: 3, Max: usual.Max} // the three standard streams are open
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none))
 	e, _ := send(c, w, true)
 	o := <-e.outcomes
@@ -404,55 +409,55 @@
 	require.EqualValues(t, 1, counters.Get("attempts_without_a_connection"))
 }
 
-// An answer without a single event is not this request's: it may be a second one for the request before, and the real one
-// on its way. Its connection must not get to another request, not for a moment.
-func TestAConnectionWithAnEmptyStreamIsNotKept(t *testing.T) {
+// An answer without a single event may be a second answer to the previous request, with the real
+// answer still to come. Its connection must not return to the pool.
+func TestConnectionWithAnEmptyStreamIsNotReused(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", streamHead + "0\r\n\r\n"} {
 		closed := make(chan struct{}, 1)
-		c, w, _ := against(t, replies(text, closed))
+		c, w, _ := startWorker(t, respondAndWait(text, closed))
 		e, _ := send(c, w, true)
 		require.Equal(t, logic.ConnectionReset, (<-e.outcomes).Status)
 		<-closed
 		c.pool.mu.Lock()
-		require.Empty(t, c.pool.idle[w], "it was kept")
+		require.Empty(t, c.pool.idle[w], "the connection was returned to the pool")
 		require.Zero(t, c.pool.open)
 		c.pool.mu.Unlock()
 	}
 }
 
-// The end of a first event is found by looking at each byte once, however small the parts are.
+// The end of the first event must be found whatever the size of the parts.
 func TestFirstEventsInParts(t *testing.T) {
 	for text, want := range map[string]bool{
 		"data: x\n\n": true, "data: x\r\n\r\n": true, "data: x\r\r": true, "data\n\n": true, ": c\n\ndata: x\n\n": true, "id: 1\ndata: x\n\n": true,
 		"data: x\n": false, "data: x\r\n": false, "dat: x\n\n": false, " data: x\n\n": false, "\n\n\n": false, "x data: x\n\n": false, "data": false,
 	} {
 		for size := 1; size <= len(text); size++ {
-			var e eventEnds
+			var e eventScanner
 			got := false
 			for i := 0; i < len(text) && !got; i += size {
-				_, got = e.last([]byte(text[i:min(i+size, len(text))]))
+				_, got = e.scan([]byte(text[i:min(i+size, len(text))]))
 			}
 			require.Equal(t, want, got, "%q in parts of %d", text, size)
 		}
 	}
 }
 
-// An attempt that is given up, or whose answer is spoilt, is out until its worker has ended its side as well, which it does
-// when it knows: the sending is ended first, and the connection closed after that. A worker that says nothing is not waited
-// for longer than the bound.
-func TestAnAttemptIsOutUntilItsWorkerKnows(t *testing.T) {
+// An attempt that is aborted, or whose answer is malformed, lasts until its worker has closed its
+// side of the connection as well, which shows that it noticed: the router closes its sending side
+// first and the connection after that. The wait for a silent worker is bounded.
+func TestAttemptLastsUntilItsWorkerHasClosed(t *testing.T) {
 	for name, tc := range map[string]struct {
 		answer string // to the second request of the connection; empty: none
 		ends   bool   // the worker closes the connection after it by itself
 	}{
-		"given up": {}, "spoilt head": {answer: "noise\r\n\r\n"}, "spoilt chunk": {answer: streamHead + "zz\r\n"},
-		"ended": {answer: streamHead, ends: true}, "ended without a word": {ends: true},
+		"aborted": {}, "malformed head": {answer: "noise\r\n\r\n"}, "malformed chunk": {answer: streamHead + "zz\r\n"},
+		"closed": {answer: streamHead, ends: true}, "closed without an answer": {ends: true},
 	} {
 		for _, bounded := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, bounded %v", name, bounded), func(t *testing.T) {
-				whole, learnt, goOn := make(chan struct{}), make(chan error, 1), make(chan struct{})
-				defer close(goOn)
-				c, w, _ := against(t, func(nc net.Conn) {
+				requestRead, noticed, proceed := make(chan struct{}), make(chan error, 1), make(chan struct{})
+				defer close(proceed)
+				c, w, _ := startWorker(t, func(nc net.Conn) {
 					br := bufio.NewReader(nc)
 					for _, answer := range []string{accepted, tc.answer} {
 						req, err := http.ReadRequest(br)
@@ -462,39 +467,39 @@
 						_, _ = io.Copy(io.Discard, req.Body)
 						_, _ = io.WriteString(nc, answer)
 					}
-					close(whole)
+					close(requestRead)
 					if !tc.ends {
 						_, err := br.ReadByte()
-						learnt <- err
-						<-goOn
+						noticed <- err
+						<-proceed
 					}
 					_ = nc.Close()
 				})
-				c.pool.learning = time.Hour
+				c.pool.shutdownWait = time.Hour
 				if bounded {
-					c.pool.learning = time.Millisecond
+					c.pool.shutdownWait = time.Millisecond
 				}
 				e, _ := send(c, w, true)
 				require.Equal(t, logic.PromptRead, (<-e.outcomes).Status)
-				e, giveUp := send(c, w, true)
-				<-whole
+				e, abort := send(c, w, true)
+				<-requestRead
 				over := make(chan struct{})
 				go func() {
 					defer close(over)
-					if name == "given up" {
-						<-giveUp()
+					if name == "aborted" {
+						<-abort()
 					} else {
 						<-e.outcomes
 					}
 				}()
 				if !tc.ends && !bounded {
-					require.ErrorIs(t, <-learnt, io.EOF)
+					require.ErrorIs(t, <-noticed, io.EOF)
 					select {
 					case <-over:
-						require.Fail(t, "over before its worker knew")
+						require.Fail(t, "the attempt ended before its worker had closed the connection")
 					case <-time.After(50 * time.Millisecond):
 					}
-					goOn <- struct{}{}
+					proceed <- struct{}{}
 				}
 				<-over
 			})
@@ -502,35 +507,36 @@
 	}
 }
 
-// A stream's events are handed on whole, each as soon as its end is there, however its bytes come; half of one is dropped where the
-// stream breaks, and what is left goes where it ends in good order.
-func TestEventsAreHandedOnWhole(t *testing.T) {
+// A stream's events are passed on whole, each as soon as its end has arrived, however its bytes are
+// split. A partial event is dropped if the stream breaks, and passed on if the stream ends
+// properly.
+func TestEventsArePassedOnWhole(t *testing.T) {
 	const first = "data: first\n\n"
 	chunk := func(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
-	huge := "data: " + strings.Repeat("y", mostChunk)
+	huge := "data: " + strings.Repeat("y", maxChunk)
 	for name, tc := range map[string]struct {
 		parts, want []string
 		breaks      bool
 	}{
-		"in one":              {parts: []string{"data: a\n\n"}, want: []string{"data: a\n\n"}},
-		"in halves":           {parts: []string{"data", ": a\n", "\n"}, want: []string{"data: a\n\n"}},
-		"a half behind":       {parts: []string{"data: a\n\ndata: ", "b\r\n\r\n"}, want: []string{"data: a\n\n", "data: b\r\n\r\n"}},
-		"a comment":           {parts: []string{": c\n\n"}, want: []string{": c\n\n"}},
-		"no event at the end": {parts: []string{"data: a"}, want: []string{"data: a"}},
-		"a half and a break":  {parts: []string{"data: a\n\ndata: "}, want: []string{"data: a\n\n"}, breaks: true},
-		"past all bounds":     {parts: []string{huge[:mostChunk], huge[mostChunk:], "\n\n"}, want: []string{huge[:mostChunk], huge[mostChunk:] + "\n\n"}},
+		"in one":                      {parts: []string{"data: a\n\n"}, want: []string{"data: a\n\n"}},
+		"in halves":                   {parts: []string{"data", ": a\n", "\n"}, want: []string{"data: a\n\n"}},
+		"a partial event behind":      {parts: []string{"data: a\n\ndata: ", "b\r\n\r\n"}, want: []string{"data: a\n\n", "data: b\r\n\r\n"}},
+		"a comment":                   {parts: []string{": c\n\n"}, want: []string{": c\n\n"}},
+		"no event at the end":         {parts: []string{"data: a"}, want: []string{"data: a"}},
+		"a partial event and a break": {parts: []string{"data: a\n\ndata: "}, want: []string{"data: a\n\n"}, breaks: true},
+		"beyond the size limit":       {parts: []string{huge[:maxChunk], huge[maxChunk:], "\n\n"}, want: []string{huge[:maxChunk], huge[maxChunk:] + "\n\n"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			goOn := make(chan struct{})
-			c, w, _ := against(t, func(nc net.Conn) {
+			proceed := make(chan struct{})
+			c, w, _ := startWorker(t, func(nc net.Conn) {
 				request(nc)
 				_, _ = io.WriteString(nc, streamHead+chunk(first))
 				for _, p := range tc.parts {
-					<-goOn // the part before has been read
+					<-proceed // the previous part has been read
 					_, _ = io.WriteString(nc, chunk(p))
 				}
-				<-goOn
+				<-proceed
 				if !tc.breaks {
 					_, _ = io.WriteString(nc, "0\r\n\r\n")
 				}
@@ -541,11 +547,11 @@
 			a := <-e.answers
 			go func() {
 				for range len(tc.parts) + 1 {
-					goOn <- struct{}{}
+					proceed <- struct{}{}
 				}
 			}()
 			var got []string
-			for buf := make([]byte, 2*mostChunk); ; {
+			for buf := make([]byte, 2*maxChunk); ; {
 				n, err := a.Read(buf)
 				if n > 0 {
 					got = append(got, string(buf[:n]))
@@ -557,39 +563,39 @@
 			}
 			require.Equal(t, strings.Join(append([]string{first}, tc.want...), ""), strings.Join(got, ""))
 			for _, part := range got {
-				require.True(t, strings.HasSuffix(part, "\n\n") || strings.HasSuffix(part, "\r\n\r\n") || part == "data: a" || len(part) >= mostChunk, "%.40q", part)
+				require.True(t, strings.HasSuffix(part, "\n\n") || strings.HasSuffix(part, "\r\n\r\n") || part == "data: a" || len(part) >= maxChunk, "%.40q", part)
 			}
 		})
 	}
 }
 
-// A request lets go of its message when an answer begins, while an attempt that was given up is still on its way: it must not
-// look for it.
-func TestAnAttemptOutlivesItsRequestsMessage(t *testing.T) {
+// A request drops its message when an answer begins, while an aborted attempt may still be in
+// progress. That attempt must not access the request's message.
+func TestAttemptOutlivesItsRequestsMessage(t *testing.T) {
 	for _, answer := range []string{streamHead + "5\r\ndata\n\r\n", accepted, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"} {
-		whole, goOn := make(chan struct{}), make(chan struct{})
-		c, w, _ := against(t, func(nc net.Conn) {
+		requestRead, proceed := make(chan struct{}), make(chan struct{})
+		c, w, _ := startWorker(t, func(nc net.Conn) {
 			request(nc)
-			close(whole)
-			<-goOn
+			close(requestRead)
+			<-proceed
 			_, _ = io.WriteString(nc, answer)
 			_ = nc.Close()
 		})
-		e := ends{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
+		e := recordingSink{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
 		req := &router.Request{Name: "a", Payload: &Message{Method: "POST", URI: "/x", Body: []byte("body"), Stream: true}}
 		c.Send(router.Attempt{Request: req, Worker: w, Wait: time.Minute}, e)
 		req.Payload = nil
-		<-whole
-		close(goOn)
+		<-requestRead
+		close(proceed)
 		<-e.outcomes
 	}
 }
 
-// A worker that writes a second answer some milliseconds after the first has not answered the next request by it, however soon
-// that comes.
-func TestALateSecondAnswerIsNobodys(t *testing.T) {
+// A worker writes a second answer some milliseconds after the first. It must not be taken for the
+// answer to the next request, however soon that follows.
+func TestLateSecondAnswerIsDiscarded(t *testing.T) {
 	const late = 5 * time.Millisecond
-	c, w, _ := against(t, func(nc net.Conn) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		defer nc.Close()
 		for request(nc) {
 			_, _ = io.WriteString(nc, streamHead+"b\r\ndata: own\n\n\r\n0\r\n\r\n")
@@ -597,7 +603,7 @@
 			_, _ = io.WriteString(nc, streamHead+"f\r\ndata: another\n\n\r\n0\r\n\r\n")
 		}
 	})
-	c.pool.rest = restFor
+	c.pool.reuseDelay = minReuseDelay
 	for range 3 {
 		e, _ := send(c, w, true)
 		select {
@@ -612,12 +618,13 @@
 	}
 }
 
-// A second answer that comes late says nothing of a release either: its worker may have ended the connection without reading it.
-func TestALateSecondAnswerIsNoReleases(t *testing.T) {
+// A late second answer must not be taken for the answer to a release either: the worker may have
+// closed the connection without reading the release.
+func TestLateSecondAnswerDoesNotAnswerARelease(t *testing.T) {
 	const late = 5 * time.Millisecond
 	var conns atomic.Int32
 	released := make(chan struct{})
-	c, w, _ := against(t, func(nc net.Conn) {
+	c, w, _ := startWorker(t, func(nc net.Conn) {
 		defer nc.Close()
 		if conns.Add(1) == 1 {
 			request(nc)
@@ -631,7 +638,7 @@
 			_, _ = io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 		}
 	})
-	c.pool.rest = restFor
+	c.pool.reuseDelay = minReuseDelay
 	e, _ := send(c, w, true)
 	require.Equal(t, logic.PromptRead, (<-e.outcomes).Status)
 	done := make(chan struct{})
@@ -644,22 +651,22 @@
 	}
 }
 
-// A connection goes to the next request once it has rested, and not before.
-func TestAConnectionRestsBeforeItsNextRequest(t *testing.T) {
+// A connection is reused once it has been idle for the reuse delay, and not before.
+func TestConnectionIsReusedAfterTheReuseDelay(t *testing.T) {
 	for _, c := range []struct {
-		rest time.Duration
-		made int64
+		reuseDelay time.Duration
+		opened     int64
 	}{{0, 1}, {time.Hour, 3}} {
-		client, w, counters := against(t, func(nc net.Conn) {
+		client, w, counters := startWorker(t, func(nc net.Conn) {
 			for request(nc) {
 				_, _ = io.WriteString(nc, accepted)
 			}
 		})
-		client.pool.rest, client.pool.most = c.rest, 8
+		client.pool.reuseDelay, client.pool.maxOpen = c.reuseDelay, 8
 		for range 3 {
 			e, _ := send(client, w, true)
 			require.Equal(t, logic.PromptRead, (<-e.outcomes).Status)
 		}
-		require.EqualValues(t, c.made, counters.Get("connections_opened"))
+		require.EqualValues(t, c.opened, counters.Get("connections_opened"))
 	}
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,8 +1,8 @@
-// Package upstream speaks HTTP/1.1 with workers: it keeps the connections, runs
-// attempts and calls on them, and tells exactly how far each one came.
+// Package upstream is the HTTP/1.1 client for workers: it pools connections, runs attempts and
+// release calls on them, and reports exactly how far each one got.
 //
-// Messages are written and read by fasthttp. Its client is not used: it sends
-// again on its own, and does not tell whether a request's last byte was written.
+// fasthttp formats and parses the messages. Its client is not used: it retries on its own, and does
+// not report whether a request's last byte was written.
 package upstream
 
 import (
@@ -20,57 +20,59 @@
 	"lichenshelf/router"
 )
 
-// errFull says that no connection may be opened now.
+// errFull means that no connection may be opened now.
 var errFull = errors.New("all connections to workers are in use")
 
-// pool keeps idle connections, the latest used first: the rest then age and go.
+// pool keeps idle connections. It reuses the latest used one first, so that surplus ones age and
+// expire.
 type pool struct {
-	dialTimeout time.Duration
-	idleFor     time.Duration // an idle connection is closed after this
-	most        int
-	learning    time.Duration // mostLearning, but in tests
-	rest        time.Duration // restFor, but in tests
-
-	mu      sync.Mutex
-	open    int
-	idle    map[*router.Worker][]*conn
-	trust   time.Duration // idle connections are used after so long at most, as of doubted
-	doubted time.Time
+	dialTimeout  time.Duration
+	idleTimeout  time.Duration // an idle connection is closed after this
+	maxOpen      int
+	shutdownWait time.Duration // maxShutdownWait, except in tests
+	reuseDelay   time.Duration // minReuseDelay, except in tests
+
+	mu          sync.Mutex
+	open        int
+	idle        map[*router.Worker][]*conn
+	idleLimit   time.Duration // longest idle time of a reusable connection, as of lastStaleAt
+	lastStaleAt time.Time     // when a connection last turned out stale; zero: never
 }
 
 const readBuffer = 4096
 
-// releaseSpare is how many connections releases may have beside those of attempts: what is held has to
-// be let go of also while attempts have them all.
-const releaseSpare = 16
-
-// restFor is how long a connection rests after an answer before another request may go out on it. A worker may write a
-// second answer some milliseconds after the first: on a connection that rests it shows, and the connection is of no further
-// use; behind the next request it could not be told from that one's answer.
-const restFor = 20 * time.Millisecond
-
-// need says which connections will do.
-type need struct {
-	fresh bool          // a new one alone
-	rest  time.Duration // it has rested for so long
-	spare int           // so many past the bound may be opened
+// releaseSpareConns is how many connections releases may open beyond the pool's limit: held state
+// must be released even while attempts use all connections.
+const releaseSpareConns = 16
+
+// minReuseDelay is how long a connection stays idle after an answer before it may be reused. A
+// worker may write a second answer some milliseconds after the first. On an idle connection it is
+// detected and the connection is closed; after the next request it would be taken for that
+// request's answer.
+const minReuseDelay = 20 * time.Millisecond
+
+// connRequirements states which connections get may return.
+type connRequirements struct {
+	fresh      bool          // only a new connection
+	reuseDelay time.Duration // least idle time of a reused connection
+	spare      int           // connections that may be opened beyond the pool's limit
 }
 
-// get takes an idle connection to the worker, or opens one.
-func (p *pool) get(ctx context.Context, w *router.Worker, n need) (*conn, error) {
+// get returns an idle connection to the worker, or opens one.
+func (p *pool) get(ctx context.Context, w *router.Worker, n connRequirements) (*conn, error) {
 	if !n.fresh {
-		if c := p.take(w, n.rest); c != nil {
+		if c := p.takeIdle(w, n.reuseDelay); c != nil {
 			return c, nil
 		}
 	}
-	if !p.reserve(n.spare) {
+	if !p.reserveSlot(n.spare) {
 		return nil, errFull
 	}
 	d := net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", w.Addr)
 	if err != nil {
-		p.closed()
-		if lacking(err) {
+		p.releaseSlot()
+		if isLocalShortage(err) {
 			return nil, fmt.Errorf("%w: %w", errFull, err)
 		}
 		return nil, fmt.Errorf("connect to %s: %w", w.Name, err)
@@ -79,49 +81,52 @@
 	return &conn{TCPConn: tc, br: bufio.NewReaderSize(tc, readBuffer), pool: p, ended: make(chan struct{})}, nil
 }
 
-// lacking tells whether a connection could not be opened for want of something on the router's own machine (socket(2),
-// connect(2)). That tells nothing of the worker.
-func lacking(err error) bool {
+// isLocalShortage reports whether a connection could not be opened for lack of a resource, route or
+// permission on the router's own machine (socket(2), connect(2)). That says nothing about the
+// worker.
+func isLocalShortage(err error) bool {
 	return transient.Is(err, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES)
 }
 
 const (
-	leastTrust = 5 * time.Millisecond
-	// trustDoubles is how soon the time that connections may be idle doubles again.
-	trustDoubles = 2 * time.Second
+	minIdleLimit = 5 * time.Millisecond
+	// idleLimitDoubling is the time in which a lowered idle limit doubles.
+	idleLimitDoubling = 2 * time.Second
 )
 
-// doubt takes note of a connection that turned out stale. Some workers, or what is
-// on the way to them, drop idle connections far earlier than they state and tell so
-// only at the next request, which may have run as far as anybody can tell. A new
-// connection costs little, so for a while the idle ones are used only when younger.
-func (p *pool) doubt(c *conn) {
+// noteStale lowers the idle limit after a connection turned out stale. Some workers, or devices on
+// the path to them, drop idle connections far earlier than stated, which shows only at the next
+// request, and the router can't tell whether that request ran. A new connection costs little, so
+// for a while only connections with a shorter idle time are reused.
+func (p *pool) noteStale(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trust, p.doubted = max(min(p.trusted(), c.idled/2), leastTrust), time.Now()
+	p.idleLimit, p.lastStaleAt = max(min(p.currentIdleLimit(), c.lastIdle/2), minIdleLimit), time.Now()
 }
 
-// trusted is how long a connection may have been idle now; the lock is held.
-func (p *pool) trusted() time.Duration {
-	if p.doubted.IsZero() {
-		return p.idleFor
+// currentIdleLimit returns the longest idle time of a connection that may be reused now. The lock
+// must be held.
+func (p *pool) currentIdleLimit() time.Duration {
+	if p.lastStaleAt.IsZero() {
+		return p.idleTimeout
 	}
-	doublings := min(time.Since(p.doubted)/trustDoubles, 32)
-	return min(p.trust<<doublings, p.idleFor)
+	doublings := min(time.Since(p.lastStaleAt)/idleLimitDoubling, 32)
+	return min(p.idleLimit<<doublings, p.idleTimeout)
 }
 
-// take takes the connection to a worker that was used last, of those that have rested and that nobody has ended or written to.
-func (p *pool) take(w *router.Worker, rest time.Duration) *conn {
+// takeIdle takes the latest used connection to the worker that has been idle for reuseDelay and is
+// still usable, or returns nil.
+func (p *pool) takeIdle(w *router.Worker, reuseDelay time.Duration) *conn {
 	for {
 		p.mu.Lock()
-		c := p.lastRested(w, rest)
-		trusted := p.trusted()
+		c := p.lastReusable(w, reuseDelay)
+		currentIdleLimit := p.currentIdleLimit()
 		p.mu.Unlock()
 		if c == nil {
 			return nil
 		}
-		c.idled = time.Since(c.kept)
-		if c.retire.Stop() && c.idled <= trusted && c.alive() {
+		c.lastIdle = time.Since(c.idleSince)
+		if c.idleTimer.Stop() && c.lastIdle <= currentIdleLimit && c.alive() {
 			c.reused = true
 			return c
 		}
@@ -129,11 +134,12 @@
 	}
 }
 
-// lastRested takes the latest connection out of the idle ones that has rested for so long; the lock is held.
-func (p *pool) lastRested(w *router.Worker, rest time.Duration) *conn {
+// lastReusable removes and returns the latest used of the idle connections that have been idle for
+// reuseDelay, or nil. The lock must be held.
+func (p *pool) lastReusable(w *router.Worker, reuseDelay time.Duration) *conn {
 	list := p.idle[w]
 	for i := len(list) - 1; i >= 0; i-- {
-		if c := list[i]; time.Since(c.kept) >= rest {
+		if c := list[i]; time.Since(c.idleSince) >= reuseDelay {
 			p.idle[w] = slices.Delete(list, i, i+1)
 			return c
 		}
@@ -141,21 +147,21 @@
 	return nil
 }
 
-// put keeps a connection whose last answer was read to its end.
+// put returns a connection to the pool after its answer was read to the end.
 func (p *pool) put(w *router.Worker, c *conn) {
-	// What is behind the answer belongs to nobody, and would be taken for the next.
+	// Bytes after the answer would be taken for the next request's answer.
 	if c.br.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil || !w.MaySend() {
 		_ = c.Close()
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.kept = time.Now()
-	c.retire = time.AfterFunc(p.idleFor, func() { p.drop(w, c) })
+	c.idleSince = time.Now()
+	c.idleTimer = time.AfterFunc(p.idleTimeout, func() { p.removeIdle(w, c) })
 	p.idle[w] = append(p.idle[w], c)
 }
 
-func (p *pool) drop(w *router.Worker, c *conn) {
+func (p *pool) removeIdle(w *router.Worker, c *conn) {
 	p.mu.Lock()
 	for i, other := range p.idle[w] {
 		if other == c {
@@ -174,15 +180,16 @@
 	delete(p.idle, w)
 	p.mu.Unlock()
 	for _, c := range list {
-		c.retire.Stop()
+		c.idleTimer.Stop()
 		_ = c.Close()
 	}
 }
 
-// reserve takes a place for a new connection; an idle one elsewhere gives way.
-func (p *pool) reserve(spare int) bool {
+// reserveSlot reserves a slot for a new connection. If the pool is full, it evicts an idle
+// connection.
+func (p *pool) reserveSlot(spare int) bool {
 	p.mu.Lock()
-	if p.open < p.most+spare {
+	if p.open < p.maxOpen+spare {
 		p.open++
 		p.mu.Unlock()
 		return true
@@ -199,26 +206,25 @@
 	if victim == nil {
 		return false
 	}
-	victim.retire.Stop()
+	victim.idleTimer.Stop()
 	_ = victim.Close()
-	return p.reserve(spare)
+	return p.reserveSlot(spare)
 }
 
-func (p *pool) closed() {
+func (p *pool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// order puts the workers in the order in which they are most likely to be reached at
-// once: those with a connection at hand first, the latest used before others, and those
-// that are leaving last. Workers that are alike keep their order.
+// order sorts the workers by how likely they can be reached at once: those with an idle connection
+// first, the latest used before others, and draining ones last. Equal workers keep their order.
 func (p *pool) order(workers []*router.Worker) {
 	p.mu.Lock()
 	last := make(map[*router.Worker]time.Time, len(p.idle))
 	for w, list := range p.idle {
 		if len(list) > 0 {
-			last[w] = list[len(list)-1].kept
+			last[w] = list[len(list)-1].idleSince
 		}
 	}
 	p.mu.Unlock()
--- a/upstream/release.go
+++ b/upstream/release.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// releaseWait is how long one worker may take to answer a release. A call counts
-	// once it has reached a running worker, so the wait only tells which one runs.
-	releaseWait = 250 * time.Millisecond
-	// releaseNext is how long the workers asked so far may say nothing before others are asked beside
-	// them, twice as many each time. Half of those are drawn: what answered latest may have fallen silent
-	// together. With four in five out of reach, of hundreds, all of the 63 drawn within 120 ms are
-	// among them once in a million times.
-	releaseNext = 20 * time.Millisecond
-	// mostReleasing bounds the calls of one release that are out at once, beside one to a worker that has just taken another.
-	mostReleasing = 128
-	// releaseFor bounds a release as a whole. Workers that failed are asked again after releaseAgain.
-	releaseFor   = 600 * time.Millisecond
-	releaseAgain = 50 * time.Millisecond
+	// releaseCallTimeout is how long one worker may take to answer a release. The release takes
+	// effect once it reaches a running worker, so the answer only shows which worker runs.
+	releaseCallTimeout = 250 * time.Millisecond
+	// releaseWaveInterval is how long the workers called so far may stay silent before further ones
+	// are called, twice as many each time. Half of those are drawn at random: the workers that
+	// answered latest may have failed together. With four in five of hundreds of workers
+	// unreachable, all of the 63 drawn within 120 ms are unreachable once in a million times.
+	releaseWaveInterval = 20 * time.Millisecond
+	// maxReleaseCalls bounds the concurrent calls of one release, apart from one to a worker that
+	// has just accepted another release.
+	maxReleaseCalls = 128
+	// releaseTimeout bounds a release as a whole. Workers that failed are called again after
+	// releaseRetryInterval.
+	releaseTimeout       = 600 * time.Millisecond
+	releaseRetryInterval = 50 * time.Millisecond
 )
 
-// errNotReleased says that a release has found nobody.
-var errNotReleased = errors.New("no worker took the release in time")
+// errNotReleased means that no worker accepted a release.
+var errNotReleased = errors.New("no worker accepted the release in time")
 
-// Release implements router.Transport. Workers that answered latest on a connection
-// that is at hand are asked first: what is held must be let go of within a few
-// hundred milliseconds.
+// Release implements router.Transport. Workers with the latest used idle connections are called
+// first: held state must be released within a few hundred milliseconds.
 func (c *Client) Release(name string, workers []*router.Worker, done func(by *router.Worker, err error)) {
 	if c.cfg.ReleasePath == "" {
 		go done(nil, nil)
@@ -42,7 +43,7 @@
 	}
 	c.pool.order(workers)
 	go func() {
-		by := c.releaseAt(name, workers)
+		by := c.releaseAtAny(name, workers)
 		if by == nil {
 			c.cfg.Counters.Add("releases_nobody_took", 1)
 			done(nil, errNotReleased)
@@ -52,71 +53,74 @@
 	}()
 }
 
-// releaseSearch is one release on its way to a worker that takes it.
+// releaseSearch is one release that is in search of a worker that accepts it.
 type releaseSearch struct {
-	client *Client
-	ctx    context.Context
-	name   string
-	ahead  []*router.Worker // not asked yet, in their order
-	failed []*router.Worker // to be asked again
-	ends   chan releaseEnd
-	out    int
+	client   *Client
+	ctx      context.Context
+	name     string
+	pending  []*router.Worker // not called yet, in their order
+	failed   []*router.Worker // to be called again
+	results  chan releaseResult
+	inFlight int
 }
 
-// releaseEnd is how one call of a release ended.
-type releaseEnd struct {
-	at  *router.Worker
-	err error
+// releaseResult is the result of one call of a release.
+type releaseResult struct {
+	worker *router.Worker
+	err    error
 }
 
-// releaseAt asks the workers in their order until one took the release; nil if none did.
-func (c *Client) releaseAt(name string, workers []*router.Worker) (by *router.Worker) {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseFor)
+// releaseAtAny calls the workers in their order until one accepts the release. It returns nil if
+// none does.
+func (c *Client) releaseAtAny(name string, workers []*router.Worker) (by *router.Worker) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	s := &releaseSearch{client: c, ctx: ctx, name: name, ahead: workers, ends: make(chan releaseEnd, len(workers))} // as many as can be out
-	next, again := time.NewTimer(0), time.NewTicker(releaseAgain)
+	// The channel has room for the results of all calls that can be in flight.
+	search := &releaseSearch{client: c, ctx: ctx, name: name, pending: workers, results: make(chan releaseResult, len(workers))}
+	next, retry := time.NewTimer(0), time.NewTicker(releaseRetryInterval)
 	defer next.Stop()
-	defer again.Stop()
-	// Many states may be let go of at once, as when workers fall silent together: who runs is found once for all of them.
-	_, taken := c.targets.latest()
+	defer retry.Stop()
+	// Many releases may run at once, as when workers fail together: a worker that accepts one of
+	// them is tried by all others.
+	_, nextAccepted := c.targets.latest()
 	for wave := 1; ; {
 		select {
-		case <-taken:
+		case <-nextAccepted:
 			var w *router.Worker
-			w, taken = c.targets.latest()
-			s.prefer(w)
-		case e := <-s.ends:
-			s.out--
-			if e.err == nil {
-				return e.at
+			w, nextAccepted = c.targets.latest()
+			search.prefer(w)
+		case result := <-search.results:
+			search.inFlight--
+			if result.err == nil {
+				return result.worker
 			}
 			c.cfg.Counters.Add("releases_tried_again", 1)
-			s.failed = append(s.failed, e.at)
-			if !errors.Is(e.err, errFull) { // else a place has to come free first
-				s.ask(1)
+			search.failed = append(search.failed, result.worker)
+			if !errors.Is(result.err, errFull) { // with errFull a connection must be freed first
+				search.callNext(1)
 			}
 		case <-next.C:
-			s.ask(min(wave, mostReleasing-s.out))
-			wave = min(2*wave, mostReleasing)
-			next.Reset(releaseNext)
-		case <-again.C:
-			s.ahead, s.failed = append(s.ahead, s.failed...), nil
+			search.callNext(min(wave, maxReleaseCalls-search.inFlight))
+			wave = min(2*wave, maxReleaseCalls)
+			next.Reset(releaseWaveInterval)
+		case <-retry.C:
+			search.pending, search.failed = append(search.pending, search.failed...), nil
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// ask calls so many of the workers that have not been asked yet, every second one drawn. Those that may not be called now come
-// again later.
-func (s *releaseSearch) ask(n int) {
-	for asked := 0; asked < n && len(s.ahead) > 0; {
+// callNext calls n of the pending workers, every second one drawn at random. Workers whose window
+// is full are called again later.
+func (s *releaseSearch) callNext(n int) {
+	for asked := 0; asked < n && len(s.pending) > 0; {
 		if asked%2 == 1 {
-			drawn := rand.IntN(len(s.ahead))
-			s.ahead[0], s.ahead[drawn] = s.ahead[drawn], s.ahead[0]
+			drawn := rand.IntN(len(s.pending))
+			s.pending[0], s.pending[drawn] = s.pending[drawn], s.pending[0]
 		}
-		w := s.ahead[0]
-		s.ahead = s.ahead[1:]
+		w := s.pending[0]
+		s.pending = s.pending[1:]
 		if s.call(w) {
 			asked++
 		} else {
@@ -125,9 +129,9 @@
 	}
 }
 
-// prefer calls a worker that has just taken another release, unless it has been called.
+// prefer calls a worker that has just accepted another release, unless a call to it is in flight.
 func (s *releaseSearch) prefer(w *router.Worker) {
-	for _, list := range []*[]*router.Worker{&s.ahead, &s.failed} {
+	for _, list := range []*[]*router.Worker{&s.pending, &s.failed} {
 		if i := slices.Index(*list, w); i >= 0 && s.call(w) {
 			*list = slices.Delete(*list, i, i+1)
 			return
@@ -135,36 +139,37 @@
 	}
 }
 
-// call asks one worker, if its window has room.
+// call starts a call to the worker. It returns false if the worker's window is full.
 func (s *releaseSearch) call(w *router.Worker) bool {
 	if !s.client.targets.acquire(w) {
 		return false
 	}
-	s.out++
+	s.inFlight++
 	go func() {
 		err := s.client.release(s.ctx, s.name, w)
-		s.client.targets.settle(w, s.verdict(err))
-		s.ends <- releaseEnd{w, err}
+		s.client.targets.settle(w, s.outcomeOf(err))
+		s.results <- releaseResult{w, err}
 	}()
 	return true
 }
 
-// verdict is what the end of a call says of its worker.
-func (s *releaseSearch) verdict(err error) callVerdict {
+// outcomeOf returns what the end of a call says about its worker.
+func (s *releaseSearch) outcomeOf(err error) callOutcome {
 	switch {
 	case err == nil:
-		return callTaken
-	case errors.Is(err, errFull), s.ctx.Err() != nil: // no place for a connection, or another worker took it
-		return callSaysNothing
+		return callAccepted
+	// No connection was available, or another worker accepted the release.
+	case errors.Is(err, errFull), s.ctx.Err() != nil:
+		return callInconclusive
 	}
 	return callFailed
 }
 
-// release makes one call.
+// release calls one worker.
 func (c *Client) release(ctx context.Context, name string, w *router.Worker) error {
-	ctx, cancel := context.WithTimeout(ctx, c.releaseWait)
+	ctx, cancel := context.WithTimeout(ctx, c.releaseCallTimeout)
 	defer cancel()
-	cn, err := c.pool.get(ctx, w, need{rest: c.pool.rest, spare: releaseSpare})
+	cn, err := c.pool.get(ctx, w, connRequirements{reuseDelay: c.pool.reuseDelay, spare: releaseSpareConns})
 	if err != nil {
 		return err
 	}
@@ -175,25 +180,27 @@
 	h.SetNoDefaultContentType(true)
 	deadline, _ := ctx.Deadline()
 	stop := context.AfterFunc(ctx, func() {
-		cn.dropUnconfirmed(0) // it would let go of what is read for the request by then
+		// A late delivery would release state that was read for the request in the meantime.
+		cn.dropUnacknowledged(0)
 		_ = cn.TCPConn.Close()
 	})
 	var resp fasthttp.Response
 	if err = cn.SetDeadline(deadline); err == nil {
 		_, err = cn.Write(h.Header())
-		cn.wrote = time.Now()
+		cn.writtenAt = time.Now()
 		if err == nil {
 			err = resp.ReadLimitBody(cn.br, c.cfg.MaxAnswer)
 		}
 	}
-	// Called off before it is handed back: another worker that took the release would close it in the next one's hands.
+	// The callback is stopped before the connection is pooled: it would close the connection under
+	// its next user when another worker accepts the release.
 	if !stop() || err != nil || resp.ConnectionClose() {
 		_ = cn.Close()
 	} else {
 		c.pool.put(w, cn)
 	}
-	if err != nil && cn.stale() {
-		c.pool.doubt(cn)
+	if err != nil && cn.isStale() {
+		c.pool.noteStale(cn)
 	}
 	if err == nil && resp.StatusCode()/100 != 2 {
 		err = fmt.Errorf("status %d", resp.StatusCode())
--- a/upstream/report.go
+++ b/upstream/report.go
@@ -6,25 +6,24 @@
 	"lichenshelf/logic"
 )
 
-// report reads a worker's load report and returns what holds from now on: the one
-// before if there is no new one, or none that can be read.
-func (c *Client) report(before logic.Load, text []byte) logic.Load {
+// parseReport parses a worker's load report. It returns the previous report if there is no new one
+// or it can't be parsed.
+func (c *Client) parseReport(previous logic.Load, text []byte) logic.Load {
 	if len(text) == 0 || c.cfg.Report == nil {
-		return before
+		return previous
 	}
 	l, err := c.cfg.Report(string(text))
 	if err != nil {
 		c.cfg.Counters.Add("reports_unreadable", 1)
-		return before
+		return previous
 	}
 	c.cfg.Counters.Add("reports_read", 1)
 	return l
 }
 
-// commentIn finds the last comment line of a stream's end that holds the named
-// header, and returns its value. A line that is cut off is none: half a number
-// would pass for a whole one.
-func commentIn(tail []byte, header string) []byte {
+// lastComment returns the value of the last comment line in a stream's tail that holds the named
+// header. Incomplete lines are skipped: a truncated number would pass for a whole one.
+func lastComment(tail []byte, header string) []byte {
 	if header == "" {
 		return nil
 	}
@@ -36,7 +35,7 @@
 			return bytes.TrimSpace(line[len(mark):])
 		}
 		if start == 0 {
-			break // the first line of the tail may have lost its beginning
+			break // the tail's first line may lack its beginning
 		}
 		end = start - 1
 	}
--- a/upstream/report_test.go
+++ b/upstream/report_test.go
@@ -12,20 +12,20 @@
 	"lichenshelf/logic"
 )
 
-// withReports makes a client read reports that are one number.
+// withReports makes the client parse reports that consist of one number.
 func withReports(c *Client) *Client {
 	c.cfg.LoadHeader = "X-Load"
 	c.cfg.Report = func(text string) (logic.Load, error) {
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return logic.Load{}, errors.New("spoilt")
+			return logic.Load{}, errors.New("malformed")
 		}
 		return logic.Load{HasMemory: true, MemoryShare: v}, nil
 	}
 	return c
 }
 
-func TestReportsOfAnswersAndOfStreamsEnds(t *testing.T) {
+func TestReportsInAnswerHeadsAndAtStreamEnds(t *testing.T) {
 	const event = "data: {}\n\n"
 	chunk := func(s string) string { return strconv.FormatInt(int64(len(s)), 16) + "\r\n" + s + "\r\n" }
 	stream := func(head, end string) string {
@@ -36,22 +36,22 @@
 		name, answer     string
 		begin, end       float64 // 0: none
 		read, unreadable int64
-		ended            logic.Status // of an answer that is no stream
+		ended            logic.Status // of a response that is no stream
 	}{
-		{"a read", "HTTP/1.1 202 Accepted\r\nX-Load: 0.25\r\nContent-Length: 0\r\n\r\n", 0, 0.25, 1, 0, logic.PromptRead},
-		{"turned away", "HTTP/1.1 503 No\r\nx-load: 0.9\r\nContent-Length: 0\r\n\r\n", 0, 0.9, 1, 0, logic.ServerError},
-		{"spoilt", "HTTP/1.1 202 Accepted\r\nX-Load: a\r\nContent-Length: 0\r\n\r\n", 0, 0, 0, 1, logic.PromptRead},
+		{"a read prompt", "HTTP/1.1 202 Accepted\r\nX-Load: 0.25\r\nContent-Length: 0\r\n\r\n", 0, 0.25, 1, 0, logic.PromptRead},
+		{"a refusal", "HTTP/1.1 503 No\r\nx-load: 0.9\r\nContent-Length: 0\r\n\r\n", 0, 0.9, 1, 0, logic.ServerError},
+		{"malformed", "HTTP/1.1 202 Accepted\r\nX-Load: a\r\nContent-Length: 0\r\n\r\n", 0, 0, 0, 1, logic.PromptRead},
 		{"none at all", stream("", ""), 0, 0, 0, 0, logic.Served},
 		{"in the head alone", stream("X-Load: 0.5\r\n", ""), 0.5, 0.5, 1, 0, logic.Served},
 		{"at the end", stream("", ": X-Load: 0.75\n\n"), 0, 0.75, 1, 0, logic.Served},
 		{"in both", stream("X-Load: 0.5\r\n", ": X-Load: 0.75\n\n"), 0.5, 0.75, 2, 0, logic.Served},
-		{"several at the end, the last counts", stream("", ": x-load: 0.1\r\n: X-Load: 0.2\r\n"), 0, 0.2, 1, 0, logic.Served},
+		{"several at the end, the last one counts", stream("", ": x-load: 0.1\r\n: X-Load: 0.2\r\n"), 0, 0.2, 1, 0, logic.Served},
 		{"cut off at the end", stream("X-Load: 0.5\r\n", ": X-Load: 0.7"), 0.5, 0.5, 1, 0, logic.Served},
-		{"spoilt at the end", stream("X-Load: 0.5\r\n", ": X-Load: ?\n"), 0.5, 0.5, 1, 1, logic.Served},
+		{"malformed at the end", stream("X-Load: 0.5\r\n", ": X-Load: ?\n"), 0.5, 0.5, 1, 1, logic.Served},
 		{"in an event's text", stream("", "data: X-Load: 0.7\n"), 0, 0, 0, 0, logic.Served},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c, w, counters := against(t, func(nc net.Conn) {
+			c, w, counters := startWorker(t, func(nc net.Conn) {
 				request(nc)
 				_, _ = nc.Write([]byte(tc.answer))
 			})
@@ -75,9 +75,10 @@
 	}
 }
 
-// A stream that breaks off has no end, so what looks like its report is none.
+// The report is read at the end of a stream. A stream that breaks off has none, whatever its last
+// line.
 func TestBrokenStreamHasNoReport(t *testing.T) {
-	c, w, counters := against(t, func(nc net.Conn) {
+	c, w, counters := startWorker(t, func(nc net.Conn) {
 		request(nc)
 		_, _ = nc.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n10\r\n: X-Load: 0.75\n\n\r\n"))
 		_ = nc.Close()
--- a/upstream/window.go
+++ b/upstream/window.go
@@ -6,23 +6,24 @@
 	"lichenshelf/router"
 )
 
-// mostWindow bounds the releases that are out at one worker at once.
-const mostWindow = 32
+// maxWindow bounds the releases that are in flight to one worker.
+const maxWindow = 32
 
-// window is how many releases may be out at a worker: one while nothing says that it runs, twice as many with each that it
-// takes, and one again after a failure.
-type window struct{ size, out int }
+// window limits the releases in flight to a worker: one while the worker is not known to run, twice
+// as many after each release that it accepts, and one again after a failure.
+type window struct{ size, inFlight int }
 
-// releaseTargets keeps the windows of all workers, and which one took a release last. Without windows all releases of one moment
-// go to the same worker first, and where that one says nothing they have all connections until their time is over.
+// releaseTargets keeps the windows of all workers, and which one accepted a release last. Without
+// windows, simultaneous releases would all call the same worker first and, if it is silent, occupy
+// all connections until they time out.
 type releaseTargets struct {
-	mu      sync.Mutex
-	windows map[*router.Worker]*window // of workers that are asked, or have more than one
-	last    *router.Worker
-	next    chan struct{} // closed when another one is taken; nil while nobody waits
+	mu           sync.Mutex
+	windows      map[*router.Worker]*window // of workers with calls in flight or a size above 1
+	last         *router.Worker
+	nextAccepted chan struct{} // closed when the next release is accepted; nil if nothing waits
 }
 
-// acquire takes a place in the worker's window; false if there is none.
+// acquire reserves a slot in the worker's window. It returns false if the window is full.
 func (t *releaseTargets) acquire(w *router.Worker) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,58 +32,59 @@
 		v = &window{size: 1}
 		t.windows[w] = v
 	}
-	if v.out >= v.size {
+	if v.inFlight >= v.size {
 		return false
 	}
-	v.out++
+	v.inFlight++
 	return true
 }
 
-// callVerdict is what the end of a call says of its worker.
-type callVerdict uint8
+// callOutcome is what the end of a release call says about its worker.
+type callOutcome uint8
 
 const (
-	callTaken callVerdict = iota
+	callAccepted callOutcome = iota
 	callFailed
-	callSaysNothing
+	callInconclusive
 )
 
-// settle gives a place back.
-func (t *releaseTargets) settle(w *router.Worker, v callVerdict) {
+// settle frees the slot of a call that ended, and adjusts the worker's window to the outcome.
+func (t *releaseTargets) settle(w *router.Worker, v callOutcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at := t.windows[w]; at != nil {
-		at.out--
+		at.inFlight--
 		switch v {
-		case callTaken:
-			at.size = min(2*at.size, mostWindow)
+		case callAccepted:
+			at.size = min(2*at.size, maxWindow)
 		case callFailed:
 			at.size = 1
 		}
-		if at.out == 0 && at.size == 1 {
+		if at.inFlight == 0 && at.size == 1 {
 			delete(t.windows, w)
 		}
 	}
-	if v != callTaken {
+	if v != callAccepted {
 		return
 	}
-	if t.last = w; t.next != nil {
-		close(t.next)
-		t.next = nil
+	if t.last = w; t.nextAccepted != nil {
+		close(t.nextAccepted)
+		t.nextAccepted = nil
 	}
 }
 
-// latest returns the worker that took a release last, nil if none has, and a channel that is closed when the next one is taken.
+// latest returns the worker that accepted a release last, or nil, and a channel that is closed when
+// the next release is accepted.
 func (t *releaseTargets) latest() (*router.Worker, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.next == nil {
-		t.next = make(chan struct{})
+	if t.nextAccepted == nil {
+		t.nextAccepted = make(chan struct{})
 	}
-	return t.last, t.next
+	return t.last, t.nextAccepted
 }
 
-// forget drops what is kept of a worker that has left or restarted.
+// forget removes the state of a worker that has left or restarted.
 func (t *releaseTargets) forget(w *router.Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/upstream/window_test.go
+++ b/upstream/window_test.go
@@ -8,8 +8,9 @@
 	"lichenshelf/router"
 )
 
-// A worker of which nothing is known gets one release at a time; each that it takes lets twice as many out, a failure one again.
-func TestTheWindowOfAWorkerGoesByWhatItTakes(t *testing.T) {
+// A worker that is not known to run gets one release at a time. Each release that it accepts
+// doubles the window, and a failure resets it to one.
+func TestReleaseWindowFollowsAcceptedReleases(t *testing.T) {
 	targets := releaseTargets{windows: map[*router.Worker]*window{}}
 	w := &router.Worker{Name: "w"}
 	fill := func() (n int) {
@@ -18,24 +19,24 @@
 		}
 		return n
 	}
-	settle := func(n int, v callVerdict) {
+	settle := func(n int, v callOutcome) {
 		for range n {
 			targets.settle(w, v)
 		}
 	}
 	_, taken := targets.latest()
-	for _, size := range []int{1, 2, 4, 8, 16, mostWindow, mostWindow} {
+	for _, size := range []int{1, 2, 4, 8, 16, maxWindow, maxWindow} {
 		require.Equal(t, size, fill())
-		settle(1, callTaken)
-		settle(size-1, callSaysNothing)
+		settle(1, callAccepted)
+		settle(size-1, callInconclusive)
 	}
 	<-taken
 	last, _ := targets.latest()
 	require.Equal(t, w, last)
 	settle(fill(), callFailed)
-	require.Empty(t, targets.windows, "nothing is kept of a worker that is as good as unknown")
+	require.Empty(t, targets.windows, "no window is kept for a worker in the initial state")
 	require.Equal(t, 1, fill())
 	targets.forget(w)
-	settle(1, callTaken) // the end of a call to a worker that has left
+	settle(1, callAccepted) // the end of a call to a worker that has left
 	require.Empty(t, targets.windows)
 }
