--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's wire and package logic.
-// It holds no decision.
+// Package wire translates between the simulator's binary protocol and package logic. It makes no
+// decisions.
 package wire
 
 import (
@@ -12,44 +12,44 @@
 	"lichenshelf/logic"
 )
 
-// Event codes of the wire.
+// Codes of event records.
 const (
-	codeMail        = 10
-	codeHead        = 20
-	codeAnswerAhead = 30
-	codeAt          = 40
-	codeAsk         = 50
-	codeClientGone  = 60
-	codeMembers     = 70
-	codeWake        = 80
-	codeAttemptEnd  = 90
-	codeOpen        = 100
-	codeDestroy     = 110
-	codeCheckResult = 120
+	codeMessage         = 10
+	codeAnswerStarted   = 20
+	codeAnswerAnnounced = 30
+	codeEventInstance   = 40
+	codeRequest         = 50
+	codeClientLeft      = 60
+	codeMembers         = 70
+	codeTimerFired      = 80
+	codeAttemptEnded    = 90
+	codeOpenInstance    = 100
+	codeCloseInstance   = 110
+	codeProbeResult     = 120
 )
 
-// Action codes of the wire.
+// Codes of action records.
 const (
-	codeTry       = 10
-	codeRefuse    = 20
-	codeEndFailed = 30
-	codeCallOff   = 40
-	codeDefer     = 50
-	codeSayLog    = 90
-	codeFatal     = 100
-	codeShift     = 130
-	codeFreeState = 150
-	codeFor       = 160
+	codeSend           = 10
+	codeRefuse         = 20
+	codeFail           = 30
+	codeCancelAttempt  = 40
+	codeSetTimer       = 50
+	codeLog            = 90
+	codeFatal          = 100
+	codeMove           = 130
+	codeRelease        = 150
+	codeActionInstance = 160
 )
 
 const (
-	frameHead   = 8 // record count and length
-	clockBytes  = 8
-	memberBytes = 22
-	readChunk   = 1 << 20 // memory is taken as bytes arrive, not as a length promises
+	frameHeaderBytes = 8 // record count and batch length
+	clockBytes       = 8
+	memberBytes      = 22
+	readChunk        = 1 << 20 // bytes; memory grows as bytes arrive, not by the stated length
 )
 
-// cursor reads big-endian fields and remembers the first shortfall.
+// cursor reads big-endian fields and keeps the first error.
 type cursor struct {
 	b   []byte
 	off int
@@ -61,7 +61,7 @@
 		return nil
 	}
 	if n < 0 || n > len(c.b)-c.off {
-		c.err = fmt.Errorf("record cut short: %d bytes wanted at offset %d of %d", n, c.off, len(c.b))
+		c.err = fmt.Errorf("record truncated: need %d bytes at offset %d of %d", n, c.off, len(c.b))
 		return nil
 	}
 	p := c.b[c.off : c.off+n]
@@ -99,7 +99,7 @@
 
 func (c *cursor) f32() float64 { return float64(math.Float32frombits(c.u32())) }
 
-// nanos reads a time or a length of time; what exceeds the range is capped.
+// nanos reads a time or a duration in nanoseconds. Values beyond the range of int64 are capped.
 func (c *cursor) nanos() int64 {
 	v := c.u64()
 	if v > math.MaxInt64 {
@@ -108,22 +108,22 @@
 	return int64(v)
 }
 
-// frame is one batch of the wire.
+// frame is one batch of records.
 type frame struct {
 	records uint32
 	now     logic.Time
 	body    []byte
 }
 
-// readFrame reads one batch into buf, which it may grow. It returns io.EOF
-// only between frames.
+// readFrame reads one batch into buf, which it may grow, and returns the batch and the buffer. It
+// returns io.EOF only if the input ends between batches.
 func readFrame(r io.Reader, buf []byte) (frame, []byte, error) {
-	var head [frameHead]byte
+	var head [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		if err == io.EOF {
 			return frame{}, buf, io.EOF
 		}
-		return frame{}, buf, fmt.Errorf("batch header cut short: %w", err)
+		return frame{}, buf, fmt.Errorf("batch header truncated: %w", err)
 	}
 	records, size := binary.BigEndian.Uint32(head[:4]), int(binary.BigEndian.Uint32(head[4:]))
 	if size < clockBytes {
@@ -141,7 +141,7 @@
 		}
 		buf = buf[:at+n]
 		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return frame{}, buf, fmt.Errorf("batch cut short: %w", err)
+			return frame{}, buf, fmt.Errorf("batch truncated: %w", err)
 		}
 	}
 	c := cursor{b: buf}
@@ -157,7 +157,7 @@
 	5: logic.ConnectionReset, 6: logic.Cancelled, 7: logic.NotSent, 210: logic.PromptRead,
 }
 
-func (c *cursor) ask() logic.Event {
+func (c *cursor) request() logic.Event {
 	var r logic.Request
 	r.ID = logic.RequestID(c.u64())
 	r.PrefixTokens = c.f32()
@@ -177,10 +177,10 @@
 
 func (c *cursor) members() (logic.Event, bool) {
 	kind := c.u8()
-	c.u32() // list version: delivery is in order
+	c.u32() // list version, not needed: lists arrive in order
 	n := int(c.u32())
 	if c.err == nil && (kind > 3 || n > (len(c.b)-c.off)/memberBytes) {
-		c.err = fmt.Errorf("list of kind %d with %d entries does not fit", kind, n)
+		c.err = fmt.Errorf("member list of kind %d with %d entries does not fit into its batch", kind, n)
 	}
 	if c.err != nil {
 		return logic.Event{}, false
@@ -189,7 +189,7 @@
 	for range n {
 		m := logic.Member{Weight: c.f32(), Server: logic.ServerID(c.u32()), Cell: int(c.u16())}
 		m.Since = logic.Time(c.nanos())
-		switch h := c.u8(); h {
+		switch health := c.u8(); health {
 		case 0:
 			m.Health = logic.Ready
 		case 1:
@@ -197,7 +197,7 @@
 		case 3:
 			m.Health = logic.Gone
 		default:
-			c.err = fmt.Errorf("unknown health %d", h)
+			c.err = fmt.Errorf("unknown health %d", health)
 		}
 		m.Zone = int(c.u8())
 		m.Kind = int(c.u16())
@@ -206,8 +206,8 @@
 	return e, kind != 3
 }
 
-// gauge reads a load report by the columns that the settings name.
-func (c *cursor) gauge(cols Columns) logic.Load {
+// loadReport reads a load report, whose values are in the order of the columns in the settings.
+func (c *cursor) loadReport(cols Columns) logic.Load {
 	n := int(c.u8())
 	var l logic.Load
 	for i := range n {
@@ -220,56 +220,56 @@
 	return l
 }
 
-func (c *cursor) attemptEnd(cols Columns) logic.Event {
+func (c *cursor) attemptEnded(cols Columns) logic.Event {
 	e := logic.Event{Kind: logic.AttemptEnded}
 	e.ID = logic.RequestID(c.u64())
 	e.Attempt = int(c.u16())
 	e.Latency = time.Duration(c.nanos())
 	e.Closed = c.u8() != 0
 	e.Server = logic.ServerID(c.u32())
-	verdict := c.u16()
-	st, ok := statuses[verdict]
+	code := c.u16()
+	st, ok := statuses[code]
 	if !ok && c.err == nil {
-		c.err = fmt.Errorf("unknown outcome %d", verdict)
+		c.err = fmt.Errorf("unknown outcome %d", code)
 	}
 	e.Status = st
 	e.Kept = c.u32()
-	e.Load = c.gauge(cols)
+	e.Load = c.loadReport(cols)
 	return e
 }
 
-// appendActions encodes what one instance does.
-func appendActions(b []byte, who uint16, actions []logic.Action) []byte {
+// appendActions encodes the actions of one instance.
+func appendActions(b []byte, instanceID uint16, actions []logic.Action) []byte {
 	if len(actions) == 0 {
 		return b
 	}
 	be := binary.BigEndian
-	b = be.AppendUint16(append(b, codeFor), who)
+	b = be.AppendUint16(append(b, codeActionInstance), instanceID)
 	id := func(code byte, a *logic.Action) { b = be.AppendUint64(append(b, code), uint64(a.ID)) }
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
 		case logic.Send:
-			id(codeTry, a)
+			id(codeSend, a)
 			b = be.AppendUint32(b, uint32(a.Server))
 			b = be.AppendUint64(b, uint64(a.After))
 		case logic.CallOff:
-			id(codeCallOff, a)
+			id(codeCancelAttempt, a)
 			b = be.AppendUint16(b, uint16(a.Attempt))
 		case logic.Refuse:
 			id(codeRefuse, a)
 			b = be.AppendUint64(b, uint64(a.After))
 		case logic.Fail:
-			id(codeEndFailed, a)
+			id(codeFail, a)
 		case logic.Release:
-			id(codeFreeState, a)
+			id(codeRelease, a)
 		case logic.Move:
-			id(codeShift, a)
+			id(codeMove, a)
 		case logic.SetTimer:
-			b = be.AppendUint64(append(b, codeDefer), uint64(a.After))
+			b = be.AppendUint64(append(b, codeSetTimer), uint64(a.After))
 			b = be.AppendUint64(b, a.Token)
 		case logic.Log:
-			b = appendText(append(b, codeSayLog), a.Text)
+			b = appendText(append(b, codeLog), a.Text)
 		}
 	}
 	return b
--- a/wire/host.go
+++ b/wire/host.go
@@ -10,29 +10,29 @@
 	"lichenshelf/logic"
 )
 
-// instance is one gateway hosted here; instances share nothing.
+// instance is one hosted gateway. Instances share no state.
 type instance struct {
 	decider logic.Decider
 	columns Columns
-	events  []logic.Event // of the batch in hand
-	queued  bool          // already in the batch's order
+	events  []logic.Event // of the current batch
+	queued  bool          // listed in Host.order for the current batch
 }
 
-// Host runs many isolated instances over one wire.
+// Host runs many isolated instances over one connection.
 type Host struct {
-	start     func(logic.Settings, uint64) logic.Decider
-	instances map[uint16]*instance
-	order     []uint16 // instances with events in the batch in hand, by first event
-	actions   []logic.Action
+	newDecider func(logic.Settings, uint64) logic.Decider
+	instances  map[uint16]*instance
+	order      []uint16 // instances with events in the current batch, by first event
+	actions    []logic.Action
 }
 
-// NewHost returns a host whose instances are made by start.
-func NewHost(start func(logic.Settings, uint64) logic.Decider) *Host {
-	return &Host{start: start, instances: map[uint16]*instance{}}
+// NewHost returns a Host whose instances get their deciders from newDecider.
+func NewHost(newDecider func(logic.Settings, uint64) logic.Decider) *Host {
+	return &Host{newDecider: newDecider, instances: map[uint16]*instance{}}
 }
 
-// Serve answers batches until the input ends. Each reply is flushed. A batch
-// that is malformed is an error and gets no reply.
+// Serve answers batches until the input ends, and flushes each reply. It returns an error for a
+// malformed batch, without a reply to it.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriter(out)
 	var buf, reply []byte
@@ -59,22 +59,23 @@
 	}
 }
 
-// batch decodes the whole batch before it lets any instance decide.
+// batch appends the reply to a batch. It decodes the whole batch before any instance handles
+// events.
 func (h *Host) batch(f frame, reply []byte) ([]byte, error) {
 	c := &cursor{b: f.body}
 	h.order = h.order[:0]
-	var who uint16
+	var instanceID uint16
 	addressed := false
 	for range f.records {
 		code := c.u8()
-		if code == codeAt {
-			who, addressed = c.u16(), true
+		if code == codeEventInstance {
+			instanceID, addressed = c.u16(), true
 			continue
 		}
 		if c.err == nil && !addressed {
-			return reply, fmt.Errorf("event %d before any instance was named", code)
+			return reply, fmt.Errorf("event %d before the first instance record", code)
 		}
-		if err := h.event(c, code, who); err != nil {
+		if err := h.event(c, code, instanceID); err != nil {
 			return reply, err
 		}
 	}
@@ -84,42 +85,42 @@
 	if c.err != nil {
 		return reply, c.err
 	}
-	for _, who := range h.order {
-		in := h.instances[who]
-		if in == nil || !in.queued { // destroyed in this batch
+	for _, instanceID := range h.order {
+		inst := h.instances[instanceID]
+		if inst == nil || !inst.queued { // closed in this batch
 			continue
 		}
-		in.queued = false
+		inst.queued = false
 		h.actions = h.actions[:0]
-		if fault := h.handle(in, f.now); fault != "" {
-			reply = binary.BigEndian.AppendUint16(append(reply, codeFor), who)
+		if fault := h.handle(inst, f.now); fault != "" {
+			reply = binary.BigEndian.AppendUint16(append(reply, codeActionInstance), instanceID)
 			return appendText(append(reply, codeFatal), fault), nil
 		}
-		reply = appendActions(reply, who, h.actions)
-		in.events = in.events[:0]
+		reply = appendActions(reply, instanceID, h.actions)
+		inst.events = inst.events[:0]
 	}
 	return reply, nil
 }
 
-// handle runs the module and turns a panic into a fault text.
-func (h *Host) handle(in *instance, now logic.Time) (fault string) {
+// handle runs the instance's decider. It returns the text of a panic, or an empty string.
+func (h *Host) handle(inst *instance, now logic.Time) (fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			fault = fmt.Sprintf("decision module panicked: %v", p)
 		}
 	}()
-	h.actions = in.decider.Handle(now, in.events, h.actions)
+	h.actions = inst.decider.Handle(now, inst.events, h.actions)
 	return ""
 }
 
-// event decodes one record for the instance who.
-func (h *Host) event(c *cursor, code uint8, who uint16) error {
-	if code == codeOpen {
-		return h.open(c, who)
+// event decodes one record for the instance with the given ID.
+func (h *Host) event(c *cursor, code uint8, instanceID uint16) error {
+	if code == codeOpenInstance {
+		return h.open(c, instanceID)
 	}
-	in := h.instances[who]
-	if c.err == nil && in == nil {
-		return fmt.Errorf("event %d for instance %d, which is not open", code, who)
+	inst := h.instances[instanceID]
+	if c.err == nil && inst == nil {
+		return fmt.Errorf("event %d for instance %d, which is not open", code, instanceID)
 	}
 	if c.err != nil {
 		return c.err
@@ -127,32 +128,32 @@
 	var e logic.Event
 	deliver := true
 	switch code {
-	case codeDestroy:
-		in.queued = false
-		delete(h.instances, who)
+	case codeCloseInstance:
+		inst.queued = false
+		delete(h.instances, instanceID)
 		return nil
 	case codeMembers:
 		e, deliver = c.members()
-	case codeAsk:
-		e = c.ask()
-	case codeHead:
+	case codeRequest:
+		e = c.request()
+	case codeAnswerStarted:
 		e = logic.Event{Kind: logic.AnswerStarted, ID: logic.RequestID(c.u64()), Attempt: int(c.u16())}
 		e.Latency = time.Duration(c.nanos())
 		e.Server = logic.ServerID(c.u32())
-	case codeAttemptEnd:
-		e = c.attemptEnd(in.columns)
-	case codeClientGone:
+	case codeAttemptEnded:
+		e = c.attemptEnded(inst.columns)
+	case codeClientLeft:
 		e = logic.Event{Kind: logic.ClientLeft, ID: logic.RequestID(c.u64())}
-	case codeWake:
+	case codeTimerFired:
 		e = logic.Event{Kind: logic.TimerFired, Token: c.u64()}
-	case codeAnswerAhead: // places are not asked for: the writer is picked late
+	case codeAnswerAnnounced: // not used: no place is reserved ahead, as the writer is picked late
 		c.take(8 + 2 + 4 + 1 + 4)
 		deliver = false
-	case codeCheckResult: // no probes are sent
+	case codeProbeResult: // not used: no probes are sent
 		c.take(2 + 8 + 4)
-		c.gauge(in.columns)
+		c.loadReport(inst.columns)
 		deliver = false
-	case codeMail: // no messages are used
+	case codeMessage: // not used: instances send no messages
 		c.take(2)
 		c.take(int(c.u16()))
 		deliver = false
@@ -163,16 +164,16 @@
 		return c.err
 	}
 	if deliver {
-		in.events = append(in.events, e)
-		if !in.queued {
-			in.queued = true
-			h.order = append(h.order, who)
+		inst.events = append(inst.events, e)
+		if !inst.queued {
+			inst.queued = true
+			h.order = append(h.order, instanceID)
 		}
 	}
 	return nil
 }
 
-func (h *Host) open(c *cursor, who uint16) error {
+func (h *Host) open(c *cursor, instanceID uint16) error {
 	seed := c.u64()
 	text := c.take(int(c.u32()))
 	if c.err != nil {
@@ -180,11 +181,11 @@
 	}
 	settings, cols, err := ParseSettings(string(text))
 	if err != nil {
-		return fmt.Errorf("instance %d: %w", who, err)
+		return fmt.Errorf("instance %d: %w", instanceID, err)
 	}
-	if in := h.instances[who]; in != nil {
-		in.queued = false
+	if inst := h.instances[instanceID]; inst != nil {
+		inst.queued = false
 	}
-	h.instances[who] = &instance{decider: h.start(settings, seed), columns: cols}
+	h.instances[instanceID] = &instance{decider: h.newDecider(settings, seed), columns: cols}
 	return nil
 }
--- a/wire/report.go
+++ b/wire/report.go
@@ -10,38 +10,38 @@
 	"lichenshelf/logic"
 )
 
-// Meaning is what the decisions make of a field of load reports.
+// Meaning says what a field of load reports measures.
 type Meaning uint8
 
-// The meanings that are understood. Others are passed over.
+// The meanings of fields. Fields of meaning Other are ignored.
 const (
 	Other  Meaning = iota
 	Memory         // share of a server's memory that is held, 0 to 1
-	Unread         // prompt tokens that wait to be read or fetched, told in thousands
+	Unread         // prompt tokens that wait to be read or fetched, in thousands
 )
 
-// Field is one field of a load report, by its name in the settings.
+// Field is one field of load reports, with its name in the settings.
 type Field struct {
 	Name    string
 	Meaning Meaning
 }
 
-// Columns are the fields of load reports in the order of the settings; none
-// where servers do not report with their answers.
+// Columns are the fields of load reports in the order of the settings. They are empty if servers do
+// not report with their answers.
 type Columns []Field
 
-// Bounds of what a report may say. Reports are noisy, so a share may lie a little
-// past 1; what lies past these makes no sense, and neither does the rest of its report.
+// Limits of load reports. Reports are noisy, so a share may slightly exceed 1. A report with a
+// value beyond these limits is rejected as a whole.
 const (
-	mostShare  = 2.0
-	mostUnread = 1e5 // thousands of tokens: more than an hour's reading
-	mostText   = 1024
+	maxShare           = 2.0
+	maxUnreadThousands = 1e5 // thousands of tokens, which take more than an hour to read
+	maxTextBytes       = 1024
 )
 
-// ErrReport is what a report that can't be used wraps.
+// ErrReport is wrapped by the errors of malformed load reports.
 var ErrReport = errors.New("load report")
 
-// Understands tells whether some field means something to the decisions.
+// Understands reports whether any field has a meaning other than Other.
 func (c Columns) Understands() bool {
 	for _, f := range c {
 		if f.Meaning != Other {
@@ -51,7 +51,7 @@
 	return false
 }
 
-// take puts the value of field i into a report.
+// take stores the value of field i in a report.
 func (c Columns) take(l *logic.Load, i int, v float64) {
 	switch c[i].Meaning {
 	case Memory:
@@ -61,14 +61,13 @@
 	}
 }
 
-// Parse reads a report in its text form, name=value pairs joined with commas, as
-// "x0=0.41,x1=3.2". Fields that the settings do not name are passed over, and a
-// report may lack some. One with a field that is doubled, not a number, negative
-// or past all sense counts for nothing, as nobody can tell what else in it is
-// wrong; the error names the field and its value.
+// Parse parses a report in its text form, comma-separated name=value pairs such as
+// "x0=0.41,x1=3.2". Fields that the settings do not name are ignored, and fields may be missing. A
+// report with a field that is repeated, not a number, negative or out of range is rejected as a
+// whole, since its other fields may be wrong as well. The error names the field and its value.
 func (c Columns) Parse(text string) (logic.Load, error) {
-	if len(text) > mostText {
-		return logic.Load{}, fmt.Errorf("%w: %d bytes, %d at most", ErrReport, len(text), mostText)
+	if len(text) > maxTextBytes {
+		return logic.Load{}, fmt.Errorf("%w: %d bytes, at most %d allowed", ErrReport, len(text), maxTextBytes)
 	}
 	var l logic.Load
 	seen := make([]bool, len(c))
@@ -83,30 +82,30 @@
 			continue
 		}
 		if seen[i] {
-			return logic.Load{}, fmt.Errorf("%w: %s stands twice, the second time as %.40q", ErrReport, name, value)
+			return logic.Load{}, fmt.Errorf("%w: %s is repeated, the second time with value %.40q", ErrReport, name, value)
 		}
 		seen[i] = true
 		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || math.IsNaN(v) || v < 0 || v > c[i].Meaning.most() {
-			return logic.Load{}, fmt.Errorf("%w: %s is %.40q, not a number from 0 to %g", ErrReport, name, value, c[i].Meaning.most())
+		if err != nil || math.IsNaN(v) || v < 0 || v > c[i].Meaning.maxValue() {
+			return logic.Load{}, fmt.Errorf("%w: %s is %.40q, not a number from 0 to %g", ErrReport, name, value, c[i].Meaning.maxValue())
 		}
 		c.take(&l, i, v)
 	}
 	return l, nil
 }
 
-// most is the largest value that makes sense.
-func (m Meaning) most() float64 {
+// maxValue returns the largest accepted value.
+func (m Meaning) maxValue() float64 {
 	switch m {
 	case Memory:
-		return mostShare
+		return maxShare
 	case Unread:
-		return mostUnread
+		return maxUnreadThousands
 	}
 	return math.MaxFloat64
 }
 
-// columns says which report values this package can translate.
+// columns returns the fields of load reports, with the meanings that the settings state for them.
 func (p *parser) columns() Columns {
 	var out Columns
 	for _, name := range p.list("load-info.columns") {
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -10,13 +10,13 @@
 	"lichenshelf/logic"
 )
 
-// parser looks settings up by path and remembers the first fault.
+// parser looks up settings by path and keeps the first error.
 type parser struct {
 	values map[string]string
 	err    error
 }
 
-// text returns a needed value.
+// text returns the value of a required setting.
 func (p *parser) text(path string) string {
 	v, ok := p.values[path]
 	if !ok && p.err == nil {
@@ -25,7 +25,7 @@
 	return v
 }
 
-func (p *parser) bad(path, v string) {
+func (p *parser) malformed(path, v string) {
 	if p.err == nil {
 		p.err = fmt.Errorf("setting %s is malformed: %q", path, v)
 	}
@@ -35,7 +35,7 @@
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 {
 		if p.err == nil {
-			p.bad(path, v)
+			p.malformed(path, v)
 		}
 		return 0
 	}
@@ -57,11 +57,11 @@
 	return 0
 }
 
-// count reads a whole number that sizes a list.
-func (p *parser) count(path string, most int) int {
+// count parses a whole number of at most limit.
+func (p *parser) count(path string, limit int) int {
 	f := p.number(path)
-	if f != math.Trunc(f) || f > float64(most) {
-		p.bad(path, p.values[path])
+	if f != math.Trunc(f) || f > float64(limit) {
+		p.malformed(path, p.values[path])
 		return 0
 	}
 	return int(f)
@@ -82,13 +82,13 @@
 	case "false":
 	default:
 		if p.err == nil {
-			p.bad(path, v)
+			p.malformed(path, v)
 		}
 	}
 	return false
 }
 
-// list reads a comma-joined list; an absent or empty one has no items.
+// list splits a comma-separated list. A missing or empty one has no items.
 func (p *parser) list(path string) []string {
 	if v := p.values[path]; v != "" {
 		return strings.Split(v, ",")
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// item returns one number of a list that must hold n of them; an absent list gives zeros.
+// items parses a list of exactly n numbers. A missing list gives zeros.
 func (p *parser) items(path string, n int) []float64 {
 	out := make([]float64, n)
 	l := p.list(path)
@@ -104,7 +104,7 @@
 		return out
 	}
 	if len(l) != n {
-		p.bad(path, p.values[path])
+		p.malformed(path, p.values[path])
 		return out
 	}
 	for i, v := range l {
@@ -113,10 +113,10 @@
 	return out
 }
 
-const mostItems = 4096
+const maxItems = 4096
 
-// ParseSettings turns settings in the wire's form, path=value lines, into typed
-// ones, and says what the fields of load reports mean. Unknown keys are skipped.
+// ParseSettings parses settings in the form of the wire, path=value lines. It returns the settings
+// and the fields of load reports. Unknown paths are ignored.
 func ParseSettings(text string) (logic.Settings, Columns, error) {
 	p := &parser{values: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
@@ -144,7 +144,7 @@
 	}
 	s.Classes = p.classes()
 	if n := p.optional("realms.count"); n > 0 {
-		for i := range p.count("realms.count", mostItems) {
+		for i := range p.count("realms.count", maxItems) {
 			q := p.optional(fmt.Sprintf("realms.%d.quota-per-s", i))
 			s.Tenants = append(s.Tenants, logic.Tenant{QuotaPerSecond: q})
 		}
@@ -154,34 +154,34 @@
 }
 
 func (p *parser) classes() []logic.Class {
-	n := p.count("categories.count", mostItems)
-	per := p.items("extra.aim-us-per-1000-prompt-tokens", n)
-	gap := p.items("extra.token-aim-ns", n)
+	n := p.count("categories.count", maxItems)
+	aimsPer1000 := p.items("extra.aim-us-per-1000-prompt-tokens", n)
+	tokenAims := p.items("extra.token-aim-ns", n)
 	out := make([]logic.Class, n)
 	for i := range out {
-		at := fmt.Sprintf("categories.%d.", i)
+		prefix := fmt.Sprintf("categories.%d.", i)
 		c := logic.Class{
-			Aim: p.nanos(at + "target-ns"), AimPer1000: time.Duration(per[i] * 1000), TokenAim: time.Duration(gap[i]),
-			Points: p.number(at + "points"), LateShare: p.optional(at + "late-share"),
-			RepeatWindow: time.Duration(p.optional(at + "repeat-window-ns")),
+			Aim: p.nanos(prefix + "target-ns"), AimPer1000: time.Duration(aimsPer1000[i] * 1000), TokenAim: time.Duration(tokenAims[i]),
+			Points: p.number(prefix + "points"), LateShare: p.optional(prefix + "late-share"),
+			RepeatWindow: time.Duration(p.optional(prefix + "repeat-window-ns")),
 		}
-		switch v := p.text(at + "effect"); v {
+		switch v := p.text(prefix + "effect"); v {
 		case "repeatable":
 		case "by_key":
 			c.Effect = logic.EffectByKey
 		case "once":
 			c.Effect = logic.EffectOnce
 		default:
-			p.bad(at+"effect", v)
+			p.malformed(prefix+"effect", v)
 		}
-		switch v := p.values[at+"group"]; v {
+		switch v := p.values[prefix+"group"]; v {
 		case "", "all":
 		case "zone":
 			c.Group = logic.GroupZone
 		case "cell":
 			c.Group = logic.GroupCell
 		default:
-			p.bad(at+"group", v)
+			p.malformed(prefix+"group", v)
 		}
 		out[i] = c
 	}
@@ -201,7 +201,7 @@
 		case "both":
 			out[i].Role = logic.RoleBoth
 		default:
-			p.bad("extra.role-by-kind", r)
+			p.malformed("extra.role-by-kind", r)
 		}
 	}
 	return out
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -69,15 +69,15 @@
 	}
 }
 
-// script is a decider that records its events and answers with fixed actions.
-type script struct {
-	seen    []logic.Event
-	answer  []logic.Action
-	panicky bool
+// scriptedDecider is a decider that records its events and returns fixed actions.
+type scriptedDecider struct {
+	seen   []logic.Event
+	answer []logic.Action
+	panics bool
 }
 
-func (s *script) Handle(_ logic.Time, events []logic.Event, actions []logic.Action) []logic.Action {
-	if s.panicky {
+func (s *scriptedDecider) Handle(_ logic.Time, events []logic.Event, actions []logic.Action) []logic.Action {
+	if s.panics {
 		panic("on purpose")
 	}
 	s.seen = append(s.seen, events...)
@@ -92,24 +92,26 @@
 	return append(b, body...)
 }
 
-func at(who uint16) []byte { return binary.BigEndian.AppendUint16([]byte{codeAt}, who) }
+func eventInstance(instanceID uint16) []byte {
+	return binary.BigEndian.AppendUint16([]byte{codeEventInstance}, instanceID)
+}
 
-func open() []byte {
-	b := binary.BigEndian.AppendUint64([]byte{codeOpen}, 9)
+func openInstance() []byte {
+	b := binary.BigEndian.AppendUint64([]byte{codeOpenInstance}, 9)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(settingsText)))
 	return append(b, settingsText...)
 }
 
-// The example records of the wire page.
+// Example records from the description of the wire.
 var (
-	askRecord = []byte{0x32, 0, 1, 7, 0x3d, 0x5d, 0x3a, 0x91, 0xc4, 0x44, 0x96, 0, 0, 0, 0x44, 0xe1, 0, 0,
+	requestRecord = []byte{0x32, 0, 1, 7, 0x3d, 0x5d, 0x3a, 0x91, 0xc4, 0x44, 0x96, 0, 0, 0, 0x44, 0xe1, 0, 0,
 		0, 0, 0, 0, 0, 0xb7, 0x1b, 0, 0, 0, 0, 0, 0x91, 0xf0, 0x3b, 0x7c, 0x55, 0xd2, 0x0a, 0x64, 1,
 		0, 0, 0, 0, 0x0e, 0x4e, 0x1c, 0, 0x43, 0x80, 0, 0, 0x2b, 0x8e, 0x64, 1, 0xd9, 0xf3, 0x7c, 0x10}
-	endRecord = append([]byte{0x5a, 0, 1, 7, 0x3d, 0x5d, 0x3a, 0x91, 0xc4, 0, 0, 0, 0, 0, 0, 1, 0x1a, 0x49, 0xa0,
-		1, 3, 0x12, 0x4a, 7, 0, 210, 0, 0, 0, 5, 3}, gaugeBytes(0.5, 1.5, 0.25)...)
+	attemptEndedRecord = append([]byte{0x5a, 0, 1, 7, 0x3d, 0x5d, 0x3a, 0x91, 0xc4, 0, 0, 0, 0, 0, 0, 1, 0x1a, 0x49, 0xa0,
+		1, 3, 0x12, 0x4a, 7, 0, 210, 0, 0, 0, 5, 3}, floatBytes(0.5, 1.5, 0.25)...)
 )
 
-func gaugeBytes(v ...float32) (b []byte) {
+func floatBytes(v ...float32) (b []byte) {
 	for _, f := range v {
 		b = binary.BigEndian.AppendUint32(b, math.Float32bits(f))
 	}
@@ -117,12 +119,12 @@
 }
 
 func TestServe(t *testing.T) {
-	s := &script{answer: []logic.Action{
+	s := &scriptedDecider{answer: []logic.Action{
 		{Kind: logic.Send, ID: 7, Server: 8, After: 9}, {Kind: logic.Refuse, ID: 7, After: 1},
 		{Kind: logic.SetTimer, After: 5, Token: 77}, {Kind: logic.Release, ID: 7}, {Kind: logic.CallOff, ID: 7, Attempt: 2}}}
 	h := NewHost(func(logic.Settings, uint64) logic.Decider { return s })
 	var out bytes.Buffer
-	if err := h.Serve(bytes.NewReader(batch(at(3), open(), askRecord, endRecord)), &out); err != nil {
+	if err := h.Serve(bytes.NewReader(batch(eventInstance(3), openInstance(), requestRecord, attemptEndedRecord)), &out); err != nil {
 		t.Fatal(err)
 	}
 	if len(s.seen) != 2 {
@@ -151,8 +153,8 @@
 }
 
 func TestServeRejectsMalformedInput(t *testing.T) {
-	good := batch(at(3), open(), askRecord)
-	huge := batch(at(3), open())
+	good := batch(eventInstance(3), openInstance(), requestRecord)
+	huge := batch(eventInstance(3), openInstance())
 	binary.BigEndian.PutUint32(huge, math.MaxUint32)
 	list := append([]byte{codeMembers, 1, 0, 0, 0, 1}, 0xff, 0xff, 0xff, 0xff)
 	for name, in := range map[string][]byte{
@@ -161,14 +163,14 @@
 		"record count":       huge,
 		"length without end": {0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff},
 		"no clock":           {0, 0, 0, 0, 0, 0, 0, 4},
-		"unknown event":      batch(at(3), open(), []byte{99}),
-		"not open":           batch(at(4), askRecord),
-		"no instance":        batch(askRecord),
-		"list count":         batch(at(3), open(), list),
-		"left over":          batch(at(3), append(open(), 0)),
+		"unknown event":      batch(eventInstance(3), openInstance(), []byte{99}),
+		"not open":           batch(eventInstance(4), requestRecord),
+		"no instance":        batch(requestRecord),
+		"list count":         batch(eventInstance(3), openInstance(), list),
+		"left over":          batch(eventInstance(3), append(openInstance(), 0)),
 	} {
 		var out bytes.Buffer
-		h := NewHost(func(logic.Settings, uint64) logic.Decider { return &script{} })
+		h := NewHost(func(logic.Settings, uint64) logic.Decider { return &scriptedDecider{} })
 		err := h.Serve(bytes.NewReader(in), &out)
 		if err == nil || strings.Contains(err.Error(), "\n") || out.Len() != 0 {
 			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
@@ -177,9 +179,9 @@
 }
 
 func TestPanicBecomesFatal(t *testing.T) {
-	h := NewHost(func(logic.Settings, uint64) logic.Decider { return &script{panicky: true} })
+	h := NewHost(func(logic.Settings, uint64) logic.Decider { return &scriptedDecider{panics: true} })
 	var out bytes.Buffer
-	if err := h.Serve(bytes.NewReader(batch(at(3), open(), askRecord)), &out); err != nil {
+	if err := h.Serve(bytes.NewReader(batch(eventInstance(3), openInstance(), requestRecord)), &out); err != nil {
 		t.Fatal(err)
 	}
 	if b := out.Bytes(); len(b) < 8 || b[7] != codeFatal || !bytes.Contains(b, []byte("on purpose")) {
@@ -188,7 +190,7 @@
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add(batch(at(3), open(), askRecord, endRecord))
+	f.Add(batch(eventInstance(3), openInstance(), requestRecord, attemptEndedRecord))
 	f.Add(batch())
 	f.Fuzz(func(t *testing.T, in []byte) {
 		h := NewHost(func(s logic.Settings, seed uint64) logic.Decider { return logic.New(s, seed) })
