--- a/front/modelapi/transport.go
+++ b/front/modelapi/transport.go
@@ -13,7 +13,7 @@
 	return upstream.New(upstream.Config{
 		ConnectTimeout: cfg.Connect.Duration, ConnIdle: cfg.ConnIdle.Duration, MaxConns: conns,
 		MaxAnswer: cfg.MaxAnswer, StreamStall: cfg.Stall.Duration, WaitHeader: headerWait,
-		Judge: judge, Final: final, Counters: counters,
+		Classify: judge, Final: final, Counters: counters,
 	})
 }
 
--- a/front/platform/describe.go
+++ b/front/platform/describe.go
@@ -30,7 +30,7 @@
 				k.AimPer1000, effectNames[k.Effect])
 		}
 	}
-	if c.Reports.Understands() {
+	if c.Reports.HasKnownField() {
 		var parts []string
 		for _, f := range c.Reports {
 			parts = append(parts, f.Name+" ("+meaningNames[f.Meaning]+")")
--- a/front/platform/describe_test.go
+++ b/front/platform/describe_test.go
@@ -102,7 +102,7 @@
 	for _, how := range []string{`"none"`, `"probe"`} {
 		c, err = read(t, `"answers"`, how)
 		require.NoError(t, err)
-		require.False(t, c.Reports.Understands(), how)
+		require.False(t, c.Reports.HasKnownField(), how)
 	}
 }
 
--- a/front/platform/transport.go
+++ b/front/platform/transport.go
@@ -18,12 +18,12 @@
 	out := upstream.Config{
 		ConnectTimeout: cfg.Settings.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: conns,
 		MaxAnswer: maxAnswer, StreamStall: streamStall, WaitHeader: headerWait, ReleasePath: holdsPath,
-		Judge: Judge, Counters: counters,
+		Classify: Judge, Counters: counters,
 	}
 	if cfg.Settings.ReleaseWithin > 0 {
 		out.BodyWait = cfg.Settings.ReleaseWithin / heldParts
 	}
-	if cfg.Reports.Understands() {
+	if cfg.Reports.HasKnownField() {
 		out.LoadHeader, out.Report = headerLoad, cfg.Reports.Parse
 	}
 	return upstream.New(out)
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -84,7 +84,7 @@
 	if cfg.OpenCap > 0 {
 		open = min(open, cfg.OpenCap)
 	}
-	part := d.shares(sources.Platform, cfg.Settings, cfg.Reports.Understands(), cfg.Names("zone"))
+	part := d.shares(sources.Platform, cfg.Settings, cfg.Reports.HasKnownField(), cfg.Names("zone"))
 	core := d.core(ctx, logic.New(cfg.Settings, cfg.Seed), part.watch(platform.NewTransport(cfg, workers, d.counters)), part,
 		cfg.Settings, open)
 	taker := part.before(core)
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -135,7 +135,7 @@
 			text, err = body.readAll(x.client.cfg.MaxAnswer)
 		}
 	}
-	o := x.client.cfg.Judge(head.StatusCode(), head, text)
+	o := x.client.cfg.Classify(head.StatusCode(), head, text)
 	if err != nil {
 		abandonAndWait(c, err)
 		if o.Status != logic.PromptRead { // the response is broken, so the request may have run
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -53,8 +53,8 @@
 	LoadHeader string
 	// Report parses a load report. A report that can't be parsed is counted and ignored.
 	Report func(text string) (logic.Load, error)
-	// Judge maps a response that is no answer for the client to its outcome.
-	Judge    func(status int, header *fasthttp.ResponseHeader, body []byte) router.Outcome
+	// Classify maps a response that is no answer for the client to its outcome.
+	Classify func(status int, header *fasthttp.ResponseHeader, body []byte) router.Outcome
 	Counters router.Counters
 }
 
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -46,7 +46,7 @@
 	counters := &metrics.Set{}
 	client := New(Config{ConnectTimeout: time.Second, ConnIdle: time.Minute, MaxConns: 2, MaxAnswer: 1 << 10,
 		StreamStall: 200 * time.Millisecond, WaitHeader: "X-Wait", ReleasePath: "/holds/", Counters: counters,
-		Judge: func(status int, _ *fasthttp.ResponseHeader, _ []byte) router.Outcome {
+		Classify: func(status int, _ *fasthttp.ResponseHeader, _ []byte) router.Outcome {
 			if status == http.StatusAccepted {
 				return router.Outcome{Status: logic.PromptRead}
 			}
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -36,7 +36,7 @@
 	require.NoError(t, err)
 	t.Cleanup(l.Close)
 	c := New(Config{ConnectTimeout: wait, ConnIdle: time.Minute, MaxConns: 8, WaitHeader: "X-Wait", Counters: &metrics.Set{},
-		Judge: func(int, *fasthttp.ResponseHeader, []byte) router.Outcome { return router.Outcome{} }})
+		Classify: func(int, *fasthttp.ResponseHeader, []byte) router.Outcome { return router.Outcome{} }})
 	w := &router.Worker{Name: "w", Addr: l.Addr()}
 	e := recordingSink{make(chan router.Outcome, 4), make(chan router.Answer, 4)}
 	m := &Message{Method: "POST", URI: "/x", Stream: true}
@@ -84,7 +84,7 @@
 				closed := make(chan struct{}, 1)
 				c, w, _ := startWorker(t, respondAndWait("HTTP/1.1 "+head+"\r\n"+body, closed))
 				c.cfg.BodyWait = 50 * time.Millisecond
-				c.cfg.Judge = func(status int, h *fasthttp.ResponseHeader, _ []byte) router.Outcome {
+				c.cfg.Classify = func(status int, h *fasthttp.ResponseHeader, _ []byte) router.Outcome {
 					switch {
 					case string(h.Peek("X-Not-Run")) == "1":
 						return router.Outcome{Status: logic.Full}
--- a/wire/report.go
+++ b/wire/report.go
@@ -41,8 +41,8 @@
 // ErrReport is wrapped by the errors of malformed load reports.
 var ErrReport = errors.New("load report")
 
-// Understands reports whether any field has a meaning other than Other.
-func (c Columns) Understands() bool {
+// HasKnownField reports whether any field has a meaning other than Other.
+func (c Columns) HasKnownField() bool {
 	for _, f := range c {
 		if f.Meaning != Other {
 			return true
--- a/wire/report_test.go
+++ b/wire/report_test.go
@@ -46,6 +46,6 @@
 		require.ErrorIs(t, err, ErrReport, tc.name)
 		require.ErrorContains(t, err, tc.fault, tc.name)
 	}
-	require.False(t, Columns{{"cpu", Other}}.Understands())
-	require.True(t, columns.Understands())
+	require.False(t, Columns{{"cpu", Other}}.HasKnownField())
+	require.True(t, columns.HasKnownField())
 }
