--- a/store/api.go
+++ b/store/api.go
@@ -15,47 +15,48 @@
 	"lichenshelf/internal/listener"
 )
 
-// The paths of the API.
+// Paths of the API.
 const (
 	sessionsPath = "/v1/sessions"
 	nodesPath    = "/v1/nodes"
 )
 
 const (
-	maxData     = 256 << 10
-	longestWait = time.Minute // of a watch
-	// maxCall bounds a call's body: a ZooKeeper client's frame, as JSON.
-	maxCall    = 2 << 20
-	apiTimeout = 90 * time.Second
-	// apiConns is of the most routers that a fleet's file may list, each with a call here and one that was sent on from another
-	// replica. A connection takes memory only while it is there.
-	apiConns = 2 * 4096
+	maxDataBytes = 256 << 10
+	maxWatchWait = time.Minute
+	// maxBodyBytes bounds the body of a call: the frame of a ZooKeeper client, encoded as JSON.
+	maxBodyBytes = 2 << 20
+	apiTimeout   = 90 * time.Second
+	// maxAPIConns allows for the largest number of routers in a fleet's file, 4096, each with a
+	// direct call and one forwarded by another replica. A connection uses memory only while it is
+	// open.
+	maxAPIConns = 2 * 4096
 )
 
-// Node is a node as the API tells it.
+// Node is the JSON form of a node.
 type Node struct {
 	Data     string   `json:"data"`
 	Stat     Stat     `json:"stat"`
 	Children []string `json:"children"`
 }
 
-// API serves a replica to clients. Writes and sessions belong to the leader; any
-// other replica sends the caller there.
+// API serves a replica to clients. Writes and sessions are handled by the leader; any other replica
+// redirects the caller to it.
 type API struct {
 	replica *Replica
 	server  *fasthttp.Server
 	checks  Checks
 }
 
-// NewAPI returns the API of a replica. What the checks refuse is not published.
+// NewAPI returns the API of a replica. Only texts that pass the checks are published.
 func NewAPI(r *Replica, checks Checks) *API {
 	a := &API{replica: r, checks: checks}
-	a.server = &fasthttp.Server{Handler: a.handle, MaxRequestBodySize: maxCall, NoDefaultServerHeader: true,
-		ReadTimeout: apiTimeout, IdleTimeout: apiTimeout, Concurrency: apiConns, CloseOnShutdown: true}
+	a.server = &fasthttp.Server{Handler: a.handle, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true,
+		ReadTimeout: apiTimeout, IdleTimeout: apiTimeout, Concurrency: maxAPIConns, CloseOnShutdown: true}
 	return a
 }
 
-// Serve serves until Close.
+// Serve serves connections until Close.
 func (a *API) Serve(l net.Listener) error {
 	if err := a.server.Serve(listener.Resilient(l, nil)); err != nil {
 		return fmt.Errorf("serve the store: %w", err)
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// Close ends the API.
+// Close shuts down the API.
 func (a *API) Close(ctx context.Context) error { return a.server.ShutdownWithContext(ctx) }
 
 func (a *API) handle(ctx *fasthttp.RequestCtx) {
@@ -90,7 +91,7 @@
 		err = errNoPath
 	}
 	if err != nil {
-		a.fail(ctx, err)
+		a.replyError(ctx, err)
 	}
 }
 
@@ -129,8 +130,8 @@
 
 func (a *API) node(ctx *fasthttp.RequestCtx, path string) error {
 	data := append([]byte(nil), ctx.PostBody()...)
-	if len(data) > maxData {
-		return fmt.Errorf("%w: a node holds %d bytes at most, not %d", errInput, maxData, len(data))
+	if len(data) > maxDataBytes {
+		return fmt.Errorf("%w: a node holds %d bytes at most, not %d", errInput, maxDataBytes, len(data))
 	}
 	args := ctx.QueryArgs()
 	version := int64(AnyVersion)
@@ -142,14 +143,14 @@
 	}
 	switch string(ctx.Method()) {
 	case fasthttp.MethodGet:
-		f, err := a.fresh(ctx)
+		f, err := a.waitFresh(ctx)
 		if err != nil {
 			return err
 		}
 		if args.GetBool("watch") {
-			return a.await(ctx, path, f)
+			return a.awaitChange(ctx, path, f)
 		}
-		return a.show(ctx, path, f)
+		return a.replyNode(ctx, path, f)
 	case fasthttp.MethodPost:
 		return a.change(ctx, fasthttp.StatusCreated, command{Op: opCreate, Path: path, Data: data, Session: string(args.Peek("session"))})
 	case fasthttp.MethodPut:
@@ -160,7 +161,7 @@
 	return errMethod
 }
 
-// change answers a write that has no other answer than its status.
+// change applies a write whose answer is only a status.
 func (a *API) change(ctx *fasthttp.RequestCtx, status int, c command) error {
 	_, err := a.write(ctx, c)
 	if err == nil {
@@ -169,8 +170,9 @@
 	return err
 }
 
-// write applies a command under the name that the call gives it. The answer has the number of the operation, also where it
-// was refused: what refused it was there by then.
+// write applies a command under the name that the call gives it. The answer carries the index of
+// the operation even if the write was rejected, since the state that caused the rejection is part
+// of that index.
 func (a *API) write(ctx *fasthttp.RequestCtx, c command) (*Result, error) {
 	c, err := named(ctx, c)
 	if err != nil {
@@ -184,11 +186,11 @@
 	return result, result.Err
 }
 
-// await answers with the node once its version or its list of children is
-// another than the caller names, or with 204 if that does not happen in time.
-func (a *API) await(ctx *fasthttp.RequestCtx, path string, f freshness) error {
+// awaitChange answers with the node once its version or its list of children differs from the
+// caller's, or with 204 if neither changes in time.
+func (a *API) awaitChange(ctx *fasthttp.RequestCtx, path string, f freshness) error {
 	args := ctx.QueryArgs()
-	wait := min(time.Duration(args.GetUintOrZero("wait_ms"))*time.Millisecond, longestWait)
+	wait := min(time.Duration(args.GetUintOrZero("wait_ms"))*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -201,7 +203,7 @@
 			(strconv.FormatInt(s.Stat.Version, 10) != string(args.Peek("version")) ||
 				strconv.FormatInt(s.Stat.Children, 10) != string(args.Peek("children"))) {
 			w.Stop()
-			return a.show(ctx, path, f)
+			return a.replyNode(ctx, path, f)
 		}
 		select {
 		case <-w.Changed():
@@ -212,14 +214,14 @@
 			return nil
 		}
 		if _, now := a.replica.Read(path); err != nil || errors.Is(now, ErrNoNode) {
-			return a.show(ctx, path, f) // it came, or it went
+			return a.replyNode(ctx, path, f) // the node was created or removed
 		}
 	}
 }
 
-func (a *API) show(ctx *fasthttp.RequestCtx, path string, f freshness) error {
+func (a *API) replyNode(ctx *fasthttp.RequestCtx, path string, f freshness) error {
 	s, err := a.replica.Read(path)
-	if err := a.holds(f, s.Index); err != nil {
+	if err := a.waitConfirmed(f, s.Index); err != nil {
 		return err
 	}
 	setVersion(ctx, s.Index)
@@ -240,11 +242,12 @@
 	return nil
 }
 
-// fail maps a fault to a status. Who asks a replica that does not lead is sent on.
-func (a *API) fail(ctx *fasthttp.RequestCtx, err error) {
+// replyError maps an error to a status. A caller that needs the leader is redirected to it.
+func (a *API) replyError(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusInternalServerError
 	switch {
-	case errors.Is(err, ErrBehind): // before what it was met with at the leader: to be sent on there is no help
+	// Checked before ErrNotLeader, which it may wrap: a redirect to the leader would not help.
+	case errors.Is(err, ErrLagging):
 		status = fasthttp.StatusServiceUnavailable
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
 	case errors.Is(err, ErrNotLeader):
--- a/store/bootstrap.go
+++ b/store/bootstrap.go
@@ -7,9 +7,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// bootstrap gives a replica its first configuration, unless it has had one. Raft writes the term first and the
-// configuration then: a start that ended in between, killed or for want of room, is taken up where it was. The same entry is
-// the first one at every replica, so it does not matter which of them were in time.
+// bootstrap writes a replica's initial configuration, unless it already has one. Raft writes the
+// term before the configuration, so a first start may have ended between the two, by a kill or a
+// full disk; the next start then writes the missing configuration. The entry is the same at every
+// replica, so it does not matter which of them have written it already.
 func (r *Replica) bootstrap(rc *raft.Config, snapshots raft.SnapshotStore, first raft.Configuration) error {
 	err := raft.BootstrapCluster(rc, r.disk, r.disk, snapshots, r.network, first)
 	if err == nil {
@@ -27,7 +28,7 @@
 		return fmt.Errorf("read snapshots: %w", err)
 	}
 	if last > 0 || len(kept) > 0 {
-		return nil // it goes on from where it was
+		return nil // the replica already has a configuration
 	}
 	entry := &raft.Log{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(first)}
 	if err := r.disk.StoreLog(entry); err != nil {
--- a/store/bootstrap_test.go
+++ b/store/bootstrap_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A first start that ends between its two writes, the term and the first configuration, is taken up by the next one.
-func TestAFirstStartThatEndedHalfWayIsTakenUp(t *testing.T) {
+// A first start that ends between its two writes, the term and the initial configuration, is
+// completed by the next start.
+func TestInterruptedFirstStartIsResumed(t *testing.T) {
 	free := func() string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
--- a/store/client.go
+++ b/store/client.go
@@ -15,52 +15,54 @@
 )
 
 const (
-	callWait     = 5 * time.Second
-	mostHops     = 3 // of replicas that send the caller on to the leader
-	registerWait = 200 * time.Millisecond
-	touchShare   = 3 // of a session's time-out, between two touches
+	callTimeout        = 5 * time.Second
+	maxRedirects       = 3 // from replicas that redirect to the leader
+	registerRetryDelay = 200 * time.Millisecond
+	touchesPerTimeout  = 3 // touches sent during one session time-out
 )
 
-// Client speaks with the API of the replicas at the given addresses. What it is answered
-// is never older than what it was told before, by whichever replica.
+// Client calls the API of the replicas at the given addresses. No answer is older than an earlier
+// one, whichever replica gives it.
 type Client struct {
-	addrs []string
-	http  fasthttp.Client
-	seen  atomic.Uint64 // the newest version that an answer had
-	name  string        // of this client among all that write
-	wrote atomic.Uint64 // writes that were named
+	addrs       []string
+	http        fasthttp.Client
+	seen        atomic.Uint64 // the highest version of any answer
+	name        string        // unique among all clients that write
+	namedWrites atomic.Uint64 // number of writes named so far
 }
 
-// NewClient returns a client that asks the replicas in turn.
+// NewClient returns a client that tries the replicas in the given order.
 func NewClient(addrs ...string) *Client {
-	return &Client{addrs: addrs, http: onceClient(), name: rand.Text()}
+	return &Client{addrs: addrs, http: newSingleAttemptClient(), name: rand.Text()}
 }
 
-// onceClient is an HTTP client that sends nothing twice on its own: a create that
-// went out twice would meet its own node.
-func onceClient() fasthttp.Client {
+// newSingleAttemptClient returns an HTTP client that never repeats a request by itself: a create
+// that is sent twice would fail on its own node.
+func newSingleAttemptClient() fasthttp.Client {
 	return fasthttp.Client{
-		ReadTimeout: callWait, WriteTimeout: callWait,
+		ReadTimeout: callTimeout, WriteTimeout: callTimeout,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 }
 
-// writeName is how one write is known to all replicas.
+// writeName identifies a write at all replicas.
 type writeName struct {
-	name string // empty: it is no write
+	name string // empty: the call is not a write
 	seen uint64
 }
 
-// call asks one replica after the other until one gives an answer of its own. A write goes under one name to all of them, and is
-// applied once.
+// call tries one replica after the other until one gives a conclusive answer. A write has the same
+// name at all of them, and is applied once.
 func (c *Client) call(method, uri string, body []byte) (status int, answer []byte, err error) {
 	var write writeName
 	if method != fasthttp.MethodGet {
-		write = writeName{c.name + "-" + strconv.FormatUint(c.wrote.Add(1), 10), c.seen.Load()}
+		write = writeName{c.name + "-" + strconv.FormatUint(c.namedWrites.Add(1), 10), c.seen.Load()}
 	}
-	status, answer, sure, err := c.askAll(write, method, uri, body)
-	if err == nil && status == fasthttp.StatusGone && sure { // what this client had seen is too old for a first write
+	status, answer, unapplied, err := c.askAll(write, method, uri, body)
+	// The write was not applied, but too many answers were dropped since the version that the
+	// client had seen: the call is repeated with the newer version from the refusal.
+	if err == nil && status == fasthttp.StatusGone && unapplied {
 		write.seen = c.seen.Load()
 		status, answer, _, err = c.askAll(write, method, uri, body)
 	}
@@ -70,21 +72,21 @@
 	return status, answer, nil
 }
 
-// askAll asks one replica after the other. It tells as well whether none before the one that has answered can have applied a
-// write.
-func (c *Client) askAll(write writeName, method, uri string, body []byte) (status int, answer []byte, sure bool, err error) {
-	sure, err = true, errors.New("no replica to ask")
+// askAll tries one replica after the other. It also reports whether none of the replicas before the
+// one that answered can have applied the write.
+func (c *Client) askAll(write writeName, method, uri string, body []byte) (status int, answer []byte, unapplied bool, err error) {
+	unapplied, err = true, errors.New("no replica to ask")
 	for _, addr := range c.addrs {
 		status, answer, err = c.ask(addr, write, method, uri, body)
 		if err == nil && status < fasthttp.StatusInternalServerError {
-			return status, answer, sure, nil
+			return status, answer, unapplied, nil
 		}
-		sure = sure && unsent(err)
+		unapplied = unapplied && unsent(err)
 		if err == nil {
 			err = fmt.Errorf("%s answered %d: %s", addr, status, answer)
 		}
 	}
-	return 0, nil, sure, err
+	return 0, nil, unapplied, err
 }
 
 func (c *Client) ask(addr string, write writeName, method, uri string, body []byte) (int, []byte, error) {
@@ -101,7 +103,7 @@
 	if seen := c.seen.Load(); seen > 0 {
 		req.Header.Set(VersionHeader, strconv.FormatUint(seen, 10))
 	}
-	if err := c.http.DoRedirects(req, resp, mostHops); err != nil {
+	if err := c.http.DoRedirects(req, resp, maxRedirects); err != nil {
 		return 0, nil, fmt.Errorf("%s: %w", addr, err)
 	}
 	if v, err := strconv.ParseUint(string(resp.Header.Peek(VersionHeader)), 10, 64); err == nil {
@@ -111,7 +113,7 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
 }
 
-// expect makes all but the given statuses an error.
+// expect returns an error for all but the given statuses.
 func (c *Client) expect(method, uri string, body []byte, statuses ...int) ([]byte, error) {
 	status, answer, err := c.call(method, uri, body)
 	if err != nil {
@@ -129,7 +131,7 @@
 	return nil, err
 }
 
-// Node reads a node. A missing one is ErrNoNode.
+// Node reads a node. It returns ErrNoNode if the node does not exist.
 func (c *Client) Node(path string) (Node, error) {
 	var n Node
 	status, answer, err := c.call(fasthttp.MethodGet, nodesPath+path, nil)
@@ -147,7 +149,7 @@
 	return n, nil
 }
 
-// Create makes a node that stays.
+// Create creates a persistent node.
 func (c *Client) Create(path string, data []byte) error {
 	return c.change(fasthttp.MethodPost, nodesPath+path, data)
 }
@@ -175,8 +177,8 @@
 	return nil
 }
 
-// Next waits until a node is no longer at the given versions, and returns it then;
-// false if the wait was over first. A node that is gone is ErrNoNode.
+// Next waits until a node differs from the given versions and returns it; false means that the wait
+// ended first. It returns ErrNoNode if the node was removed.
 func (c *Client) Next(path string, version, children int64, wait time.Duration) (Node, bool, error) {
 	var n Node
 	status, answer, err := c.call(fasthttp.MethodGet, fmt.Sprintf("%s%s?watch=1&version=%d&children=%d&wait_ms=%d",
@@ -197,22 +199,21 @@
 	return n, true, nil
 }
 
-// Register keeps an ephemeral node with the data until ctx ends, over as many
-// sessions as it takes. The node's parent is made if it is missing. What goes
-// wrong meanwhile is told to problem.
+// Register keeps an ephemeral node with the data until ctx ends, opening a new session whenever one
+// is lost. A missing parent node is created. Errors are reported to problem.
 func (c *Client) Register(ctx context.Context, node string, data []byte, timeout time.Duration, problem func(error)) {
 	for ctx.Err() == nil {
 		if err := c.register(ctx, node, data, timeout); err != nil && ctx.Err() == nil {
 			problem(err)
 		}
 		select {
-		case <-time.After(registerWait):
+		case <-time.After(registerRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// register is one session, until it is lost or ctx ends.
+// register runs one session, until it is lost or ctx ends.
 func (c *Client) register(ctx context.Context, node string, data []byte, timeout time.Duration) error {
 	if _, err := c.expect(fasthttp.MethodPost, nodesPath+path.Dir(node), nil, fasthttp.StatusCreated, fasthttp.StatusConflict); err != nil {
 		return err
@@ -229,17 +230,17 @@
 	}
 	session := sessionsPath + "/" + s.Session
 	defer func() { _, _, _ = c.call(fasthttp.MethodDelete, session, nil) }()
-	// The node of an earlier session may stand until that has timed out.
+	// The node of an earlier session exists until that session times out.
 	if _, err := c.expect(fasthttp.MethodPost, nodesPath+node+"?session="+s.Session, data, fasthttp.StatusCreated); err != nil {
 		return err
 	}
-	touch := time.NewTicker(timeout / touchShare)
-	defer touch.Stop()
+	ticker := time.NewTicker(timeout / touchesPerTimeout)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-touch.C:
+		case <-ticker.C:
 		}
 		if _, err := c.expect(fasthttp.MethodPut, session, nil, fasthttp.StatusNoContent); errors.Is(err, ErrNoSession) {
 			return err
--- a/store/config.go
+++ b/store/config.go
@@ -8,7 +8,7 @@
 	"lichenshelf/conffile"
 )
 
-// LoadConfig reads a replica's file. Without an id the store is off.
+// LoadConfig reads a replica's file. Without an id the store is disabled.
 func LoadConfig(path string) (*Config, error) {
 	var c Config
 	file, err := conffile.Read(path, &c)
@@ -22,9 +22,9 @@
 	}
 	switch {
 	case len(c.Follow) > 0 && c.ID != "":
-		return nil, file.Bad("follow", c.Follow, "this router has a replica of its own, "+c.ID+", and follows that")
+		return nil, file.Bad("follow", c.Follow, "this router runs its own replica, "+c.ID+", and follows that one")
 	case len(c.Follow) > 0 && (c.Name == "" || strings.Contains(c.Name, "/")):
-		return nil, file.Bad("name", c.Name, "a router that follows has to be called something, without /, that no other one is called")
+		return nil, file.Bad("name", c.Name, "a router that follows replicas needs a name without /, unique among all routers")
 	case c.ID == "":
 		return &c, nil
 	}
@@ -39,7 +39,7 @@
 	return &c, nil
 }
 
-// Self is this replica among the peers.
+// Self returns this replica's entry among the peers.
 func (c *Config) Self() Peer {
 	p, _ := c.self()
 	return p
--- a/store/damage_test.go
+++ b/store/damage_test.go
@@ -13,15 +13,16 @@
 	"pgregory.net/rapid"
 )
 
-// follower keeps its log as raft's followers do (raft.go, appendEntries): it remembers the last entry that it has stored, and looks
-// all others up.
-type follower struct {
+// raftFollower maintains its log as raft's followers do (raft.go, appendEntries): it remembers the
+// last entry that it stored, and reads all others from the log.
+type raftFollower struct {
 	disk       *disk
 	last, term uint64 // of the last entry
 }
 
-// take handles one message with entries that follow another one. It tells whether they were taken.
-func (f *follower) take(prev, prevTerm uint64, entries []*raft.Log) bool {
+// appendEntries handles one message of entries that follow the previous entry. It reports whether
+// they were accepted.
+func (f *raftFollower) appendEntries(prev, prevTerm uint64, entries []*raft.Log) bool {
 	if prev > 0 {
 		known := raft.Log{Term: f.term}
 		if prev != f.last && f.disk.GetLog(prev, &known) != nil || known.Term != prevTerm {
@@ -46,7 +47,7 @@
 	return true
 }
 
-func (f *follower) store(entries []*raft.Log) bool {
+func (f *raftFollower) store(entries []*raft.Log) bool {
 	if f.disk.StoreLogs(entries) != nil {
 		return false
 	}
@@ -54,15 +55,15 @@
 	return true
 }
 
-// However writes fail, and whether what failed is in the file all the same, a follower's log has no hole, and what a leader was told
-// that it has is there.
-func TestFailingWritesLeaveNoHoleInALog(t *testing.T) {
+// Random write failures, with and without the failed entries left in the file: a follower's log has
+// no gap, and every entry that it has acknowledged to a leader is present.
+func TestFailedWritesLeaveNoGapInLog(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d, file := newFailingDisk(rapid.Bool().Draw(rt, "keeps"))
-		f := &follower{disk: d}
-		var leader []*raft.Log // its log, from index 1
+		f := &raftFollower{disk: d}
+		var leader []*raft.Log // the leader's log, from index 1
 		term := uint64(1)
-		next := uint64(1) // what the leader sends next, ahead of the answers
+		next := uint64(1) // the next index that the leader sends, ahead of the answers
 		for range 40 {
 			switch rapid.SampledFrom([]string{"write", "write", "send", "send", "send", "fail", "works", "another leader"}).Draw(rt, "step") {
 			case "write":
@@ -87,8 +88,8 @@
 				if prev > 0 {
 					prevTerm = leader[prev-1].Term
 				}
-				took := f.take(prev, prevTerm, leader[next-1:last])
-				if next = last + 1; !took && rapid.Bool().Draw(rt, "the leader has heard") {
+				took := f.appendEntries(prev, prevTerm, leader[next-1:last])
+				if next = last + 1; !took && rapid.Bool().Draw(rt, "the leader got the answer") {
 					next = max(prev, 1)
 				}
 				for i := uint64(1); took && i <= last; i++ {
@@ -101,66 +102,69 @@
 	})
 }
 
-// A log with a hole, as faults of ours and of disks may leave, ends no process: the replica takes what is behind the hole from the
-// others, says so, and has no vote until it is there.
-func TestAReplicaWhoseLogHasAHoleIsBroughtUpFromTheOthers(t *testing.T) {
+// A gap in the log, as faults of the software or of disks may leave, does not end the process: the
+// replica logs it, fetches the entries after the gap from the other replicas, and has no vote until
+// it has them.
+func TestReplicaWithLogGapRecoversFromPeers(t *testing.T) {
 	c := newCluster(t)
-	at := c.leader()
-	leader := c.replicas[at]
+	leaderIndex := c.leader()
+	leader := c.replicas[leaderIndex]
 	require.NoError(t, leader.Create("/n", []byte("0"), ""))
 	for i := range 20 {
 		require.NoError(t, leader.Set("/n", []byte{byte(i)}, -1))
 	}
-	victim := (at + 1) % 3
+	victim := (leaderIndex + 1) % 3
 	c.close(victim)
-	c.pierce(victim, 9, 8)
+	c.deleteLogEntries(victim, 9, 8)
 
-	var log lockedBuffer
+	var log syncBuffer
 	c.cfg[victim].Log = &log
 	c.open(victim)
-	require.Contains(t, log.String(), "the log has a hole")
+	require.Contains(t, log.String(), "the log has a gap")
 	require.Eventually(t, func() bool {
 		data, _, err := c.replicas[victim].Get("/n")
 		return err == nil && bytes.Equal(data, []byte{19})
-	}, patient, soon)
-	require.Eventually(t, func() bool { return !c.replicas[victim].Recovering() }, patient, soon)
+	}, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return !c.replicas[victim].Recovering() }, waitLimit, pollInterval)
 	require.NoError(t, c.do(func(l *Replica) error { return l.Set("/n", []byte("after"), -1) }))
-	require.Eventually(t, func() bool { return c.replicas[victim].has("/n", "after") }, patient, soon)
+	require.Eventually(t, func() bool { return c.replicas[victim].has("/n", "after") }, waitLimit, pollInterval)
 
 	c.close(victim)
-	c.open(victim) // it is whole now, and a member like all others
+	c.open(victim) // the log is complete now, and the replica is an ordinary member
 	require.False(t, c.replicas[victim].Recovering())
 }
 
-// What was acknowledged is not lost where one replica has lost it: the replica votes for nobody who may not have it either.
-func TestAReplicaThatHasLostItsLogDoesNotVote(t *testing.T) {
+// An acknowledged write survives the loss of one replica's log: that replica does not vote for a
+// candidate that may lack the write.
+func TestReplicaWithLostLogDoesNotVote(t *testing.T) {
 	c := newCluster(t)
-	was := c.leader()
-	leader, behind, damaged := c.replicas[was], (was+1)%3, (was+2)%3
+	oldLeader := c.leader()
+	leader, lagging, damaged := c.replicas[oldLeader], (oldLeader+1)%3, (oldLeader+2)%3
 	require.NoError(t, leader.Create("/n", []byte("old"), ""))
-	require.Eventually(t, func() bool { return c.replicas[behind].has("/n", "old") && c.replicas[damaged].has("/n", "old") }, patient, soon)
-	c.close(behind)
+	require.Eventually(t, func() bool { return c.replicas[lagging].has("/n", "old") && c.replicas[damaged].has("/n", "old") }, waitLimit, pollInterval)
+	c.close(lagging)
 	require.NoError(t, leader.Set("/n", []byte("acknowledged"), -1))
-	require.Eventually(t, func() bool { return c.replicas[damaged].has("/n", "acknowledged") }, patient, soon)
+	require.Eventually(t, func() bool { return c.replicas[damaged].has("/n", "acknowledged") }, waitLimit, pollInterval)
 	c.close(damaged)
-	c.close(was)
+	c.close(oldLeader)
 
-	c.pierce(damaged, 1, 1)
+	c.deleteLogEntries(damaged, 1, 1)
 	c.open(damaged)
-	c.open(behind)
-	time.Sleep(8 * pace) // elections of these two alone would be over by then
+	c.open(lagging)
+	time.Sleep(8 * testPace) // long enough for an election between these two alone
 	require.True(t, c.replicas[damaged].Recovering())
-	for _, i := range []int{damaged, behind} {
-		require.False(t, c.replicas[i].IsLeader(), "one that may not have what was acknowledged leads")
+	for _, i := range []int{damaged, lagging} {
+		require.False(t, c.replicas[i].IsLeader(), "a replica that may lack an acknowledged write leads")
 	}
-	c.open(was)
-	for _, i := range []int{damaged, behind} {
-		require.Eventually(t, func() bool { return c.replicas[i].has("/n", "acknowledged") }, patient, soon)
+	c.open(oldLeader)
+	for _, i := range []int{damaged, lagging} {
+		require.Eventually(t, func() bool { return c.replicas[i].has("/n", "acknowledged") }, waitLimit, pollInterval)
 	}
 }
 
-// pierce takes entries out of the log of a replica that is closed, from one so many before its last to another.
-func (c *cluster) pierce(i int, from, to uint64) {
+// deleteLogEntries deletes entries from the log of a closed replica. The range is given as
+// distances from the last entry.
+func (c *cluster) deleteLogEntries(i int, from, to uint64) {
 	logs, err := raftboltdb.NewBoltStore(filepath.Join(c.cfg[i].DataDir, "raft.db"))
 	require.NoError(c.t, err)
 	last, err := logs.LastIndex()
@@ -169,25 +173,25 @@
 	require.NoError(c.t, logs.Close())
 }
 
-// has tells whether the replica has caught up and has a node with these data.
+// has reports whether the replica has caught up and its node has the given data.
 func (r *Replica) has(path, data string) bool {
 	got, _, err := r.Get(path)
 	return err == nil && string(got) == data
 }
 
-// lockedBuffer is a log that may be read while it is written.
-type lockedBuffer struct {
+// syncBuffer is a buffer for a log that may be read while it is written.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
--- a/store/disk_test.go
+++ b/store/disk_test.go
@@ -15,24 +15,25 @@
 
 var errDisk = errors.New("input/output error")
 
-// failingFile keeps entries in memory. While it fails, a write returns an error; it may be in the file all the same.
+// failingFile keeps entries in memory. While it fails, writes return an error, with or without the
+// entries being stored.
 type failingFile struct {
 	raft.InmemStore
-	fails atomic.Bool
-	next  atomic.Int64 // so many more writes fail
-	keeps bool         // what failed
+	fails        atomic.Bool
+	failuresLeft atomic.Int64 // number of writes that will fail
+	keepsFailed  bool         // failed entries are stored all the same
 }
 
-// failNext makes so many of the next writes fail.
-func (f *failingFile) failNext(n int) { f.next.Store(int64(n)) }
+// failNext makes the next n writes fail.
+func (f *failingFile) failNext(n int) { f.failuresLeft.Store(int64(n)) }
 
 func (f *failingFile) Close() error { return nil }
 
 func (f *failingFile) StoreLogs(logs []*raft.Log) error {
-	if !f.fails.Load() && f.next.Add(-1) < 0 {
+	if !f.fails.Load() && f.failuresLeft.Add(-1) < 0 {
 		return f.InmemStore.StoreLogs(logs)
 	}
-	if f.keeps {
+	if f.keepsFailed {
 		_ = f.InmemStore.StoreLogs(logs)
 	}
 	return errDisk
@@ -45,8 +46,8 @@
 	return f.InmemStore.SetUint64(key, value)
 }
 
-func newFailingDisk(keeps bool) (*disk, *failingFile) {
-	f := &failingFile{InmemStore: *raft.NewInmemStore(), keeps: keeps}
+func newFailingDisk(keepsFailed bool) (*disk, *failingFile) {
+	f := &failingFile{InmemStore: *raft.NewInmemStore(), keepsFailed: keepsFailed}
 	return newDisk(f, hclog.NewNullLogger()), f
 }
 
@@ -57,8 +58,9 @@
 	return out
 }
 
-// Entries whose write failed are told as failed, and none of them stands behind what is written after them.
-func TestEntriesThatFailedDoNotComeBack(t *testing.T) {
+// A failed write of entries is reported, and none of the failed entries appears behind entries that
+// are written later.
+func TestFailedEntriesDoNotReappear(t *testing.T) {
 	for _, keeps := range []bool{false, true} {
 		d, f := newFailingDisk(keeps)
 		require.NoError(t, d.StoreLogs(entries(1, 1, 3)))
@@ -76,8 +78,9 @@
 	}
 }
 
-// A term is saved when the disk takes it, and not before; a replica that is closed meanwhile does not wait for it.
-func TestATermIsSavedOnceTheDiskTakesIt(t *testing.T) {
+// A term is reported as saved only once the disk accepts it; a replica that is closed meanwhile
+// does not wait for the disk.
+func TestTermIsSavedOnceDiskRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, f := newFailingDisk(false)
 		f.fails.Store(true)
@@ -94,7 +97,7 @@
 		time.Sleep(time.Minute)
 		require.Zero(t, saved.Load())
 		f.fails.Store(false)
-		time.Sleep(2 * diskRetryMost)
+		time.Sleep(2 * maxDiskRetryPause)
 		require.Equal(t, int64(1), saved.Load())
 		term, err := d.GetUint64([]byte("term"))
 		require.NoError(t, err)
@@ -103,7 +106,7 @@
 		f.fails.Store(true)
 		save(8)
 		time.Sleep(time.Second)
-		d.shut()
+		d.stop()
 		all.Wait()
 		require.Equal(t, int64(1), saved.Load())
 	})
--- a/store/follower.go
+++ b/store/follower.go
@@ -14,59 +14,60 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Follower is what a router without a replica knows of the store: it asks the replicas over their API. What it is told is
-// never older than what it was told before. Its methods may be called from any goroutine.
+// Follower gives a router without a replica access to the store: it calls the API of the replicas.
+// It never returns a state older than one it has returned before. Its methods are safe for
+// concurrent use.
 type Follower struct {
-	id     string
-	pace   time.Duration
-	client *Client
-	turn   chan struct{} // held by the one look that is out
+	id       string
+	interval time.Duration
+	client   *Client
+	pollSlot chan struct{} // held by the pending poll
 
 	mu      sync.Mutex
-	at      map[string]seenNode // by configuration
+	seen    map[string]nodeVersions // by configuration
 	latest  map[string]Revision
-	watches map[string][]chan struct{} // by configuration, who waits for the next version
+	watches map[string][]chan struct{} // by configuration, closed at the next version
 }
 
-// seenNode is how a configuration's node was last.
-type seenNode struct{ version, children int64 }
+// nodeVersions are the versions of a configuration's node at the last poll.
+type nodeVersions struct{ version, children int64 }
 
-// NewFollower returns a follower under a name, which is to be unique among all routers, that looks at the replicas' API
-// addresses once in a pace.
-func NewFollower(id string, pace time.Duration, addrs ...string) *Follower {
-	return &Follower{id: id, pace: pace, client: NewClient(addrs...), turn: make(chan struct{}, 1), at: map[string]seenNode{}, latest: map[string]Revision{},
+// NewFollower returns a follower that polls the replicas' API addresses at the given interval. Its
+// id must be unique among all routers.
+func NewFollower(id string, interval time.Duration, addrs ...string) *Follower {
+	return &Follower{id: id, interval: interval, client: NewClient(addrs...), pollSlot: make(chan struct{}, 1), seen: map[string]nodeVersions{}, latest: map[string]Revision{},
 		watches: map[string][]chan struct{}{}}
 }
 
-// ID is the name of the router that follows.
+// ID returns the name of the router that follows.
 func (f *Follower) ID() string { return f.id }
 
-// Run looks for new versions of the configurations until ctx ends. Each look is drawn from one pace to half as much again,
-// so that many followers that start at once don't all ask together.
+// Run polls for new versions of the configurations until ctx ends. Each pause is drawn at random
+// from 1 to 1.5 intervals, so that followers that start at the same time don't poll together.
 func (f *Follower) Run(ctx context.Context, names ...string) {
 	for {
 		select {
-		case <-time.After(f.pace + rand.N(f.pace/2)):
+		case <-time.After(f.interval + rand.N(f.interval/2)):
 		case <-ctx.Done():
 			return
 		}
 		for _, name := range names {
-			_ = f.CatchUp(ctx, name) // the next one tells
+			_ = f.CatchUp(ctx, name) // the next poll retries
 		}
 	}
 }
 
-// look asks whether a configuration has changed, and takes what has come of it.
-func (f *Follower) look(name string) error {
+// poll checks whether a configuration has changed, and stores its new version.
+func (f *Follower) poll(name string) error {
 	f.mu.Lock()
-	at, ok := f.at[name]
+	seen, ok := f.seen[name]
 	f.mu.Unlock()
 	if !ok {
-		at = seenNode{-1, -1}
+		seen = nodeVersions{-1, -1}
 	}
-	n, changed, err := f.client.Next(path.Join(configNodes, name), at.version, at.children, 0)
+	n, changed, err := f.client.Next(path.Join(configNodes, name), seen.version, seen.children, 0)
 	if errors.Is(err, ErrNoNode) {
-		return nil // nobody has published it
+		return nil // nothing has been published
 	}
 	if err != nil || !changed {
 		return err
@@ -77,7 +78,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at[name] = seenNode{n.Stat.Version, n.Stat.Children}
+	f.seen[name] = nodeVersions{n.Stat.Version, n.Stat.Children}
 	if len(list) == 0 || list[len(list)-1].Version <= f.latest[name].Version {
 		return nil
 	}
@@ -89,18 +90,19 @@
 	return nil
 }
 
-// CatchUp asks for what is newest now, once the look that is out has ended: one that began before the call does not answer it,
-// and slow replicas are not asked by more and more at a time. It fails if no replica can tell, or ctx ends first.
+// CatchUp polls for the latest version once the pending poll has ended. It does not reuse a poll
+// that began before the call, and it does not add concurrent requests to slow replicas. It fails if
+// no replica answers or ctx ends first.
 func (f *Follower) CatchUp(ctx context.Context, name string) error {
 	select {
-	case f.turn <- struct{}{}:
+	case f.pollSlot <- struct{}{}:
 	case <-ctx.Done():
 		return fmt.Errorf("ask the store: %w", ctx.Err())
 	}
 	done := make(chan error, 1)
 	go func() {
-		defer func() { <-f.turn }()
-		done <- f.look(name)
+		defer func() { <-f.pollSlot }()
+		done <- f.poll(name)
 	}()
 	select {
 	case err := <-done:
@@ -110,14 +112,16 @@
 	}
 }
 
-// Latest returns the latest version of a configuration that this follower was told of; version 0 is none.
+// Latest returns the latest version of a configuration that this follower has received; version 0
+// means that there is none.
 func (f *Follower) Latest(name string) Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latest[name]
 }
 
-// Follow returns a channel that is closed at the next version of a configuration, and a function that ends the wait.
+// Follow returns a channel that is closed at the next version of a configuration, and a function
+// that cancels the wait.
 func (f *Follower) Follow(name string) (changed <-chan struct{}, stop func(), err error) {
 	w := make(chan struct{})
 	f.mu.Lock()
@@ -135,14 +139,14 @@
 	}, nil
 }
 
-// Get reads a node. A missing one is ErrNoNode.
+// Get reads a node. It returns ErrNoNode if the node does not exist.
 func (f *Follower) Get(path string) ([]byte, Stat, error) {
 	n, err := f.client.Node(path)
 	return []byte(n.Data), n.Stat, err
 }
 
-// within runs a call that can't be called off; its outcome is not known if ctx ends first.
-func within(ctx context.Context, call func() error) error {
+// withContext runs a call that can't be cancelled. If ctx ends first it returns ErrUnknown.
+func withContext(ctx context.Context, call func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- call() }()
 	select {
@@ -153,9 +157,9 @@
 	}
 }
 
-// Put makes a node with all that is above it, or sets it.
+// Put sets a node, creating it and its missing parents if needed.
 func (f *Follower) Put(ctx context.Context, p string, data []byte) error {
-	return within(ctx, func() error { return f.put(p, data) })
+	return withContext(ctx, func() error { return f.put(p, data) })
 }
 
 func (f *Follower) put(p string, data []byte) error {
@@ -163,22 +167,23 @@
 	if !errors.Is(err, ErrNoNode) {
 		return err
 	}
-	if err = f.create(p, data); errors.Is(err, ErrNodeExists) { // somebody else made it meanwhile
+	if err = f.create(p, data); errors.Is(err, ErrNodeExists) { // created concurrently
 		err = f.change(fasthttp.MethodPut, p, data)
 	}
 	return err
 }
 
-// Swap sets a node that is at a version, as Replica.Swap does.
+// Swap sets the data of a node that is at the given version, as Replica.Swap does.
 func (f *Follower) Swap(ctx context.Context, p string, data []byte, version int64) error {
-	return within(ctx, func() error {
+	return withContext(ctx, func() error {
 		return f.send(fasthttp.MethodPut, p, nodesPath+p+"?version="+strconv.FormatInt(version, 10), data)
 	})
 }
 
-// Make makes a node that must not be there yet, with all that is above it. ErrNodeExists means that somebody has it.
+// Make creates a node that must not exist yet, and its missing parents. ErrNodeExists means that
+// the node exists.
 func (f *Follower) Make(ctx context.Context, p string, data []byte) error {
-	return within(ctx, func() error { return f.create(p, data) })
+	return withContext(ctx, func() error { return f.create(p, data) })
 }
 
 func (f *Follower) create(p string, data []byte) error {
@@ -192,16 +197,17 @@
 	return f.change(fasthttp.MethodPost, p, data)
 }
 
-// Drop removes a node. One that is not there is no fault.
+// Drop removes a node. It returns nil if the node does not exist.
 func (f *Follower) Drop(ctx context.Context, p string) error {
-	err := within(ctx, func() error { return f.change(fasthttp.MethodDelete, p, nil) })
+	err := withContext(ctx, func() error { return f.change(fasthttp.MethodDelete, p, nil) })
 	if errors.Is(err, ErrNoNode) {
 		return nil
 	}
 	return err
 }
 
-// change puts a change to the replicas, and tells the faults apart that a caller must know.
+// change sends a change of a node to the replicas, and maps statuses to the errors that a caller
+// has to distinguish.
 func (f *Follower) change(method, p string, data []byte) error {
 	return f.send(method, p, nodesPath+p, data)
 }
--- a/store/follower_test.go
+++ b/store/follower_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-// Nodes are made with what is above them, changed, made once only, and dropped, at whichever replica a follower asks.
+// Followers set, create exclusively and delete nodes, creating missing parents, at any replica.
 func TestFollowersChangeNodes(t *testing.T) {
 	c := newCluster(t)
 	for i, f := range c.followers(3, time.Second) {
@@ -38,7 +38,7 @@
 		require.NoError(t, f.Make(t.Context(), p+"/slot", nil))
 		require.ErrorIs(t, f.Make(t.Context(), p+"/slot", nil), ErrNodeExists)
 		require.NoError(t, f.Drop(t.Context(), p+"/slot"))
-		require.NoError(t, f.Drop(t.Context(), p+"/slot"), "one that is not there is no fault")
+		require.NoError(t, f.Drop(t.Context(), p+"/slot"), "a missing node is no error")
 		_, _, err := f.Get(p + "/slot")
 		require.ErrorIs(t, err, ErrNoNode)
 		_, stat, err := f.Get(p)
@@ -52,29 +52,30 @@
 	}
 }
 
-// 200 followers that all lie behind hear of a version, each once, and acknowledge it; what is asked for again is never older.
+// 200 followers that all lag receive a version once each and acknowledge it; a later poll never
+// returns an older one.
 func TestTwoHundredFollowers(t *testing.T) {
 	const n = 200
 	c := newCluster(t)
 	all := c.followers(n, 100*time.Millisecond)
 	ctx, stop := context.WithCancel(t.Context())
-	var running, told sync.WaitGroup
+	var running, notified sync.WaitGroup
 	for _, f := range all {
 		changed, _, err := f.Follow("m")
 		require.NoError(t, err)
 		running.Go(func() { f.Run(ctx, "m") })
-		told.Go(func() {
+		notified.Go(func() {
 			<-changed
 			if f.Latest("m").Version != 1 || f.Put(ctx, "/acks/m/"+f.ID(), []byte("1")) != nil {
-				t.Errorf("%s is told of %d, or can't acknowledge", f.ID(), f.Latest("m").Version)
+				t.Errorf("%s received version %d, or can't acknowledge", f.ID(), f.Latest("m").Version)
 			}
 		})
 	}
-	at := time.Now()
+	published := time.Now()
 	_, err := c.replicas[c.leader()].Publish(ctx, "m", []byte("x = 1"), "first", "test", nil)
 	require.NoError(t, err)
-	told.Wait()
-	t.Logf("%v from the publish to the last of %d acknowledgements, at a pace of 100 ms", time.Since(at), n)
+	notified.Wait()
+	t.Logf("%v from the publish to the last of %d acknowledgements, at a poll interval of 100 ms", time.Since(published), n)
 	names, err := c.replicas[c.leader()].Children("/acks/m")
 	require.NoError(t, err)
 	require.Len(t, names, n)
--- a/store/forward.go
+++ b/store/forward.go
@@ -13,17 +13,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The calls by which replicas hand commands and touches on to the leader.
+// Paths on which replicas forward commands and touches to the leader.
 const (
 	commandsPath = "/v1/commands"
 	touchesPath  = "/v1/touches"
 )
 
-// ErrUnknown says that a command may or may not have been applied.
+// ErrUnknown means that a command may or may not have been applied.
 var ErrUnknown = errors.New("the outcome is not known")
 
-// faults are the errors that an operation ends in, by the names under which they
-// pass between replicas.
+// faults maps the names under which errors of operations pass between replicas to the errors.
 var faults = map[string]error{"no-node": ErrNoNode, "node-exists": ErrNodeExists, "bad-version": ErrBadVersion,
 	"not-empty": ErrNotEmpty, "no-session": ErrNoSession, "ephemeral": ErrEphemeral, "bad-path": ErrBadPath, "moved": ErrMoved,
 	"input": errInput, "no-revision": ErrNoRevision, "reused": ErrReused, "forgotten": ErrForgotten}
@@ -37,7 +36,8 @@
 	return ""
 }
 
-// namedFault is an error that passed between replicas, or was kept; nil if there was none.
+// namedFault returns the error for a name and a message received from another replica or stored
+// with an answer; nil if both are empty.
 func namedFault(name, message string) error {
 	switch fault := faults[name]; {
 	case name == "" && message == "":
@@ -49,7 +49,7 @@
 	}
 }
 
-// keptFault is one of the faults in the words that it first had.
+// keptFault is one of the faults with its original message.
 type keptFault struct {
 	fault   error
 	message string
@@ -58,38 +58,37 @@
 func (f *keptFault) Error() string { return f.message }
 func (f *keptFault) Unwrap() error { return f.fault }
 
-// wireResult is a Result between replicas.
+// wireResult is the form of a Result between replicas.
 type wireResult struct {
 	Result
 	Fault   string `json:"fault,omitempty"`
 	Message string `json:"message,omitempty"`
 }
 
-// propose puts a command through the log, at the leader wherever that is, and
-// returns once this replica has applied it. ErrUnknown means that it may have been
-// applied all the same; every other error that it was not.
+// propose has the leader replicate a command, and returns once this replica has applied it.
+// ErrUnknown means that the command may have been applied; any other error means that it was not.
 func (r *Replica) propose(ctx context.Context, c command) (*Result, error) {
-	result, err := r.decided(ctx, c)
+	result, err := r.submit(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.machine.reached(ctx, result.Index); err != nil {
+	if err := r.machine.waitApplied(ctx, result.Index); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	return result, nil
 }
 
-// decided has a command applied somewhere. While nobody leads, it tries again: what
-// ends in ErrNotLeader was not applied.
-func (r *Replica) decided(ctx context.Context, c command) (*Result, error) {
-	again := backoff.NewExponentialBackOff()
-	again.InitialInterval, again.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
+// submit has the leader apply a command. It retries after ErrNotLeader, which means that the
+// command was not applied, as during an election.
+func (r *Replica) submit(ctx context.Context, c command) (*Result, error) {
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
 	for {
 		c.TimeMs = time.Now().UnixMilli()
 		var result *Result
 		var err error
 		if r.IsLeader() {
-			result, err = r.lead(c)
+			result, err = r.applyAsLeader(c)
 		} else {
 			result, err = r.forward(ctx, c)
 		}
@@ -97,30 +96,30 @@
 			return result, err
 		}
 		select {
-		case <-time.After(again.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		case <-ctx.Done():
 			return nil, errors.Join(err, ctx.Err())
 		}
 	}
 }
 
-// lead applies a command as the leader.
-func (r *Replica) lead(c command) (*Result, error) {
+// applyAsLeader applies a command on the leader.
+func (r *Replica) applyAsLeader(c command) (*Result, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return nil, fmt.Errorf("encode command: %w", err)
 	}
-	future := r.raft.Apply(text, applyWait)
+	future := r.raft.Apply(text, applyTimeout)
 	switch err := future.Error(); {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout):
 		return nil, fmt.Errorf("%w: %w", ErrNotLeader, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	return asWhole(future.Index(), future.Response()), nil
+	return toResult(future.Index(), future.Response()), nil
 }
 
-// forward has the leader apply a command.
+// forward sends a command to the leader.
 func (r *Replica) forward(ctx context.Context, c command) (*Result, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -134,7 +133,7 @@
 	return &w.Result, nil
 }
 
-// unsent tells whether a call failed before anything of it was sent.
+// unsent reports whether a call failed before any of it was sent.
 func unsent(err error) bool {
 	var dial *net.OpError
 	return errors.As(err, &dial) && dial.Op == "dial"
@@ -151,7 +150,7 @@
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + leader.API + path)
 	req.SetBody(body)
-	deadline := time.Now().Add(callWait)
+	deadline := time.Now().Add(callTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
@@ -174,7 +173,7 @@
 	return nil
 }
 
-// serveCommand answers another replica's forward.
+// serveCommand handles a command forwarded by another replica.
 func (a *API) serveCommand(ctx *fasthttp.RequestCtx) error {
 	var c command
 	if err := json.Unmarshal(ctx.PostBody(), &c); err != nil {
@@ -183,7 +182,7 @@
 	if !a.replica.IsLeader() {
 		return ErrNotLeader
 	}
-	result, err := a.replica.lead(c)
+	result, err := a.replica.applyAsLeader(c)
 	if err != nil {
 		return err
 	}
@@ -210,8 +209,7 @@
 	return reply(ctx, fasthttp.StatusOK, struct{}{})
 }
 
-// TouchAll says that the owners of sessions are alive, to the leader wherever it
-// is. Sessions that have ended are passed over.
+// TouchAll renews sessions at the leader. Sessions that have ended are ignored.
 func (r *Replica) TouchAll(ctx context.Context, ids []string) error {
 	if r.IsLeader() {
 		for _, id := range ids {
@@ -228,35 +226,35 @@
 	return r.askLeader(ctx, touchesPath, text, &struct{}{})
 }
 
-// OpenSession starts a session with a password, for which the holder speaks.
+// OpenSession starts a session with a password and a holder.
 func (r *Replica) OpenSession(ctx context.Context, id string, password []byte, holder string, timeout time.Duration) error {
-	return errOf(r.propose(ctx, command{Op: opSession, Session: id, Timeout: timeout, Claim: &claim{password, holder}}))
+	return resultError(r.propose(ctx, command{Op: opSession, Session: id, Timeout: timeout, Claim: &claim{password, holder}}))
 }
 
-// TakeSession has another holder speak for a session. ErrNoSession means that it
-// has ended, or that the password is another.
+// TakeSession makes another connection the holder of a session. ErrNoSession means that the session
+// has ended or that the password does not match.
 func (r *Replica) TakeSession(ctx context.Context, id string, password []byte, holder string) error {
-	return errOf(r.propose(ctx, command{Op: opAttach, Session: id, Claim: &claim{password, holder}}))
+	return resultError(r.propose(ctx, command{Op: opAttach, Session: id, Claim: &claim{password, holder}}))
 }
 
-// CloseSession ends a session for its holder.
+// CloseSession ends a session on behalf of its holder.
 func (r *Replica) CloseSession(ctx context.Context, id string) error {
-	return errOf(r.propose(ctx, command{Op: opEndSession, Session: id}))
+	return resultError(r.propose(ctx, command{Op: opEndSession, Session: id}))
 }
 
-// Sync returns once this replica has applied all that was agreed on before.
+// Sync returns once this replica has applied all operations committed before the call.
 func (r *Replica) Sync(ctx context.Context) error {
-	return errOf(r.propose(ctx, command{Op: opNothing}))
+	return resultError(r.propose(ctx, command{Op: opNothing}))
 }
 
-// Commit applies steps for a session, all or none. An error means that nothing is
-// known of them (ErrUnknown) or that they were not applied; the steps' own faults
-// are in the result.
+// Commit applies steps for a session atomically. An error means that the outcome is not known
+// (ErrUnknown) or that the steps were not applied; errors of the steps themselves are in the
+// result.
 func (r *Replica) Commit(ctx context.Context, session, holder string, steps ...Step) (*Result, error) {
 	return r.propose(ctx, command{Op: opSteps, Session: session, Claim: &claim{Holder: holder}, Steps: steps})
 }
 
-func errOf(result *Result, err error) error {
+func resultError(result *Result, err error) error {
 	if err == nil {
 		err = result.Err
 	}
--- a/store/fsm.go
+++ b/store/fsm.go
@@ -20,17 +20,17 @@
 	Version int64         `json:"version,omitempty"`
 	Session string        `json:"session,omitempty"`
 	Timeout time.Duration `json:"timeout,omitempty"`
-	TimeMs  int64         `json:"time_ms,omitempty"` // of the proposer's clock
+	TimeMs  int64         `json:"time_ms,omitempty"` // Unix milliseconds, by the proposer's clock
 	Claim   *claim        `json:"claim,omitempty"`
 	Steps   []Step        `json:"steps,omitempty"`
 	Publish *publication  `json:"publish,omitempty"`
-	// Write names it among all writes; empty: it is applied whenever it comes. Seen is the operation that its client had seen
-	// when it first sent it.
+	// Write is the unique name of a write; an unnamed command is applied each time that it is
+	// received. Seen is the last operation that the client had seen when it first sent the write.
 	Write string `json:"write,omitempty"`
 	Seen  uint64 `json:"seen,omitempty"`
 }
 
-// The operations of the log.
+// Operations of the log.
 const (
 	opCreate     = "create"
 	opSet        = "set"
@@ -41,100 +41,101 @@
 	opSteps      = "steps"
 	opPut        = "put"
 	opPublish    = "publish"
-	opNothing    = "nothing" // for who waits until all before it has been applied
+	opNothing    = "nothing" // applied only to wait for all operations before it
 )
 
-// machine applies the log to the tree, and tells watches. It implements raft.FSM.
-type machine struct {
+// fsm applies the log to the tree and fires watches. It implements raft.FSM.
+type fsm struct {
 	mu      sync.RWMutex
 	tree    *tree
 	watches map[string]map[*Watch]bool
-	// observer is told of the changes of each operation, with the state locked.
+	// observer receives the changes of each operation, with the state locked.
 	observer func(index uint64, changes []Change)
-	changes  []Change      // of the operation that is being applied
-	moved    chan struct{} // closed at the next operation; nil if nobody waits
+	changes  []Change      // of the operation being applied
+	advanced chan struct{} // closed at the next operation; nil if nothing waits for it
 }
 
-func newMachine() *machine {
-	m := &machine{watches: map[string]map[*Watch]bool{}}
-	m.adopt(newTree())
+func newFSM() *fsm {
+	m := &fsm{watches: map[string]map[*Watch]bool{}}
+	m.replaceTree(newTree())
 	return m
 }
 
-// adopt makes t the state.
-func (m *machine) adopt(t *tree) {
-	t.changed = m.note
+// replaceTree makes t the state.
+func (m *fsm) replaceTree(t *tree) {
+	t.onChange = m.recordChange
 	m.tree = t
 }
 
-// note takes a change; it is told once the operation is through.
-func (m *machine) note(c Change) { m.changes = append(m.changes, c) }
+// recordChange collects a change of the current operation; finishOperation reports it.
+func (m *fsm) recordChange(c Change) { m.changes = append(m.changes, c) }
 
-// settle tells of what an operation has changed.
-func (m *machine) settle(index uint64) {
+// finishOperation advances the index and reports the changes of the operation to watches, to the
+// observer and to callers of waitApplied.
+func (m *fsm) finishOperation(index uint64) {
 	m.tree.Index = index
 	for _, c := range m.changes {
-		m.fire(c.Path)
+		m.fireWatches(c.Path)
 	}
 	if m.observer != nil && len(m.changes) > 0 {
 		m.observer(index, m.changes)
 	}
 	m.changes = nil
-	if m.moved != nil {
-		close(m.moved)
-		m.moved = nil
+	if m.advanced != nil {
+		close(m.advanced)
+		m.advanced = nil
 	}
 }
 
-// reached waits until the operation has been applied here.
-func (m *machine) reached(ctx context.Context, index uint64) error {
+// waitApplied waits until this replica has applied the operation.
+func (m *fsm) waitApplied(ctx context.Context, index uint64) error {
 	for {
 		m.mu.Lock()
 		if m.tree.Index >= index {
 			m.mu.Unlock()
 			return nil
 		}
-		if m.moved == nil {
-			m.moved = make(chan struct{})
+		if m.advanced == nil {
+			m.advanced = make(chan struct{})
 		}
-		moved := m.moved
+		advanced := m.advanced
 		m.mu.Unlock()
 		select {
-		case <-moved:
+		case <-advanced:
 		case <-ctx.Done():
 			return fmt.Errorf("operation %d is not applied here yet: %w", index, ctx.Err())
 		}
 	}
 }
 
-// fire closes the watches of a path: each tells of one change only.
-func (m *machine) fire(path string) {
+// fireWatches closes and removes the watches of a path: each reports a single change.
+func (m *fsm) fireWatches(path string) {
 	for w := range m.watches[path] {
 		close(w.changed)
 	}
 	delete(m.watches, path)
 }
 
-// Watch tells of the next change of a path, once.
+// Watch reports the next change of a path, once.
 type Watch struct {
-	machine *machine
+	machine *fsm
 	path    string
 	changed chan struct{}
 }
 
-// Changed is closed at the change.
+// Changed returns a channel that is closed at the change.
 func (w *Watch) Changed() <-chan struct{} { return w.changed }
 
-// Stop ends a watch that is no longer wanted.
+// Stop removes a watch that is no longer needed.
 func (w *Watch) Stop() {
 	w.machine.mu.Lock()
 	defer w.machine.mu.Unlock()
 	delete(w.machine.watches[w.path], w)
 }
 
-// watch is called with the lock held, so that nothing is missed between a read
+// watch registers a watch. The caller holds the lock, so that no change is missed between a read
 // and its watch.
-func (m *machine) watch(path string) *Watch {
+func (m *fsm) watch(path string) *Watch {
 	w := &Watch{machine: m, path: path, changed: make(chan struct{})}
 	if m.watches[path] == nil {
 		m.watches[path] = map[*Watch]bool{}
@@ -143,15 +144,15 @@
 	return w
 }
 
-// Apply implements raft.FSM. Its result is an error, a *Result, or nil.
-func (m *machine) Apply(entry *raft.Log) any {
+// Apply implements raft.FSM. It returns an error, a *Result, or nil.
+func (m *fsm) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
 		return fmt.Errorf("log entry %d: %w", entry.Index, err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.settle(entry.Index)
+	defer m.finishOperation(entry.Index)
 	if c.Write == "" {
 		return m.execute(entry.Index, &c)
 	}
@@ -162,21 +163,21 @@
 	case known != nil:
 		return known
 	}
-	result := asWhole(entry.Index, m.execute(entry.Index, &c))
+	result := toResult(entry.Index, m.execute(entry.Index, &c))
 	m.tree.Answers.add(c.Write, entry.Index, result)
 	return result
 }
 
-// execute applies a command to the tree. Its result is that of Apply.
-func (m *machine) execute(index uint64, c *command) any {
-	m.tree.now = c.TimeMs
+// execute applies a command to the tree and returns the same as Apply.
+func (m *fsm) execute(index uint64, c *command) any {
+	m.tree.nowMs = c.TimeMs
 	switch c.Op {
 	case opCreate:
-		return asResult(m.tree.create(index, c.Path, c.Data, c.Session))
+		return errorOrNil(m.tree.create(index, c.Path, c.Data, c.Session))
 	case opSet:
-		return asResult(m.tree.set(index, c.Path, c.Data, c.Version))
+		return errorOrNil(m.tree.set(index, c.Path, c.Data, c.Version))
 	case opRemove:
-		return asResult(m.tree.remove(index, c.Path, c.Version))
+		return errorOrNil(m.tree.remove(index, c.Path, c.Version))
 	case opSession:
 		m.tree.Sessions[c.Session] = c.Timeout
 		if c.Claim != nil {
@@ -184,13 +185,13 @@
 		}
 		return &Result{Index: index, Failed: -1, Session: c.Session}
 	case opEndSession:
-		return asResult(m.tree.endSession(index, c.Session))
+		return errorOrNil(m.tree.endSession(index, c.Session))
 	case opAttach:
-		return asResult(m.tree.attach(c.Session, c.Claim))
+		return errorOrNil(m.tree.attach(c.Session, c.Claim))
 	case opSteps:
 		return m.steps(index, c)
 	case opPut:
-		return asResult(m.tree.put(index, c.Path, c.Data))
+		return errorOrNil(m.tree.put(index, c.Path, c.Data))
 	case opPublish:
 		r, err := m.tree.publish(index, c.Path, c.Data, cmp.Or(c.Publish, &publication{}))
 		return &Result{Index: index, Failed: -1, Err: err, Revision: r}
@@ -200,8 +201,8 @@
 	return fmt.Errorf("log entry %d: unknown operation %q", index, c.Op)
 }
 
-// asWhole is what a command has led to as a Result.
-func asWhole(index uint64, answer any) *Result {
+// toResult converts the return value of Apply to a Result.
+func toResult(index uint64, answer any) *Result {
 	switch answer := answer.(type) {
 	case *Result:
 		return answer
@@ -211,8 +212,8 @@
 	return &Result{Index: index, Failed: -1}
 }
 
-// asResult keeps a nil error from becoming an interface that is not nil.
-func asResult(err error) any {
+// errorOrNil returns an untyped nil for a nil error.
+func errorOrNil(err error) any {
 	if err == nil {
 		return nil
 	}
@@ -220,7 +221,7 @@
 }
 
 // Snapshot implements raft.FSM.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	text, err := json.Marshal(m.tree)
@@ -230,22 +231,22 @@
 	return snapshot(text), nil
 }
 
-// Restore implements raft.FSM. All watches fire: what they watch may differ.
-func (m *machine) Restore(r io.ReadCloser) error {
+// Restore implements raft.FSM. All watches fire, since any path may have changed.
+func (m *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	t := newTree()
 	if err := json.NewDecoder(r).Decode(t); err != nil {
 		return fmt.Errorf("restore the tree: %w", err)
 	}
-	t.index()
+	t.rebuildIndexes()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.adopt(t)
+	m.replaceTree(t)
 	for path := range m.watches {
-		m.fire(path)
+		m.fireWatches(path)
 	}
 	m.changes = []Change{{Kind: StateReplaced}}
-	m.settle(t.Index)
+	m.finishOperation(t.Index)
 	return nil
 }
 
--- a/store/leader.go
+++ b/store/leader.go
@@ -11,12 +11,13 @@
 
 const leaderPath = "/v1/leader"
 
-// ErrNoReplica says that a name is none of the replicas'.
+// ErrNoReplica means that a name is not that of a replica.
 var ErrNoReplica = errors.New("no such replica")
 
-// HandOver makes another replica lead, as before this one is stopped for long. It fails with ErrNotLeader where this one does
-// not lead, with ErrNoReplica for a name that is none of the peers', and otherwise where the other one does not take over in
-// an election's time; this one leads on then.
+// HandOver transfers leadership to another replica, as before this one is stopped for long. It
+// returns ErrNotLeader if this replica is not the leader, ErrNoReplica if the name is not that of a
+// peer, and another error if the other replica does not take over within an election time-out; this
+// replica remains the leader then.
 func (r *Replica) HandOver(to string) error {
 	for _, p := range r.cfg.Peers {
 		switch {
@@ -35,13 +36,13 @@
 	return fmt.Errorf("%w: %.64q", ErrNoReplica, to)
 }
 
-// serveLeader tells who leads, or with to makes another one lead.
+// serveLeader returns the leader or, with to, transfers leadership to another replica.
 func (a *API) serveLeader(ctx *fasthttp.RequestCtx) error {
 	switch {
 	case ctx.IsGet():
 		p, ok := a.replica.Leader()
 		if !ok {
-			return fmt.Errorf("%w: nobody leads", ErrBehind)
+			return fmt.Errorf("%w: nobody leads", ErrLagging)
 		}
 		return reply(ctx, fasthttp.StatusOK, map[string]string{"leader": p.ID})
 	case ctx.IsPost():
@@ -51,7 +52,7 @@
 	return errMethod
 }
 
-// Leader tells which replica takes writes.
+// Leader returns the ID of the replica that takes writes.
 func (c *Client) Leader() (string, error) {
 	answer, err := c.expect(fasthttp.MethodGet, leaderPath, nil, fasthttp.StatusOK)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return l.Leader, nil
 }
 
-// HandOver makes a replica lead.
+// HandOver transfers leadership to a replica.
 func (c *Client) HandOver(to string) error {
 	uri := fasthttp.AcquireURI()
 	defer fasthttp.ReleaseURI(uri)
@@ -72,7 +73,7 @@
 	uri.QueryArgs().Set("to", to)
 	status, answer, err := c.call(fasthttp.MethodPost, string(uri.RequestURI()), nil)
 	if err == nil && status != fasthttp.StatusNoContent {
-		err = fmt.Errorf("hand over to %s: %w", to, faultOf(status, answer))
+		err = fmt.Errorf("hand over to %s: %w", to, answerError(status, answer))
 	}
 	return err
 }
--- a/store/progress.go
+++ b/store/progress.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// progress follows calls that may never return, as those to a disk that does not answer. It is safe for use from any goroutine.
+// progress detects calls that don't return, such as writes to a disk that does not respond. It is
+// safe for concurrent use.
 type progress struct {
-	mu       sync.Mutex
-	underWay int
-	since    time.Time // when the latest call returned, or the first of those under way began
+	mu      sync.Mutex
+	pending int
+	since   time.Time // when the latest call returned, or when the first pending one began
 }
 
-// begin notes a call, and returns what notes its end.
+// begin records the start of a call, and returns the function that records its end.
 func (p *progress) begin(now func() time.Time) (end func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.underWay == 0 {
+	if p.pending == 0 {
 		p.since = now()
 	}
-	p.underWay++
+	p.pending++
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.underWay--
+		p.pending--
 		p.since = now()
 	}
 }
 
-// stalled is for how long no call has returned though some are under way; 0 where none is.
-func (p *progress) stalled(now time.Time) time.Duration {
+// stalledFor returns for how long no call has returned while some are pending; 0 if none is.
+func (p *progress) stalledFor(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.underWay == 0 {
+	if p.pending == 0 {
 		return 0
 	}
 	return now.Sub(p.since)
--- a/store/publish.go
+++ b/store/publish.go
@@ -12,20 +12,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A configuration is published whole: each text that was accepted is one entry of the log and
-// a version of its own, and the latest ones are kept. A publisher names its request, and a
-// request of a name counts once, at whichever replica and however often it is repeated, as
-// long as its version is kept. The text stands at a node too, for who reads that.
+// A configuration is published as a whole: each accepted text is one entry of the log and gets its
+// own version, and the latest versions are retained. The publisher names its request. A request is
+// applied once, at whichever replica and however often it is repeated, as long as its version is
+// retained. The text is also stored at a node, for clients that read nodes.
 
 const (
-	configPath    = "/v1/config"
-	configNodes   = "/config" // below it are the latest texts
-	mostRevisions = 64        // versions that are kept of one configuration,
-	mostHistory   = 2 << 20   // and their bytes; the latest is kept whatever it takes
-	mostNames     = 64
+	configPath        = "/v1/config"
+	configNodes       = "/config" // parent of the nodes with the latest texts
+	maxRevisions      = 64        // retained versions of one configuration
+	maxHistoryBytes   = 2 << 20   // total size of the retained texts; the latest is always retained
+	maxConfigurations = 64
 )
 
-// The faults of publishing.
+// Errors of publishing.
 var (
 	ErrNoRevision = errors.New("no such version")
 	ErrReused     = errors.New("another text was published under this request's name")
@@ -34,24 +34,24 @@
 
 // Revision is one version of a configuration.
 type Revision struct {
-	Version uint64 `json:"version"` // from 1, one more for each
+	Version uint64 `json:"version"` // from 1, consecutive
 	Text    string `json:"text,omitempty"`
-	Request string `json:"request"`        // what its publisher calls the request
+	Request string `json:"request"`        // the publisher's name of the request
 	By      string `json:"by,omitempty"`   // who published it
-	From    uint64 `json:"from,omitempty"` // it is this version once more
-	TimeMs  int64  `json:"time_ms"`        // Unix milliseconds, by the clock of the replica that led
+	From    uint64 `json:"from,omitempty"` // the earlier version whose text this one repeats
+	TimeMs  int64  `json:"time_ms"`        // Unix milliseconds, by the clock of the leader
 }
 
-// publication is what a publisher asks for beside the text.
+// publication holds the parameters of a publish request other than the text.
 type publication struct {
 	Request string `json:"request"`
 	By      string `json:"by,omitempty"`
-	From    uint64 `json:"from,omitempty"` // this version's text, not the one given
+	From    uint64 `json:"from,omitempty"` // publish this version's text instead
 	Expect  uint64 `json:"expect,omitempty"`
-	Checked bool   `json:"checked,omitempty"` // expect counts, also 0
+	Checked bool   `json:"checked,omitempty"` // Expect is checked, even if it is 0
 }
 
-// put makes a node with all that is above it, or sets it.
+// put sets a node, creating it and its missing parents if needed.
 func (t *tree) put(op uint64, p string, data []byte) error {
 	if err := checkPath(p); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return t.create(op, p, data, "")
 }
 
-// publish takes a text as the next version.
+// publish stores a text as the next version.
 func (t *tree) publish(op uint64, name string, text []byte, q *publication) (*Revision, error) {
 	list := t.Published[name]
 	latest := uint64(0)
@@ -75,11 +75,11 @@
 		latest = list[n-1].Version
 	}
 	if q.From > 0 {
-		of := find(list, q.From)
-		if of == nil {
+		earlier := findRevision(list, q.From)
+		if earlier == nil {
 			return nil, fmt.Errorf("%w: %s has no version %d, or no longer", ErrNoRevision, name, q.From)
 		}
-		text = []byte(of.Text)
+		text = []byte(earlier.Text)
 	}
 	for i := range list {
 		if r := &list[i]; r.Request == q.Request {
@@ -92,16 +92,16 @@
 	switch {
 	case q.Checked && q.Expect != latest:
 		return nil, fmt.Errorf("%w: %s is at %d, not %d", ErrBadVersion, name, latest, q.Expect)
-	case len(list) == 0 && len(t.Published) >= mostNames:
-		return nil, fmt.Errorf("%w: %d configurations are the most", errInput, mostNames)
+	case len(list) == 0 && len(t.Published) >= maxConfigurations:
+		return nil, fmt.Errorf("%w: %d configurations are the most", errInput, maxConfigurations)
 	}
 	if err := t.put(op, path.Join(configNodes, name), text); err != nil {
 		return nil, err
 	}
-	list = append(list, Revision{Version: latest + 1, Text: string(text), Request: q.Request, By: q.By, From: q.From, TimeMs: t.now})
+	list = append(list, Revision{Version: latest + 1, Text: string(text), Request: q.Request, By: q.By, From: q.From, TimeMs: t.nowMs})
 	bytes := 0
 	for i := len(list) - 1; i >= 0; i-- {
-		if bytes += len(list[i].Text); i < len(list)-1 && (bytes > mostHistory || len(list)-i > mostRevisions) {
+		if bytes += len(list[i].Text); i < len(list)-1 && (bytes > maxHistoryBytes || len(list)-i > maxRevisions) {
 			list = append([]Revision(nil), list[i+1:]...)
 			break
 		}
@@ -110,7 +110,7 @@
 	return &list[len(list)-1], nil
 }
 
-func find(list []Revision, version uint64) *Revision {
+func findRevision(list []Revision, version uint64) *Revision {
 	for i := range list {
 		if list[i].Version == version {
 			return &list[i]
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// Publish publishes a text at the leader, wherever that is, and returns its version. A
-// request of a name that has been counted is answered as it was. ErrUnknown means that it
-// may have been taken: it can be repeated under its name, at any replica.
+// Publish publishes a text at the leader and returns its version. A repeated request gets the same
+// answer as the first. ErrUnknown means that the text may have been published; the request can be
+// repeated under the same name, at any replica.
 func (r *Replica) Publish(ctx context.Context, name string, text []byte, request, by string, expect *uint64) (Revision, error) {
 	q := &publication{Request: request, By: by}
 	if expect != nil {
@@ -130,15 +130,15 @@
 	return r.publish(ctx, name, text, q)
 }
 
-// Rollback publishes the text of an earlier version once more.
+// Rollback publishes the text of an earlier version again.
 func (r *Replica) Rollback(ctx context.Context, name string, to uint64, request, by string) (Revision, error) {
 	return r.publish(ctx, name, nil, &publication{Request: request, By: by, From: to})
 }
 
 func (r *Replica) publish(ctx context.Context, name string, text []byte, q *publication) (Revision, error) {
-	if name == "" || strings.Contains(name, "/") || q.Request == "" || len(q.Request) > 128 || len(text) > maxData {
+	if name == "" || strings.Contains(name, "/") || q.Request == "" || len(q.Request) > 128 || len(text) > maxDataBytes {
 		return Revision{}, fmt.Errorf("%w: a configuration has a name without /, a request's name of up to 128 bytes and up to %d bytes",
-			errInput, maxData)
+			errInput, maxDataBytes)
 	}
 	result, err := r.propose(ctx, command{Op: opPublish, Path: name, Data: text, Publish: q})
 	if err != nil {
@@ -153,54 +153,56 @@
 	return *result.Revision, nil
 }
 
-// Put makes a node with all that is above it, or sets it, at the leader wherever that is.
+// Put sets a node, creating it and its missing parents if needed, at the leader.
 func (r *Replica) Put(ctx context.Context, path string, data []byte) error {
-	return errOf(r.propose(ctx, command{Op: opPut, Path: path, Data: data}))
+	return resultError(r.propose(ctx, command{Op: opPut, Path: path, Data: data}))
 }
 
-// Swap sets a node that is at a version, at the leader wherever that is. A call of which the outcome is not known and that is applied
-// late changes nothing that was written after it was made. ErrBadVersion means that the node has moved on.
+// Swap sets the data of a node that is at the given version, at the leader. A call with an unknown
+// outcome that is applied late does not overwrite later writes. ErrBadVersion means that the node
+// is at another version.
 func (r *Replica) Swap(ctx context.Context, path string, data []byte, version int64) error {
-	return errOf(r.propose(ctx, command{Op: opSet, Path: path, Data: data, Version: version}))
+	return resultError(r.propose(ctx, command{Op: opSet, Path: path, Data: data, Version: version}))
 }
 
-// Make makes a node that must not be there yet, with all that is above it, at the leader
-// wherever that is. ErrNodeExists means that somebody has it.
+// Make creates a node that must not exist yet, and its missing parents, at the leader.
+// ErrNodeExists means that the node exists.
 func (r *Replica) Make(ctx context.Context, p string, data []byte) error {
-	err := errOf(r.propose(ctx, command{Op: opCreate, Path: p, Data: data}))
-	if errors.Is(err, ErrNoNode) { // what is above it
+	err := resultError(r.propose(ctx, command{Op: opCreate, Path: p, Data: data}))
+	if errors.Is(err, ErrNoNode) { // the parent is missing
 		if err := r.Put(ctx, path.Dir(p), nil); err != nil {
 			return err
 		}
-		err = errOf(r.propose(ctx, command{Op: opCreate, Path: p, Data: data}))
+		err = resultError(r.propose(ctx, command{Op: opCreate, Path: p, Data: data}))
 	}
 	return err
 }
 
-// Drop removes a node, at the leader wherever that is. One that is not there is no fault.
+// Drop removes a node, at the leader. It returns nil if the node does not exist.
 func (r *Replica) Drop(ctx context.Context, p string) error {
-	err := errOf(r.propose(ctx, command{Op: opRemove, Path: p, Version: AnyVersion}))
+	err := resultError(r.propose(ctx, command{Op: opRemove, Path: p, Version: AnyVersion}))
 	if errors.Is(err, ErrNoNode) {
 		return nil
 	}
 	return err
 }
 
-// Published returns the versions of a configuration that are kept, the oldest first, as this
-// replica has them.
+// Published returns the retained versions of a configuration, oldest first, as this replica has
+// them.
 func (r *Replica) Published(name string) []Revision {
 	list, _ := r.published(name)
 	return list
 }
 
-// published is Published with the operation up to which it is known.
+// published is Published that also returns the index of the state.
 func (r *Replica) published(name string) ([]Revision, uint64) {
 	r.machine.mu.RLock()
 	defer r.machine.mu.RUnlock()
 	return append([]Revision(nil), r.machine.tree.Published[name]...), r.machine.tree.Index
 }
 
-// Latest returns the latest version of a configuration as this replica has it; version 0 is none.
+// Latest returns the latest version of a configuration as this replica has it; version 0 means that
+// there is none.
 func (r *Replica) Latest(name string) Revision {
 	r.machine.mu.RLock()
 	defer r.machine.mu.RUnlock()
@@ -210,12 +212,12 @@
 	return Revision{}
 }
 
-// Checks look at texts before they are published, by the name of the configuration. One that
-// has none is not published.
+// Checks validate texts before they are published, by the name of the configuration. A
+// configuration without a check can't be published.
 type Checks map[string]func(text []byte) error
 
-// config answers calls on a configuration: GET for what is kept of it, or one version; POST
-// to publish or, with from, to go back.
+// config handles calls for a configuration: GET lists the retained versions, POST publishes a text
+// or, with from, rolls back to an earlier version.
 func (a *API) config(ctx *fasthttp.RequestCtx, name string) error {
 	args := ctx.QueryArgs()
 	number := func(key string) (uint64, bool, error) {
@@ -231,16 +233,16 @@
 	}
 	switch {
 	case ctx.IsGet():
-		f, err := a.fresh(ctx)
+		f, err := a.waitFresh(ctx)
 		if err != nil {
 			return err
 		}
-		list, index := a.replica.published(name)
-		if err := a.holds(f, index); err != nil {
+		revisions, index := a.replica.published(name)
+		if err := a.waitConfirmed(f, index); err != nil {
 			return err
 		}
 		setVersion(ctx, index)
-		return reply(ctx, fasthttp.StatusOK, list)
+		return reply(ctx, fasthttp.StatusOK, revisions)
 	case !ctx.IsPost():
 		return errMethod
 	}
@@ -248,45 +250,45 @@
 	if check == nil {
 		return fmt.Errorf("%w: there is no configuration %q to publish", errInput, name)
 	}
-	from, back, err := number("from")
+	from, rollback, err := number("from")
 	if err != nil {
 		return err
 	}
-	expect, expects, err := number("expect")
+	expect, hasExpect, err := number("expect")
 	if err != nil {
 		return err
 	}
 	text := append([]byte(nil), ctx.PostBody()...)
-	if back {
-		if of := find(a.replica.Published(name), from); of != nil {
-			text = []byte(of.Text)
+	if rollback {
+		if earlier := findRevision(a.replica.Published(name), from); earlier != nil {
+			text = []byte(earlier.Text)
 		}
 	}
-	if len(text) > 0 || !back {
+	if len(text) > 0 || !rollback {
 		if err := check(text); err != nil {
 			return fmt.Errorf("%w: %w", ErrRefused, err)
 		}
 	}
-	q := &publication{Request: string(args.Peek("request")), By: string(args.Peek("by")), From: from, Expect: expect, Checked: expects}
-	if back {
+	q := &publication{Request: string(args.Peek("request")), By: string(args.Peek("by")), From: from, Expect: expect, Checked: hasExpect}
+	if rollback {
 		text = nil
 	}
-	wait, cancel := context.WithTimeout(context.Background(), applyWait)
+	wait, cancel := context.WithTimeout(context.Background(), applyTimeout)
 	defer cancel()
 	r, err := a.replica.publish(wait, name, text, q)
 	if err != nil {
 		return err
 	}
-	setVersion(ctx, a.replica.machine.index())
+	setVersion(ctx, a.replica.machine.appliedIndex())
 	r.Text = ""
 	return reply(ctx, fasthttp.StatusCreated, r)
 }
 
-// publishTries is how often a client repeats a request whose outcome it does not know.
-const publishTries = 5
+// maxPublishAttempts is the number of times that a client sends a request whose outcome is unknown.
+const maxPublishAttempts = 5
 
-// Publish publishes a text, or with from goes back to that version, under a request's name. It
-// is repeated while its outcome is not known, which counts once.
+// Publish publishes a text or, with from, rolls back to that version, under a request's name. The
+// request is repeated while its outcome is unknown, and is applied once.
 func (c *Client) Publish(name string, text []byte, request, by string, expect *uint64, from uint64) (Revision, error) {
 	uri := fasthttp.AcquireURI()
 	defer fasthttp.ReleaseURI(uri)
@@ -302,14 +304,14 @@
 	}
 	var r Revision
 	var last error
-	for range publishTries {
+	for range maxPublishAttempts {
 		status, answer, err := c.call(fasthttp.MethodPost, string(uri.RequestURI()), text)
 		switch {
 		case err != nil:
 			last = err
 			continue
 		case status != fasthttp.StatusCreated:
-			return r, fmt.Errorf("publish %s: %w", name, faultOf(status, answer))
+			return r, fmt.Errorf("publish %s: %w", name, answerError(status, answer))
 		}
 		if err := json.Unmarshal(answer, &r); err != nil {
 			return r, fmt.Errorf("publish %s: %w", name, err)
@@ -319,7 +321,7 @@
 	return r, fmt.Errorf("publish %s: %w: %w", name, ErrUnknown, last)
 }
 
-func faultOf(status int, answer []byte) error {
+func answerError(status int, answer []byte) error {
 	var a struct {
 		Error string `json:"error"`
 	}
@@ -329,14 +331,14 @@
 	return errors.New(a.Error)
 }
 
-// Published returns the versions of a configuration that are kept, the oldest first.
+// Published returns the retained versions of a configuration, oldest first.
 func (c *Client) Published(name string) ([]Revision, error) {
 	status, answer, err := c.call(fasthttp.MethodGet, configPath+"/"+name, nil)
 	if err != nil {
 		return nil, err
 	}
 	if status != fasthttp.StatusOK {
-		return nil, fmt.Errorf("configuration %s: %w", name, faultOf(status, answer))
+		return nil, fmt.Errorf("configuration %s: %w", name, answerError(status, answer))
 	}
 	var out []Revision
 	if err := json.Unmarshal(answer, &out); err != nil {
--- a/store/publish_test.go
+++ b/store/publish_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is published, repeated and rolled back: versions go up by one, a request's name counts once, the latest is kept,
-// and the history stays in its bounds.
-func TestPublishedVersionsOnlyGoUp(t *testing.T) {
+// For any sequence of publishes, repeats and rollbacks: versions increase by one, a named request
+// is applied once, the latest version is retained, and the history stays within its limits.
+func TestPublishedVersionsOnlyIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := newTree()
 		latest, texts, requests := uint64(0), map[uint64]string{}, map[string]uint64{}
@@ -27,7 +27,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "checked") == 0 {
 				q.Checked, q.Expect = true, latest+uint64(rapid.IntRange(0, 1).Draw(t, "off"))
 			}
-			kept := find(tr.Published["c"], q.From)
+			kept := findRevision(tr.Published["c"], q.From)
 			r, err := tr.publish(op+1, "c", []byte(text), q)
 			if q.From > 0 {
 				if kept == nil {
@@ -36,10 +36,10 @@
 				}
 				text = texts[q.From]
 			}
-			if v, ok := requests[q.Request]; ok && find(tr.Published["c"], v) != nil && (err != nil || r.Version <= latest) {
+			if v, ok := requests[q.Request]; ok && findRevision(tr.Published["c"], v) != nil && (err != nil || r.Version <= latest) {
 				if texts[v] == text {
 					require.NoError(t, err)
-					require.Equal(t, v, r.Version, "repeated")
+					require.Equal(t, v, r.Version, "a repeat has the first version")
 				} else {
 					require.ErrorIs(t, err, ErrReused)
 				}
@@ -54,14 +54,14 @@
 			latest++
 			texts[latest], requests[q.Request] = text, latest
 			list := tr.Published["c"]
-			require.LessOrEqual(t, len(list), mostRevisions)
+			require.LessOrEqual(t, len(list), maxRevisions)
 			bytes := 0
 			for i, r := range list {
 				require.Equal(t, latest-uint64(len(list)-1-i), r.Version, "no gap")
 				require.Equal(t, texts[r.Version], r.Text)
 				bytes += len(r.Text)
 			}
-			require.LessOrEqual(t, bytes, mostHistory)
+			require.LessOrEqual(t, bytes, maxHistoryBytes)
 			n, err := tr.find("/config/c")
 			require.NoError(t, err)
 			require.Equal(t, text, string(n.Data))
@@ -77,16 +77,16 @@
 		Version uint64
 		Error   string
 	}
-	require.NoError(c.t, jsonInto(resp, &a))
+	require.NoError(c.t, decodeJSON(resp, &a))
 	if a.Error != "" {
 		return resp.StatusCode, a.Error
 	}
 	return resp.StatusCode, fmt.Sprint(a.Version)
 }
 
-// Each call at another replica: what is refused changes nothing, what is repeated counts once, and versions outlive a restart
-// of all.
-func TestPublishOverAnyReplica(t *testing.T) {
+// Each call goes to another replica: refused requests change nothing, repeated ones are applied
+// once, and versions survive a restart of all replicas.
+func TestPublishAtAnyReplica(t *testing.T) {
 	c := newCluster(t)
 	c.leader()
 	for i, s := range []struct {
@@ -95,7 +95,7 @@
 		says        string
 	}{
 		{"request=a&by=me", "one", 201, "1"},
-		{"request=a&by=me", "one", 201, "1"}, // its answer was lost
+		{"request=a&by=me", "one", 201, "1"}, // a repeat, as after a lost answer
 		{"request=a", "other", 409, "another text"},
 		{"request=b", "bad", 400, "key x: it is bad"},
 		{"request=b&expect=0", "two", 409, "c is at 1, not 0"},
@@ -129,7 +129,7 @@
 	require.Equal(t, "me", list[0].By)
 	status, says := c.publish(0, "request=x", "text")
 	require.Equal(t, 201, status, says)
-	resp, err := http.Post(c.url(0, "/v1/config/unheard?request=x"), "", nil)
+	resp, err := http.Post(c.url(0, "/v1/config/unknown?request=x"), "", nil)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	require.Equal(t, 400, resp.StatusCode)
@@ -137,9 +137,10 @@
 	require.ErrorContains(t, err, "key x: it is bad")
 }
 
-// The majority goes while a text is published: its publisher can't know, repeats it under its name once they are back,
-// elsewhere, and it counts once. Two publishers at once each have a version of their own.
-func TestPublishWhileTheMajorityGoes(t *testing.T) {
+// The majority is lost while a text is published, so its publisher does not know the outcome. It
+// repeats the request under its name once the replicas are back, at other replicas, and the text is
+// published once. Two concurrent publishers get a version each.
+func TestPublishDuringMajorityLoss(t *testing.T) {
 	c := newCluster(t)
 	l := c.leader()
 	for i := range c.replicas {
--- a/store/reads.go
+++ b/store/reads.go
@@ -13,124 +13,129 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Reads are never older than what was acknowledged before they began, whichever replica
-// is asked. The replica learns from the leader how far it has to be, and waits until it is
-// there; where it can't learn that in time, it says ErrBehind, not something older.
+// Reads are linearizable at every replica: none returns a state older than what was acknowledged
+// before the read began. The replica asks the leader for the index of the latest operation and
+// waits until it has applied it. If it can't find out in time, it returns ErrLagging instead of
+// older data.
 //
-// A replica may also be ahead of the leader for a moment: what is agreed on can be applied
-// there first. Two reads, the later at another replica, would see it come and go. So what is
-// answered is what the leader has been heard to have applied as well.
+// A replica may also be ahead of the leader for a moment, since a committed operation can be
+// applied there first. A read at that replica would then return an operation that a later read at
+// another replica does not. A read therefore returns only operations that the leader is known to
+// have applied as well.
 //
-// The leader counts only what it has applied itself, as each write is before it is
-// acknowledged, and asks the others for their terms: while a majority is at its own, nobody
-// had been elected after it before it asked, so nobody else had acknowledged anything.
-// (raft's VerifyLeader is not enough: it also counts an answer to a heartbeat that was sent
-// before it was called.) A new leader puts a barrier through the log first, so that what
-// the ones before it have acknowledged is applied as well. Reads that come while one
-// question is out share the next one.
+// The leader counts only operations that it has applied itself, as each write is before it is
+// acknowledged, and asks the other replicas for their terms. If a majority is still at its own
+// term, no other leader had been elected before it asked, so no other replica had acknowledged
+// anything. (raft's VerifyLeader is not sufficient: it also counts an answer to a heartbeat that
+// was sent before the call.) A new leader first commits a barrier, so that everything acknowledged
+// by earlier leaders is applied as well. Reads that arrive while a query is pending share the next
+// one.
 
-// ErrBehind says that this replica can't tell what is newest, or does not have it yet.
-var ErrBehind = errors.New("this replica is behind")
+// ErrLagging means that this replica can't determine the latest operation, or has not applied it
+// yet.
+var ErrLagging = errors.New("this replica is behind")
 
 const (
-	newestPath = "/v1/newest"
-	termPath   = "/v1/term"
-	readWait   = time.Second // for a replica to be where a read needs it
-	// VersionHeader carries the number of the operation up to which an answer knows all.
-	// A caller that hands it in is never answered from before it.
+	newestPath  = "/v1/newest"
+	termPath    = "/v1/term"
+	readTimeout = time.Second // for a replica to reach the state that a read needs
+	// VersionHeader carries the index of the operation up to which an answer is current. A caller
+	// that sends it never gets an answer from an older state.
 	VersionHeader = "X-Store-Version"
 )
 
-// gate lets callers share questions: each is answered by one that was asked after it came.
-type gate struct {
+// callCoalescer lets concurrent callers share queries: each caller gets the result of a query that
+// was started after it called.
+type callCoalescer struct {
 	mu      sync.Mutex
-	next    *question
+	next    *sharedCall
 	running bool
 }
 
-type question struct {
+type sharedCall struct {
 	done  chan struct{}
 	index uint64
 	err   error
 }
 
-// ask has the question put, or joins one that is yet to be.
-func (g *gate) ask(ctx context.Context, put func() (uint64, error)) (uint64, error) {
+// do starts the query, or joins one that has not been started yet.
+func (g *callCoalescer) do(ctx context.Context, query func() (uint64, error)) (uint64, error) {
 	g.mu.Lock()
-	q := g.next
-	if q == nil {
-		q = &question{done: make(chan struct{})}
-		g.next = q
+	call := g.next
+	if call == nil {
+		call = &sharedCall{done: make(chan struct{})}
+		g.next = call
 	}
 	if !g.running {
 		g.running = true
-		go g.run(put)
+		go g.run(query)
 	}
 	g.mu.Unlock()
 	select {
-	case <-q.done:
-		return q.index, q.err
+	case <-call.done:
+		return call.index, call.err
 	case <-ctx.Done():
-		return 0, fmt.Errorf("%w: %w", ErrBehind, ctx.Err())
+		return 0, fmt.Errorf("%w: %w", ErrLagging, ctx.Err())
 	}
 }
 
-func (g *gate) run(put func() (uint64, error)) {
+func (g *callCoalescer) run(query func() (uint64, error)) {
 	for {
 		g.mu.Lock()
-		q := g.next
+		call := g.next
 		g.next = nil
-		g.running = q != nil
+		g.running = call != nil
 		g.mu.Unlock()
-		if q == nil {
+		if call == nil {
 			return
 		}
-		q.index, q.err = put()
-		close(q.done)
+		call.index, call.err = query()
+		close(call.done)
 	}
 }
 
-// index is the latest operation that was applied here.
-func (m *machine) index() uint64 {
+// appliedIndex returns the latest operation applied by this replica.
+func (m *fsm) appliedIndex() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.tree.Index
 }
 
-// leadNewest is the leader's word on what is newest.
-func (r *Replica) leadNewest() (uint64, error) {
+// newestAsLeader returns the latest operation, as the leader.
+func (r *Replica) newestAsLeader() (uint64, error) {
 	term := r.raft.CurrentTerm()
-	if r.sure.Load() != term {
-		if err := r.raft.Barrier(readWait).Error(); err != nil {
+	if r.barrierTerm.Load() != term {
+		if err := r.raft.Barrier(readTimeout).Error(); err != nil {
 			return 0, fmt.Errorf("%w: %w", ErrNotLeader, err)
 		}
-		r.sure.Store(term) // of before: if another has led since, this one is put again
+		// Stores the term from before the barrier: a later term needs another barrier.
+		r.barrierTerm.Store(term)
 	}
-	index := r.machine.index()
-	return index, r.sameTerm(term)
+	index := r.machine.appliedIndex()
+	return index, r.confirmTerm(term)
 }
 
-// sameTerm makes sure that a majority of the replicas, this one among them, is at a term now.
-func (r *Replica) sameTerm(term uint64) error {
+// confirmTerm checks that a majority of the replicas, including this one, is at the term now.
+func (r *Replica) confirmTerm(term uint64) error {
 	if r.raft.CurrentTerm() != term || !r.IsLeader() {
 		return fmt.Errorf("%w: the term has changed", ErrNotLeader)
 	}
-	need := len(r.cfg.Peers) / 2 // beside this one
+	need := len(r.cfg.Peers) / 2 // besides this replica
 	if need == 0 {
 		return nil
 	}
 	terms := make(chan uint64, len(r.cfg.Peers))
-	deadline := time.Now().Add(readWait)
+	deadline := time.Now().Add(readTimeout)
 	for _, p := range r.cfg.Peers {
 		if p.ID == r.cfg.ID {
 			continue
 		}
 		go func() {
-			var at uint64 // 0 is no replica's
-			if err := r.askPeer(p, termPath, deadline, &at); err != nil {
-				at = 0
+			var peerTerm uint64 // 0 is not a valid term
+			if err := r.askPeer(p, termPath, deadline, &peerTerm); err != nil {
+				peerTerm = 0
 			}
-			terms <- at
+			terms <- peerTerm
 		}()
 	}
 	for range len(r.cfg.Peers) - 1 {
@@ -140,10 +145,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("%w: no majority is at term %d", ErrNotLeader, term)
+	return fmt.Errorf("%w: no majority is peerTerm term %d", ErrNotLeader, term)
 }
 
-// askPeer puts a question without a body to a replica.
+// askPeer sends a request without a body to a replica.
 func (r *Replica) askPeer(p Peer, path string, deadline time.Time, into any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -159,18 +164,18 @@
 	return json.Unmarshal(resp.Body(), into)
 }
 
-// newest asks the leader, wherever that is, while there is time.
-func (r *Replica) newest(ctx context.Context) (uint64, error) {
-	return r.reads.ask(ctx, func() (uint64, error) {
-		ctx, cancel := context.WithTimeout(context.Background(), readWait)
+// newestIndex asks the leader for the latest operation, retrying for up to readTimeout.
+func (r *Replica) newestIndex(ctx context.Context) (uint64, error) {
+	return r.reads.do(ctx, func() (uint64, error) {
+		ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 		defer cancel()
-		again := backoff.NewExponentialBackOff()
-		again.InitialInterval, again.MaxInterval = 20*time.Millisecond, 200*time.Millisecond
+		retry := backoff.NewExponentialBackOff()
+		retry.InitialInterval, retry.MaxInterval = 20*time.Millisecond, 200*time.Millisecond
 		for {
 			var index uint64
 			var err error
 			if r.IsLeader() {
-				index, err = r.leadNewest()
+				index, err = r.newestAsLeader()
 			} else {
 				err = r.askLeader(ctx, newestPath, nil, &index)
 			}
@@ -178,51 +183,51 @@
 				return index, nil
 			}
 			select {
-			case <-time.After(again.NextBackOff()):
+			case <-time.After(retry.NextBackOff()):
 			case <-ctx.Done():
-				return 0, fmt.Errorf("%w: what is newest is not known: %w", ErrBehind, err)
+				return 0, fmt.Errorf("%w: what is newest is not known: %w", ErrLagging, err)
 			}
 		}
 	})
 }
 
-// CatchUp returns once this replica holds all that was acknowledged before the call.
-// ErrBehind means that it may not.
+// CatchUp returns once this replica has applied everything acknowledged before the call. ErrLagging
+// means that it may not have.
 func (r *Replica) CatchUp(ctx context.Context) error {
-	index, err := r.newest(ctx)
+	index, err := r.newestIndex(ctx)
 	if err != nil {
 		return err
 	}
-	return r.Reach(ctx, index)
+	return r.WaitApplied(ctx, index)
 }
 
-// Reach returns once this replica has applied an operation.
-func (r *Replica) Reach(ctx context.Context, index uint64) error {
-	if err := r.machine.reached(ctx, index); err != nil {
-		return fmt.Errorf("%w: %w", ErrBehind, err)
+// WaitApplied returns once this replica has applied an operation.
+func (r *Replica) WaitApplied(ctx context.Context, index uint64) error {
+	if err := r.machine.waitApplied(ctx, index); err != nil {
+		return fmt.Errorf("%w: %w", ErrLagging, err)
 	}
 	return nil
 }
 
-// catchUpOnce lets local reads begin once this replica, which has started just now, has
-// caught up.
-func (r *Replica) catchUpOnce(ctx context.Context) {
-	again := backoff.NewExponentialBackOff()
-	again.InitialInterval, again.MaxInterval = 10*time.Millisecond, time.Second
+// catchUpAfterStart enables local reads once this replica has caught up after its start.
+func (r *Replica) catchUpAfterStart(ctx context.Context) {
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = 10*time.Millisecond, time.Second
 	for ctx.Err() == nil {
 		if r.CatchUp(ctx) == nil {
-			r.recovered()
-			close(r.caught)
+			r.endRecovery()
+			close(r.caughtUp)
 			return
 		}
 		select {
-		case <-time.After(again.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// State is a node, its children and the operation up to which both are known, of one instant.
+// State is a consistent snapshot of a node and its children, with the operation up to which it is
+// current.
 type State struct {
 	Data     []byte
 	Stat     Stat
@@ -230,8 +235,8 @@
 	Index    uint64
 }
 
-// Read reads a node as this replica has it, with the state's version even where there is
-// no node.
+// Read reads a node from this replica's state. The result has the index of the state even if the
+// node does not exist.
 func (r *Replica) Read(path string) (State, error) {
 	r.machine.mu.RLock()
 	defer r.machine.mu.RUnlock()
@@ -244,24 +249,25 @@
 	return s, nil
 }
 
-// freshness is what a read is held to.
+// freshness is the consistency requirement of a read.
 type freshness struct {
-	newest bool
-	heard  uint64 // the leader has applied so much
+	newest    bool
+	confirmed uint64 // index that the leader is known to have applied
 }
 
-// fresh makes a call's read as new as its caller needs it: with read=local as it is, with a
-// version no older than that, else no older than what was acknowledged before.
-func (a *API) fresh(ctx *fasthttp.RequestCtx) (f freshness, err error) {
-	wait, cancel := context.WithTimeout(context.Background(), readWait)
+// waitFresh waits until this replica is as current as the caller needs: with read=local it does not
+// wait, with read=session it waits for the given version, and otherwise for everything acknowledged
+// before the call.
+func (a *API) waitFresh(ctx *fasthttp.RequestCtx) (f freshness, err error) {
+	wait, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	token := string(ctx.Request.Header.Peek(VersionHeader))
 	if v := ctx.QueryArgs().Peek("at_least"); len(v) > 0 {
 		token = string(v)
 	}
-	var least uint64
+	var minIndex uint64
 	if token != "" {
-		if least, err = strconv.ParseUint(token, 10, 64); err != nil {
+		if minIndex, err = strconv.ParseUint(token, 10, 64); err != nil {
 			return f, fmt.Errorf("%w: version %.40q is not a number", errInput, token)
 		}
 	}
@@ -272,44 +278,44 @@
 		if token == "" {
 			return f, fmt.Errorf("%w: read=session needs a version, in %s or at_least", errInput, VersionHeader)
 		}
-		return f, a.replica.Reach(wait, least)
+		return f, a.replica.WaitApplied(wait, minIndex)
 	case "", "newest":
 		f.newest = true
-		if f.heard, err = a.replica.newest(wait); err != nil {
+		if f.confirmed, err = a.replica.newestIndex(wait); err != nil {
 			return f, err
 		}
-		return f, a.replica.Reach(wait, max(f.heard, least))
+		return f, a.replica.WaitApplied(wait, max(f.confirmed, minIndex))
 	default:
 		return f, fmt.Errorf("%w: read is %.40q, not newest, session or local", errInput, kind)
 	}
 }
 
-// holds returns once a state up to an operation may be told under a freshness.
-func (a *API) holds(f freshness, index uint64) error {
-	wait, cancel := context.WithTimeout(context.Background(), readWait)
+// waitConfirmed returns once a state with the given index may be returned under a freshness.
+func (a *API) waitConfirmed(f freshness, index uint64) error {
+	wait, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	for f.newest && index > f.heard {
+	for f.newest && index > f.confirmed {
 		var err error
-		if f.heard, err = a.replica.newest(wait); err != nil {
+		if f.confirmed, err = a.replica.newestIndex(wait); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// serveNewest answers another replica that asks how far it has to be.
+// serveNewest answers another replica that asks for the latest operation.
 func (a *API) serveNewest(ctx *fasthttp.RequestCtx) error {
 	if !a.replica.IsLeader() {
 		return ErrNotLeader
 	}
-	index, err := a.replica.reads.ask(context.Background(), a.replica.leadNewest)
+	index, err := a.replica.reads.do(context.Background(), a.replica.newestAsLeader)
 	if err != nil {
 		return err
 	}
 	return reply(ctx, fasthttp.StatusOK, index)
 }
 
-// setVersion tells a caller how far its answer goes.
+// setVersion sets the index up to which an answer is current.
 func setVersion(ctx *fasthttp.RequestCtx, index uint64) {
 	ctx.Response.Header.Set(VersionHeader, strconv.FormatUint(index, 10))
 }
--- a/store/reads_test.go
+++ b/store/reads_test.go
@@ -21,35 +21,36 @@
 	"lichenshelf/lab/history"
 )
 
-// Whoever asks is answered by a question that was put after it came, and far fewer are put than there are askers.
-func TestSharedQuestionsAreNotOlderThanTheirAskers(t *testing.T) {
-	var g gate
-	var clock, put atomic.Uint64
+// Each caller gets the result of a query that started after the call, and there are far fewer
+// queries than callers.
+func TestCoalescedCallsStartAfterTheirCallers(t *testing.T) {
+	var g callCoalescer
+	var clock, queries atomic.Uint64
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
 			for range 200 {
-				came := clock.Add(1)
-				answer, err := g.ask(t.Context(), func() (uint64, error) {
-					put.Add(1)
+				called := clock.Add(1)
+				answer, err := g.do(t.Context(), func() (uint64, error) {
+					queries.Add(1)
 					at := clock.Add(1)
 					time.Sleep(20 * time.Microsecond)
 					return at, nil
 				})
-				if err != nil || answer <= came {
-					t.Errorf("came at %d, answered by what was put at %d: %v", came, answer, err)
+				if err != nil || answer <= called {
+					t.Errorf("called at %d, answered by a query started at %d: %v", called, answer, err)
 				}
 			}
 		})
 	}
 	all.Wait()
-	require.Less(t, put.Load(), uint64(40*200/2))
+	require.Less(t, queries.Load(), uint64(40*200/2))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	release := make(chan struct{})
 	defer close(release)
-	_, err := g.ask(ctx, func() (uint64, error) { <-release; return 0, nil })
-	require.ErrorIs(t, err, ErrBehind, "who gives up does not wait")
+	_, err := g.do(ctx, func() (uint64, error) { <-release; return 0, nil })
+	require.ErrorIs(t, err, ErrLagging, "a caller whose context has ended does not wait")
 }
 
 func get(t testing.TB, url string, version uint64) (int, http.Header) {
@@ -66,9 +67,9 @@
 
 func (c *cluster) url(i int, path string) string { return "http://" + c.cfg[i].Self().API + path }
 
-// A version that an answer or a write has told is honoured by every replica; one that is not there yet is waited for, and
-// then refused.
-func TestVersionsAreHonouredByAnyReplica(t *testing.T) {
+// Every replica honours a version from any answer or write: it waits until it has reached the
+// version, and refuses the read if that takes too long.
+func TestAnyReplicaHonoursVersions(t *testing.T) {
 	c := newCluster(t)
 	require.NoError(t, c.create("/n", "0", ""))
 	client := NewClient(c.cfg[0].Self().API, c.cfg[1].Self().API)
@@ -77,9 +78,9 @@
 		for r := range c.replicas {
 			status, header := get(t, c.url(r, "/v1/nodes/n?read=session"), client.seen.Load())
 			require.Equal(t, http.StatusOK, status)
-			told, err := strconv.ParseUint(header.Get(VersionHeader), 10, 64)
+			got, err := strconv.ParseUint(header.Get(VersionHeader), 10, 64)
 			require.NoError(t, err)
-			require.GreaterOrEqual(t, told, client.seen.Load())
+			require.GreaterOrEqual(t, got, client.seen.Load())
 			s, err := c.replicas[r].Read("/n")
 			require.NoError(t, err)
 			require.Equal(t, strconv.Itoa(i+1), string(s.Data))
@@ -98,10 +99,11 @@
 	}
 	status, header := get(t, c.url(2, "/v1/nodes/none"), 0)
 	require.Equal(t, http.StatusNotFound, status)
-	require.NotEmpty(t, header.Get(VersionHeader), "that there is none is known up to a version as well")
+	require.NotEmpty(t, header.Get(VersionHeader), "a missing node is reported with a version as well")
 }
 
-// Without a majority nobody can tell what is newest: 503, not something old.
+// Without a majority the latest operation can't be determined: reads fail with 503 instead of
+// returning older data.
 func TestReadsWithoutAMajority(t *testing.T) {
 	c := newCluster(t)
 	require.NoError(t, c.create("/n", "0", ""))
@@ -115,47 +117,49 @@
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Equal(t, "1", header.Get("Retry-After"))
 	status, _ = get(t, c.url(l, "/v1/nodes/n?read=local"), 0)
-	require.Equal(t, http.StatusOK, status, "asked for as it is")
+	require.Equal(t, http.StatusOK, status, "a local read needs no majority")
 }
 
-// What is newest may stay unknown because the caller's time ends, or, as much later, because the leader's word did not come:
-// whichever is first, the answer is the same, also at a replica that knows who leads.
-func TestABehindReplicaAnswersAlikeWhicheverTimeEndsFirst(t *testing.T) {
+// The latest operation may be unknown because the caller's time ended or, about as late, because
+// the leader did not answer. The answer is the same in both cases, also at a replica that knows the
+// leader.
+func TestLaggingReplicaAnswersTheSameForAnyTimeout(t *testing.T) {
 	c := newCluster(t)
 	l := c.leader()
 	follower := c.replicas[(l+1)%len(c.replicas)]
 	c.eventually(func() bool { _, known := follower.Leader(); return known })
 	refused := func(r *Replica, err error) {
 		t.Helper()
-		require.ErrorIs(t, err, ErrBehind)
+		require.ErrorIs(t, err, ErrLagging)
 		var ctx fasthttp.RequestCtx
-		NewAPI(r, nil).fail(&ctx, err)
+		NewAPI(r, nil).replyError(&ctx, err)
 		require.Equal(t, http.StatusServiceUnavailable, ctx.Response.StatusCode(), err)
 		require.Equal(t, "1", string(ctx.Response.Header.Peek("Retry-After")), err)
 	}
-	refused(follower, fmt.Errorf("%w: %w", ErrBehind, ErrNotLeader))
+	refused(follower, fmt.Errorf("%w: %w", ErrLagging, ErrNotLeader))
 	for i := range c.replicas {
 		if i != l {
 			c.close(i)
 		}
 	}
-	_, err := c.replicas[l].newest(t.Context()) // no time of the caller's
+	_, err := c.replicas[l].newestIndex(t.Context()) // without a deadline of the caller
 	require.ErrorIs(t, err, ErrNotLeader)
 	refused(c.replicas[l], err)
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = c.replicas[l].newest(over)
+	_, err = c.replicas[l].newestIndex(over)
 	refused(c.replicas[l], err)
 }
 
-// check plays clients against all replicas while harm is done, and gives their history to the checker.
-func (c *cluster) check(read string, harm func(rng *rand.Rand), steps int) (result porcupine.CheckResult, n, missing int) {
+// check runs clients against all replicas during disruptions, and passes their history to the
+// checker.
+func (c *cluster) check(read string, disrupt func(rng *rand.Rand), steps int) (result porcupine.CheckResult, n, missing int) {
 	require.NoError(c.t, c.create("/n", "0", ""))
 	h := history.New()
-	var last, gone atomic.Int64
+	var last, missingNodes atomic.Int64
 	ctx, stop := context.WithCancel(c.t.Context())
 	var all sync.WaitGroup
-	hasty := &http.Client{Timeout: 3 * time.Second}
+	client := &http.Client{Timeout: 3 * time.Second}
 	for id := range 6 {
 		rng := rand.New(rand.NewPCG(uint64(id), 2))
 		all.Go(func() {
@@ -163,12 +167,12 @@
 				url, called := c.url(rng.IntN(len(c.cfg)), "/v1/nodes/n"), h.Now()
 				if rng.IntN(3) == 0 {
 					value := strconv.FormatInt(last.Add(1), 10)
-					status, _, err := send(ctx, hasty, http.MethodPut, url, value)
+					status, _, err := send(ctx, client, http.MethodPut, url, value)
 					h.Wrote(id, "/n", value, called, err == nil && status == http.StatusNoContent)
-				} else if status, value, err := send(ctx, hasty, http.MethodGet, url+read, ""); err == nil && status == http.StatusOK {
+				} else if status, value, err := send(ctx, client, http.MethodGet, url+read, ""); err == nil && status == http.StatusOK {
 					h.Read(id, "/n", value, called)
 				} else if status == http.StatusNotFound {
-					gone.Add(1)
+					missingNodes.Add(1)
 				}
 				time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond)
 			}
@@ -176,12 +180,12 @@
 	}
 	rng := rand.New(rand.NewPCG(9, 9))
 	for range steps {
-		harm(rng)
+		disrupt(rng)
 	}
 	stop()
 	all.Wait()
 	result, n = h.Check(time.Minute)
-	return result, n, int(gone.Load())
+	return result, n, int(missingNodes.Load())
 }
 
 func send(ctx context.Context, by *http.Client, method, url, body string) (status int, data string, err error) {
@@ -196,15 +200,16 @@
 	defer resp.Body.Close()
 	var n struct{ Data string }
 	if resp.StatusCode == http.StatusOK {
-		err = jsonInto(resp, &n)
+		err = decodeJSON(resp, &n)
 	}
 	return resp.StatusCode, n.Data, err
 }
 
-// Leaders change and replicas start again under clients that write and read at all of them: what they saw is
-// linearizable. The same with reads as they are at each replica is found not to be, so the check can fail.
+// Leaders change and replicas restart while clients write and read at all replicas: the history is
+// linearizable. The same test with local reads must find a violation, which shows that the check
+// can fail.
 func TestHistoriesAreLinearizable(t *testing.T) {
-	harm := func(c *cluster) func(*rand.Rand) {
+	disrupt := func(c *cluster) func(*rand.Rand) {
 		return func(rng *rand.Rand) {
 			switch rng.IntN(3) {
 			case 0:
@@ -214,30 +219,30 @@
 			case 1:
 				i := rng.IntN(len(c.replicas))
 				c.close(i)
-				time.Sleep(pace)
+				time.Sleep(testPace)
 				c.open(i)
 			}
-			time.Sleep(pace)
+			time.Sleep(testPace)
 		}
 	}
 	c := newCluster(t)
-	result, n, missing := c.check("", harm(c), 8)
-	require.Zero(t, missing, "404 for a node that was acknowledged")
+	result, n, missing := c.check("", disrupt(c), 8)
+	require.Zero(t, missing, "404 for an acknowledged node")
 	t.Logf("%d operations", n)
 	require.Equal(t, porcupine.Ok, result)
 	require.Greater(t, n, 100)
 
 	old := newCluster(t)
 	for range 5 {
-		if result, n, missing = old.check("?read=local", harm(old), 6); result == porcupine.Illegal {
+		if result, n, missing = old.check("?read=local", disrupt(old), 6); result == porcupine.Illegal {
 			break
 		}
 		require.NoError(t, old.do(func(l *Replica) error { return l.Delete("/n", AnyVersion) }))
 	}
-	require.Equal(t, porcupine.Illegal, result, "of %d operations, %d found nothing", n, missing)
+	require.Equal(t, porcupine.Illegal, result, "%d operations, %d reads found no node", n, missing)
 }
 
-// What a read costs, by how sure it is.
+// BenchmarkReads compares the cost of reads by their consistency.
 func BenchmarkReads(b *testing.B) {
 	c := newCluster(b)
 	require.NoError(b, c.create("/n", "0", ""))
@@ -248,29 +253,29 @@
 		name string
 		read func() error
 	}{
-		{"as it is", func() error { _, err := leader.Read("/n"); return err }},
-		{"lease alone", func() error {
+		{"local", func() error { _, err := leader.Read("/n"); return err }},
+		{"lease only", func() error {
 			if leader.raft.State() != raft.Leader {
 				return ErrNotLeader
 			}
 			_, err := leader.Read("/n")
 			return err
 		}},
-		{"majority asked", func() error { _, err := leader.leadNewest(); return err }},
+		{"majority", func() error { _, err := leader.newestAsLeader(); return err }},
 		{"barrier", func() error { return leader.raft.Barrier(time.Second).Error() }},
-		{"at a follower", func() error { return follower.CatchUp(b.Context()) }},
+		{"follower", func() error { return follower.CatchUp(b.Context()) }},
 	} {
 		b.Run(k.name, func(b *testing.B) {
 			for b.Loop() {
 				require.NoError(b, k.read())
 			}
 		})
-		b.Run(k.name+", 32 at once", func(b *testing.B) {
+		b.Run(k.name+", 32 concurrent", func(b *testing.B) {
 			b.SetParallelism(32)
 			b.RunParallel(func(p *testing.PB) {
 				for p.Next() {
-					if k.name == "majority asked" {
-						_, err := leader.reads.ask(b.Context(), leader.leadNewest)
+					if k.name == "majority" {
+						_, err := leader.reads.do(b.Context(), leader.newestAsLeader)
 						require.NoError(b, err)
 						continue
 					}
@@ -281,4 +286,4 @@
 	}
 }
 
-func jsonInto(resp *http.Response, v any) error { return json.NewDecoder(resp.Body).Decode(v) }
+func decodeJSON(resp *http.Response, v any) error { return json.NewDecoder(resp.Body).Decode(v) }
--- a/store/repair.go
+++ b/store/repair.go
@@ -10,17 +10,20 @@
 	"github.com/hashicorp/raft"
 )
 
-// recoveryFile is in the data directory while a replica may have lost what it had acknowledged. It outlives restarts.
+// recoveryFile exists in the data directory while the replica may have lost acknowledged entries,
+// so that the recovery continues after a restart.
 const recoveryFile = "recovering"
 
-// ErrDamaged says that the log of the only replica has a hole: nobody else has what is missing.
-var ErrDamaged = errors.New("the log has a hole, and no other replica has what is missing")
+// ErrDamaged means that the log of the only replica has a gap, so that the missing entries are
+// lost.
+var ErrDamaged = errors.New("the log has a gap, and no other replica has the missing entries")
 
-// recovery keeps a replica without a vote that may have lost what it had acknowledged. Others may have counted on that for a
-// majority: a leader that it helps to elect might not have it either. It takes entries like all others, and has its vote back
-// once it has caught up with a leader that the others have elected.
+// recovery takes the vote from a replica that may have lost acknowledged entries. The entries may
+// have been committed by a majority that included this replica: a leader elected with its vote
+// might lack them. The replica accepts entries as usual, and regains its vote once it has caught up
+// with a leader that the others have elected.
 type recovery struct {
-	marker string // the path of the recovery file
+	marker string // path of the recovery file
 	active atomic.Bool
 }
 
@@ -36,29 +39,30 @@
 	return r, nil
 }
 
-// begin notes that a recovery begins, on the disk first.
+// begin starts a recovery, after recording it on disk.
 func (r *recovery) begin() error {
 	f, err := os.Create(r.marker)
 	if err != nil {
-		return fmt.Errorf("note a recovery: %w", err)
+		return fmt.Errorf("record the start of a recovery: %w", err)
 	}
 	if err := errors.Join(f.Sync(), f.Close(), syncDir(filepath.Dir(r.marker))); err != nil {
-		return fmt.Errorf("note a recovery: %w", err)
+		return fmt.Errorf("record the start of a recovery: %w", err)
 	}
 	r.active.Store(true)
 	return nil
 }
 
-// end gives the replica its vote back. Where the disk can't note that, the next start begins without a vote once more.
+// end gives the replica its vote back. If the recovery file can't be removed, the next start begins
+// another recovery.
 func (r *recovery) end() error {
 	r.active.Store(false)
 	if err := os.Remove(r.marker); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("note the end of a recovery: %w", err)
+		return fmt.Errorf("record the end of a recovery: %w", err)
 	}
 	return nil
 }
 
-// syncDir makes the names in a directory last.
+// syncDir makes changes of names in a directory durable.
 func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
@@ -67,7 +71,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// firstMissing returns the first entry that a log lacks between a snapshot's last one and its own; 0 if none.
+// firstMissing returns the first entry that is missing between the snapshot's last entry and the
+// end of the log; 0 if none is.
 func firstMissing(logs raft.LogStore, snapshot uint64) (uint64, error) {
 	first, err := logs.FirstIndex()
 	if err != nil {
@@ -91,9 +96,9 @@
 	return 0, nil
 }
 
-// repair looks for a hole in the replica's log. What is behind one is of no use, and is taken from the others: raft would end
-// the process.
-func (r *Replica) repair(snapshots raft.SnapshotStore) error {
+// repairLog checks the replica's log for a gap, which would make raft end the process. It deletes
+// the entries after the gap, which are fetched from the other replicas again.
+func (r *Replica) repairLog(snapshots raft.SnapshotStore) error {
 	kept, err := snapshots.List()
 	if err != nil {
 		return fmt.Errorf("read snapshots: %w", err)
@@ -111,29 +116,30 @@
 		return fmt.Errorf("read log: %w", err)
 	}
 	if len(r.cfg.Peers) == 1 {
-		return fmt.Errorf("%w: %s lacks entry %d of %d", ErrDamaged, r.cfg.DataDir, missing, last)
+		return fmt.Errorf("%w: %s lacks entry %d, its last entry is %d", ErrDamaged, r.cfg.DataDir, missing, last)
 	}
-	r.cfg.logger().Error("the log has a hole, what is behind it is taken from the other replicas", "missing", missing, "last", last)
+	r.cfg.logger().Error("the log has a gap, fetching the entries after it from the other replicas", "missing", missing, "last", last)
 	if err := r.recovery.begin(); err != nil {
 		return err
 	}
 	if err := r.disk.DeleteRange(missing, last); err != nil {
-		return fmt.Errorf("cut the log at its hole: %w", err)
+		return fmt.Errorf("truncate the log at its gap: %w", err)
 	}
 	return nil
 }
 
-// recovered gives the replica its vote back, once it has caught up.
-func (r *Replica) recovered() {
+// endRecovery gives the replica its vote back once it has caught up.
+func (r *Replica) endRecovery() {
 	if !r.recovery.active.Load() {
 		return
 	}
 	log := r.cfg.logger()
 	if err := r.recovery.end(); err != nil {
-		log.Error("the replica has caught up, and can't note it", "error", err)
+		log.Error("the replica has caught up, but can't record the end of its recovery", "error", err)
 	}
 	log.Warn("the replica has caught up with the others and votes again")
 }
 
-// Recovering tells whether this replica may have lost what it had acknowledged, and is being brought up from the others.
+// Recovering reports whether this replica may have lost acknowledged entries and is catching up
+// from the others.
 func (r *Replica) Recovering() bool { return r.recovery.active.Load() }
--- a/store/replica.go
+++ b/store/replica.go
@@ -19,73 +19,79 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrNotLeader says that another replica takes writes now.
+// ErrNotLeader means that writes have to go to another replica.
 var ErrNotLeader = errors.New("not the leader")
 
-// Peer is one replica.
+// Peer is one replica of the store.
 type Peer struct {
 	ID   string `toml:"id"`
-	Raft string `toml:"raft"` // where replicas speak to each other
-	API  string `toml:"api"`  // where clients speak to it
+	Raft string `toml:"raft"` // address for traffic between replicas
+	API  string `toml:"api"`  // address for clients
 }
 
-// Config is what a replica is made of.
+// Config is the configuration of a replica, or of a router that follows the replicas.
 type Config struct {
-	ID      string `toml:"id"` // which of Peers this one is
+	ID      string `toml:"id"` // ID of this replica among Peers
 	DataDir string `toml:"data_dir"`
 	Peers   []Peer `toml:"peer"`
-	// ZooKeeper is where ZooKeeper clients connect to this replica; empty: the
-	// front is off.
+	// ZooKeeper is the address on which this replica accepts ZooKeeper clients; empty disables the
+	// front.
 	ZooKeeper string `toml:"zookeeper"`
-	// Follow and Name are of a router without a replica: the API addresses of those that have one, and what it is called there.
+	// Follow and Name are set for a router without a replica: the API addresses of the replicas,
+	// and the router's unique name.
 	Follow []string `toml:"follow"`
 	Name   string   `toml:"name"`
 
-	// Pace shortens raft's heartbeat, election and lease times where it is not 0.
+	// Pace shortens raft's heartbeat, election and lease time-outs if it is not 0.
 	Pace time.Duration `toml:"-"`
 	Log  io.Writer     `toml:"-"`
 }
 
 const (
-	applyWait    = 5 * time.Second
-	snapshotKeep = 2
-	raftConns    = 3
-	raftWait     = 2 * time.Second
-	// raftCallsInFlight is how many messages of entries may be on their way to a replica. One of them turns raft's pipelined
-	// replication off: where a replica refuses entries, raft v1.7.3 ends the reader of the answers (replication.go,
-	// pipelineDecode) while the sender waits for it (net_transport.go, netPipeline.AppendEntries). That replica would get no
-	// entries any more, and the sender would never end. The entries of one message are as many as are due, up to raft's
-	// MaxAppendEntries.
-	raftCallsInFlight = 1
-	// stalledHeartbeats is for how many times the heartbeat's time-out a write may be under way before a leader gives way: with
-	// one, a disk that is slow for a moment would end as many leaders as it has moments.
-	stalledHeartbeats = 2
-	// closeWait is how long Close waits in all: for calls to other replicas, and some more.
-	closeWait = raftWait + time.Second
+	applyTimeout  = 5 * time.Second
+	snapshotsKept = 2
+	raftMaxConns  = 3
+	raftTimeout   = 2 * time.Second
+	// maxRaftCallsInFlight is the number of AppendEntries messages in flight to a replica. A value
+	// of 1 disables raft's pipelined replication. With pipelining, when a replica refuses entries,
+	// raft v1.7.3 ends the goroutine that reads the answers (replication.go, pipelineDecode) while
+	// the sender waits for it (net_transport.go, netPipeline.AppendEntries): that replica would get
+	// no more entries, and the sender would never end. One message carries all entries that are
+	// due, up to raft's MaxAppendEntries.
+	maxRaftCallsInFlight = 1
+	// maxStalledHeartbeats is the number of heartbeat time-outs for which a write may be pending
+	// before a leader stops sending heartbeats. With 1, every short stall of a slow disk would
+	// force the election of a new leader.
+	maxStalledHeartbeats = 2
+	// closeTimeout bounds Close: the time for pending calls to other replicas, and a margin.
+	closeTimeout = raftTimeout + time.Second
 )
 
-// ErrNotClosed says that a replica could not be closed in time: its disk, most likely, does not answer.
-var ErrNotClosed = errors.New("the replica does not end, its disk may not answer")
+// ErrNotClosed means that a replica could not be closed in time, most likely because its disk does
+// not respond.
+var ErrNotClosed = errors.New("replica did not close in time, its disk may not be responding")
 
 // Replica is one member of the store.
 type Replica struct {
 	cfg      Config
-	machine  *machine
+	machine  *fsm
 	raft     *raft.Raft
 	network  *transport
 	disk     *disk
 	recovery *recovery
-	peers    fasthttp.Client // to the leader's API
+	peers    fasthttp.Client // client for calls to other replicas
 	sessions sessions
-	reads    gate
-	sure     atomic.Uint64 // the term in which all that was acknowledged before has been applied here, as a leader
-	caught   chan struct{} // closed once this replica has caught up since its start
-	stop     context.CancelFunc
-	stopped  chan struct{}
+	reads    callCoalescer
+	// barrierTerm is the term in which this replica, as leader, has applied everything acknowledged
+	// before.
+	barrierTerm atomic.Uint64
+	caughtUp    chan struct{} // closed once this replica has caught up since its start
+	stop        context.CancelFunc
+	stopped     chan struct{}
 }
 
-// Open starts a replica. A data directory that is empty gets the peers as its
-// first configuration; one that is not goes on from where it was.
+// Open starts a replica. With an empty data directory it bootstraps the cluster from the peers;
+// otherwise it resumes from the stored state.
 func Open(cfg Config) (*Replica, error) {
 	self, err := cfg.self()
 	if err != nil {
@@ -94,14 +100,14 @@
 	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
-	if err := own(cfg.DataDir, cfg.ID); err != nil {
+	if err := claimDataDir(cfg.DataDir, cfg.ID); err != nil {
 		return nil, err
 	}
 	logs, err := raftboltdb.NewBoltStore(filepath.Join(cfg.DataDir, "raft.db"))
 	if err != nil {
 		return nil, fmt.Errorf("open log: %w", err)
 	}
-	r := &Replica{cfg: cfg, machine: newMachine(), disk: newDisk(logs, cfg.logger()), stopped: make(chan struct{}), caught: make(chan struct{}), peers: onceClient()}
+	r := &Replica{cfg: cfg, machine: newFSM(), disk: newDisk(logs, cfg.logger()), stopped: make(chan struct{}), caughtUp: make(chan struct{}), peers: newSingleAttemptClient()}
 	if r.recovery, err = newRecovery(cfg.DataDir); err == nil {
 		err = r.start(self)
 	}
@@ -111,26 +117,27 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	go r.watchSessions(ctx)
-	go r.catchUpOnce(ctx)
+	go r.expireSessions(ctx)
+	go r.catchUpAfterStart(ctx)
 	return r, nil
 }
 
-// ErrForeign says that a data directory is another replica's.
-var ErrForeign = errors.New("the data are another replica's")
+// ErrForeignData means that a data directory belongs to another replica.
+var ErrForeignData = errors.New("the data directory is another replica's")
 
 const ownerFile = "replica"
 
-// own notes whose the data directory is. With another replica's data this one would vote twice where the other has voted,
-// and take its own name for the other's history. A directory from before there was such a file becomes this replica's.
-func own(dir, id string) error {
+// claimDataDir records the replica that owns the data directory. With another replica's data, this
+// one would vote again in terms in which the other has voted, and would take the other's history
+// for its own. A directory without the file becomes this replica's.
+func claimDataDir(dir, id string) error {
 	path := filepath.Join(dir, ownerFile)
 	text, err := os.ReadFile(path)
 	switch {
 	case err == nil && string(text) == id:
 		return nil
 	case err == nil:
-		return fmt.Errorf("%w: %s says %.64q, this is %q", ErrForeign, path, text, id)
+		return fmt.Errorf("%w: %s names %.64q, this replica is %q", ErrForeignData, path, text, id)
 	case !errors.Is(err, os.ErrNotExist):
 		return fmt.Errorf("data directory: %w", err)
 	}
@@ -153,7 +160,7 @@
 	return Peer{}, fmt.Errorf("replica %q is not among the peers", c.ID)
 }
 
-// output is where raft's log goes.
+// output returns the destination of raft's log.
 func (c *Config) output() io.Writer {
 	if c.Log == nil {
 		return io.Discard
@@ -172,7 +179,7 @@
 	if p := r.cfg.Pace; p > 0 {
 		rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout, rc.CommitTimeout = p, p, p/2, p/20
 	}
-	snapshots, err := raft.NewFileSnapshotStore(r.cfg.DataDir, snapshotKeep, io.Discard)
+	snapshots, err := raft.NewFileSnapshotStore(r.cfg.DataDir, snapshotsKept, io.Discard)
 	if err != nil {
 		return fmt.Errorf("open snapshots: %w", err)
 	}
@@ -180,19 +187,19 @@
 	if err != nil {
 		return fmt.Errorf("raft address: %w", err)
 	}
-	if err := r.repair(snapshots); err != nil {
+	if err := r.repairLog(snapshots); err != nil {
 		return err
 	}
 	network, err := raft.NewTCPTransportWithConfig(self.Raft, advertised, &raft.NetworkTransportConfig{
-		MaxPool:         raftConns,
-		MaxRPCsInFlight: raftCallsInFlight,
-		Timeout:         raftWait,
+		MaxPool:         raftMaxConns,
+		MaxRPCsInFlight: maxRaftCallsInFlight,
+		Timeout:         raftTimeout,
 		Logger:          r.cfg.logger(),
 	})
 	if err != nil {
 		return fmt.Errorf("listen for replicas: %w", err)
 	}
-	r.network = newTransport(network, r.recovery, r.disk, stalledHeartbeats*rc.HeartbeatTimeout)
+	r.network = newTransport(network, r.recovery, r.disk, maxStalledHeartbeats*rc.HeartbeatTimeout)
 	var first raft.Configuration
 	for _, p := range r.cfg.Peers {
 		first.Servers = append(first.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
@@ -208,15 +215,15 @@
 	return nil
 }
 
-// Close ends the replica; its data stay. It waits for some seconds at most, and is ErrNotClosed then: the process may end all the
-// same, what was acknowledged is on the disk.
+// Close stops the replica and keeps its data. If that takes longer than closeTimeout it returns
+// ErrNotClosed; the process may exit all the same, since everything acknowledged is on disk.
 func (r *Replica) Close() error {
 	closed := make(chan error, 1)
 	go func() { closed <- r.close() }()
 	select {
 	case err := <-closed:
 		return err
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 		return ErrNotClosed
 	}
 }
@@ -224,15 +231,15 @@
 func (r *Replica) close() error {
 	r.stop()
 	<-r.stopped
-	r.disk.shut()
+	r.disk.stop()
 	err := r.raft.Shutdown().Error()
 	return errors.Join(err, r.network.Close(), r.disk.file.Close())
 }
 
-// ID is this replica's name among the peers.
+// ID returns this replica's ID among the peers.
 func (r *Replica) ID() string { return r.cfg.ID }
 
-// Leader returns the peer that takes writes, if one is known.
+// Leader returns the peer that takes writes, if it is known.
 func (r *Replica) Leader() (Peer, bool) {
 	_, id := r.raft.LeaderWithID()
 	for _, p := range r.cfg.Peers {
@@ -243,58 +250,58 @@
 	return Peer{}, false
 }
 
-// Current tells whether this replica has caught up with what was acknowledged since it was
-// started. Until then it may know less than it did before.
+// Current reports whether this replica has caught up with everything acknowledged since it was
+// started. Until then its state may be older than it was before the restart.
 func (r *Replica) Current() bool {
 	select {
-	case <-r.caught:
+	case <-r.caughtUp:
 		return true
 	default:
 		return false
 	}
 }
 
-// Settled is closed once Current.
-func (r *Replica) Settled() <-chan struct{} { return r.caught }
+// Settled returns a channel that is closed once Current reports true.
+func (r *Replica) Settled() <-chan struct{} { return r.caughtUp }
 
-// IsLeader tells whether this replica takes writes.
+// IsLeader reports whether this replica takes writes.
 func (r *Replica) IsLeader() bool { return r.raft.State() == raft.Leader }
 
-// apply puts a command through the log, and returns what it has led to. ErrNotLeader
-// means that it was not taken and may be given to another replica; ErrUnknown that it may be
-// applied still, so that giving it again could apply it twice.
+// apply replicates a command and returns its result. ErrNotLeader means that it was not accepted
+// and may be sent to another replica; ErrUnknown means that it may still be applied, so that
+// sending it again could apply it twice.
 func (r *Replica) apply(c command) (*Result, error) {
 	c.TimeMs = time.Now().UnixMilli()
-	return r.lead(c)
+	return r.applyAsLeader(c)
 }
 
-func (r *Replica) done(c command) error { return errOf(r.apply(c)) }
+func (r *Replica) do(c command) error { return resultError(r.apply(c)) }
 
-// Create makes a node. With a session it is ephemeral: it goes with the session.
+// Create creates a node. With a session the node is ephemeral: it is removed with the session.
 func (r *Replica) Create(path string, data []byte, session string) error {
-	return r.done(command{Op: opCreate, Path: path, Data: data, Session: session})
+	return r.do(command{Op: opCreate, Path: path, Data: data, Session: session})
 }
 
 // Set replaces a node's data if its version matches.
 func (r *Replica) Set(path string, data []byte, version int64) error {
-	return r.done(command{Op: opSet, Path: path, Data: data, Version: version})
+	return r.do(command{Op: opSet, Path: path, Data: data, Version: version})
 }
 
 // Delete removes a node without children if its version matches.
 func (r *Replica) Delete(path string, version int64) error {
-	return r.done(command{Op: opRemove, Path: path, Version: version})
+	return r.do(command{Op: opRemove, Path: path, Version: version})
 }
 
-// NewSession starts a session that ends unless it is touched within the time-out.
+// NewSession starts a session that expires unless it is touched within the time-out.
 func (r *Replica) NewSession(timeout time.Duration) (string, error) {
 	c, err := newSession(timeout)
 	if err != nil {
 		return "", err
 	}
-	return c.Session, r.done(c)
+	return c.Session, r.do(c)
 }
 
-// newSession is the command that starts a session under a name that nobody else has.
+// newSession returns the command that starts a session with a new random ID.
 func newSession(timeout time.Duration) (command, error) {
 	if timeout <= 0 {
 		return command{}, fmt.Errorf("session time-out %v is not positive", timeout)
@@ -306,16 +313,16 @@
 	return command{Op: opSession, Session: hex.EncodeToString(id[:]), Timeout: timeout}, nil
 }
 
-// EndSession ends a session at its owner's wish.
+// EndSession ends a session on request of its owner.
 func (r *Replica) EndSession(id string) error {
-	return r.done(command{Op: opEndSession, Session: id})
+	return r.do(command{Op: opEndSession, Session: id})
 }
 
-// Get reads a node as this replica knows it, which may be older than what others have. Before
-// it has caught up since its start it is ErrBehind.
+// Get reads a node from this replica's state, which may lag behind other replicas. It returns
+// ErrLagging until the replica has caught up since its start.
 func (r *Replica) Get(path string) ([]byte, Stat, error) {
 	if !r.Current() {
-		return nil, Stat{}, ErrBehind
+		return nil, Stat{}, ErrLagging
 	}
 	r.machine.mu.RLock()
 	defer r.machine.mu.RUnlock()
@@ -326,10 +333,10 @@
 	return n.Data, n.Stat, nil
 }
 
-// Children returns the names below a node in order, as Get does.
+// Children returns the names below a node in order, under the same conditions as Get.
 func (r *Replica) Children(path string) ([]string, error) {
 	if !r.Current() {
-		return nil, ErrBehind
+		return nil, ErrLagging
 	}
 	r.machine.mu.RLock()
 	defer r.machine.mu.RUnlock()
@@ -339,8 +346,8 @@
 	return r.machine.tree.children(path), nil
 }
 
-// Watch tells of the next time that a node comes, goes, or changes its data or
-// its list of children. Set before a read, it misses nothing after it.
+// Watch returns a watch that fires the next time that the node is created or removed, or that its
+// data or its list of children change. A watch registered before a read misses no change after it.
 func (r *Replica) Watch(path string) (*Watch, error) {
 	if err := checkPath(path); err != nil {
 		return nil, err
--- a/store/replication_test.go
+++ b/store/replication_test.go
@@ -16,24 +16,26 @@
 )
 
 const (
-	refusals     = 30                    // of entries by the stand-in; what the leader has under way at each is chance
-	refusalDelay = 10 * time.Millisecond // until the stand-in refuses: more is written meanwhile
-	writers      = 8                     // at once
+	// refusals is the number of times that the stand-in refuses entries. How many messages the
+	// leader has in flight at each refusal is random.
+	refusals     = 30
+	refusalDelay = 10 * time.Millisecond // pause before a refusal, while more is written
+	writers      = 8                     // concurrent
 )
 
-// refusingPeer stands in for a replica whose disk takes no writes now and then: it votes for whoever asks, answers
-// heartbeats, and refuses a message of entries each time that it has been told to.
+// refusingPeer stands in for a replica with a disk that fails at times: it grants every vote,
+// answers heartbeats, and refuses a message of entries each time that refuse is set.
 type refusingPeer struct {
 	transport *raft.NetworkTransport
-	refuse    atomic.Bool   // the next entries
-	refused   atomic.Int64  // messages
-	last      atomic.Uint64 // entry that it has taken
+	refuse    atomic.Bool   // refuse the next entries
+	refused   atomic.Int64  // number of refused messages
+	last      atomic.Uint64 // the last entry accepted
 }
 
 func startRefusingPeer(t *testing.T, address string) *refusingPeer {
 	advertised, err := net.ResolveTCPAddr("tcp", address)
 	require.NoError(t, err)
-	transport, err := raft.NewTCPTransport(address, advertised, raftConns, raftWait, io.Discard)
+	transport, err := raft.NewTCPTransport(address, advertised, raftMaxConns, raftTimeout, io.Discard)
 	require.NoError(t, err)
 	p := &refusingPeer{transport: transport}
 	stop := make(chan struct{})
@@ -64,13 +66,13 @@
 	case *raft.RequestVoteRequest:
 		rpc.Respond(&raft.RequestVoteResponse{RPCHeader: c.RPCHeader, Term: c.Term, Granted: true}, nil)
 	case *raft.AppendEntriesRequest:
-		rpc.Respond(p.take(c), nil)
+		rpc.Respond(p.appendEntries(c), nil)
 	default:
 		rpc.Respond(nil, fmt.Errorf("unexpected %T", c))
 	}
 }
 
-func (p *refusingPeer) take(c *raft.AppendEntriesRequest) *raft.AppendEntriesResponse {
+func (p *refusingPeer) appendEntries(c *raft.AppendEntriesRequest) *raft.AppendEntriesResponse {
 	answer := &raft.AppendEntriesResponse{RPCHeader: c.RPCHeader, Term: c.Term}
 	switch {
 	case c.PrevLogEntry == 0 && len(c.Entries) == 0: // a heartbeat
@@ -89,8 +91,9 @@
 	return answer
 }
 
-// A replica that refuses entries while more are sent to it goes on getting them, and the leader can be closed.
-func TestAReplicaThatRefusesEntriesHoldsNoLeader(t *testing.T) {
+// A replica that refuses entries while more are in flight still receives the following ones, and
+// the leader can be closed.
+func TestLeaderClosesDespitePeerThatRefusesEntries(t *testing.T) {
 	c := newCluster(t)
 	require.NoError(t, c.create("/n", "0", ""))
 	refusing := (c.leader() + 1) % len(c.replicas)
@@ -129,7 +132,7 @@
 	}()
 	select {
 	case <-closed:
-	case <-time.After(patient):
+	case <-time.After(waitLimit):
 		t.Fatal("the leader did not close")
 	}
 }
--- a/store/sessions.go
+++ b/store/sessions.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// sessions holds when each session was last heard of. Only the leader keeps it:
-// a new one gives every session its whole time-out again.
+// sessions holds the time of the last touch of each session. Only the leader keeps it: a new leader
+// grants every session its full time-out again.
 type sessions struct {
-	mu   sync.Mutex
-	seen map[string]time.Time
+	mu        sync.Mutex
+	lastTouch map[string]time.Time
 }
 
-// lookShare of the shortest time-out is how often the leader looks for lost sessions.
+// The leader checks for expired sessions checksPerTimeout times within the shortest time-out, at an
+// interval between minCheckInterval and maxCheckInterval.
 const (
-	lookShare = 4
-	lookMost  = time.Second
-	lookLeast = 10 * time.Millisecond
+	checksPerTimeout = 4
+	maxCheckInterval = time.Second
+	minCheckInterval = 10 * time.Millisecond
 )
 
-// Touch says that a session's owner is alive.
+// Touch renews a session: its owner is alive.
 func (r *Replica) Touch(id string) error {
 	if !r.IsLeader() {
 		return ErrNotLeader
@@ -35,16 +36,16 @@
 	}
 	r.sessions.mu.Lock()
 	defer r.sessions.mu.Unlock()
-	if r.sessions.seen != nil {
-		r.sessions.seen[id] = time.Now()
+	if r.sessions.lastTouch != nil {
+		r.sessions.lastTouch[id] = time.Now()
 	}
 	return nil
 }
 
-// watchSessions ends the sessions whose owners are silent, while this is the leader.
-func (r *Replica) watchSessions(ctx context.Context) {
+// expireSessions ends expired sessions while this replica is the leader.
+func (r *Replica) expireSessions(ctx context.Context) {
 	defer close(r.stopped)
-	next := lookLeast
+	next := minCheckInterval
 	for {
 		select {
 		case <-time.After(next):
@@ -53,44 +54,44 @@
 		}
 		if !r.IsLeader() {
 			r.sessions.mu.Lock()
-			r.sessions.seen = nil
+			r.sessions.lastTouch = nil
 			r.sessions.mu.Unlock()
 			continue
 		}
-		var lost []string
-		lost, next = r.lostSessions(time.Now())
-		for _, id := range lost {
+		var expired []string
+		expired, next = r.expiredSessions(time.Now())
+		for _, id := range expired {
 			if err := r.EndSession(id); err != nil && !errors.Is(err, ErrNoSession) {
-				break // no longer the leader: the next one sees to it
+				break // no longer the leader: the next leader expires the others
 			}
 		}
 	}
 }
 
-// lostSessions returns those past their time-out, and when to look again.
-func (r *Replica) lostSessions(now time.Time) (lost []string, next time.Duration) {
+// expiredSessions returns the sessions past their time-out, and the delay until the next check.
+func (r *Replica) expiredSessions(now time.Time) (expired []string, next time.Duration) {
 	r.machine.mu.RLock()
 	defer r.machine.mu.RUnlock()
 	r.sessions.mu.Lock()
 	defer r.sessions.mu.Unlock()
-	if r.sessions.seen == nil {
-		r.sessions.seen = map[string]time.Time{}
+	if r.sessions.lastTouch == nil {
+		r.sessions.lastTouch = map[string]time.Time{}
 	}
-	next = lookMost
+	next = maxCheckInterval
 	for id, timeout := range r.machine.tree.Sessions {
-		seen, ok := r.sessions.seen[id]
+		touched, ok := r.sessions.lastTouch[id]
 		switch {
 		case !ok:
-			r.sessions.seen[id] = now
-		case now.Sub(seen) > timeout:
-			lost = append(lost, id)
+			r.sessions.lastTouch[id] = now
+		case now.Sub(touched) > timeout:
+			expired = append(expired, id)
 		}
-		next = min(next, timeout/lookShare)
+		next = min(next, timeout/checksPerTimeout)
 	}
-	for id := range r.sessions.seen {
+	for id := range r.sessions.lastTouch {
 		if _, ok := r.machine.tree.Sessions[id]; !ok {
-			delete(r.sessions.seen, id)
+			delete(r.sessions.lastTouch, id)
 		}
 	}
-	return lost, max(next, lookLeast)
+	return expired, max(next, minCheckInterval)
 }
--- a/store/steps.go
+++ b/store/steps.go
@@ -6,62 +6,61 @@
 	"path"
 )
 
-// StepOp is what a Step does.
+// StepOp is the operation of a Step.
 type StepOp string
 
-// The operations of a Step.
+// Operations of a Step.
 const (
 	StepCreate StepOp = "create"
 	StepSet    StepOp = "set"
 	StepRemove StepOp = "remove"
-	StepCheck  StepOp = "check" // that the node has the version
+	StepCheck  StepOp = "check" // checks that the node has the version
 )
 
-// Step is one operation of several that are applied together or not at all.
+// Step is one of several operations that are applied atomically.
 type Step struct {
 	Op        StepOp `json:"op"`
 	Path      string `json:"path"`
 	Data      []byte `json:"data,omitempty"`
-	Version   int64  `json:"version,omitempty"` // AnyVersion matches all
+	Version   int64  `json:"version,omitempty"` // AnyVersion matches every version
 	Ephemeral bool   `json:"ephemeral,omitempty"`
-	// Sequence adds to the name the parent's count of changes to its children, in
-	// ten digits.
+	// Sequence appends to the name the parent's count of changes to its children, in ten digits.
 	Sequence bool `json:"sequence,omitempty"`
 }
 
-// StepResult is what a Step has led to.
+// StepResult is the result of a Step.
 type StepResult struct {
-	Path     string `json:"path"` // that was made, with its number
+	Path     string `json:"path"` // of the node, with its sequence number
 	Stat     Stat   `json:"stat"`
-	Children int    `json:"children,omitempty"` // of the node
+	Children int    `json:"children,omitempty"` // number of children of the node
 }
 
-// Result is what several steps have led to. Either all have been applied and have
-// a result, or Failed is the one that could not be and Err says why.
+// Result is the result of a command. Either all steps were applied and have results, or Failed is
+// the index of the step that could not be applied and Err is its error.
 type Result struct {
 	Index   uint64       `json:"index"` // of the operation in the log
 	Results []StepResult `json:"results,omitempty"`
 	Failed  int          `json:"failed"` // -1: none
 	Err     error        `json:"-"`
-	// Session is the one that was made.
+	// Session is the session that was created.
 	Session string `json:"session,omitempty"`
-	// Revision is the version that a text was published as.
+	// Revision is the version under which a text was published.
 	Revision *Revision `json:"revision,omitempty"`
 }
 
-// attach has a connection speak for a session from now on.
+// attach makes a connection the holder of a session.
 func (t *tree) attach(session string, c *claim) error {
-	was, ok := t.Claims[session]
-	if _, lives := t.Sessions[session]; !ok || !lives || c == nil || !bytes.Equal(was.Password, c.Password) {
+	stored, ok := t.Claims[session]
+	if _, lives := t.Sessions[session]; !ok || !lives || c == nil || !bytes.Equal(stored.Password, c.Password) {
 		return fmt.Errorf("%w: %s", ErrNoSession, session)
 	}
 	t.Claims[session] = *c
-	t.changed(Change{Kind: SessionMoved, Session: session, Holder: c.Holder})
+	t.onChange(Change{Kind: SessionMoved, Session: session, Holder: c.Holder})
 	return nil
 }
 
-// steps applies several steps for a session.
-func (m *machine) steps(index uint64, c *command) *Result {
+// steps applies the steps of a session.
+func (m *fsm) steps(index uint64, c *command) *Result {
 	t := m.tree
 	r := &Result{Index: index, Failed: -1}
 	if _, ok := t.Sessions[c.Session]; !ok {
@@ -72,12 +71,12 @@
 		r.Failed, r.Err = 0, fmt.Errorf("%w: %s", ErrMoved, c.Session)
 		return r
 	}
-	undo := undoing{tree: t, changes: len(m.changes)}
+	undo := undoLog{tree: t, changes: len(m.changes)}
 	for i := range c.Steps {
 		s := &c.Steps[i]
 		p, err := undo.apply(index, s, c.Session)
 		if err != nil {
-			undo.back()
+			undo.rollBack()
 			m.changes = m.changes[:undo.changes]
 			r.Results, r.Failed, r.Err = nil, i, err
 			return r
@@ -85,8 +84,8 @@
 		result := StepResult{Path: p}
 		if n := t.Nodes[p]; n != nil {
 			result.Stat = n.Stat
-			if kids := t.kids[p]; kids != nil {
-				result.Children = kids.Len()
+			if childSet := t.childNames[p]; childSet != nil {
+				result.Children = childSet.Len()
 			}
 		}
 		r.Results = append(r.Results, result)
@@ -94,29 +93,29 @@
 	return r
 }
 
-// undoing remembers what steps found, to go back there.
-type undoing struct {
+// undoLog records the nodes that steps change, to roll them back.
+type undoLog struct {
 	tree    *tree
-	found   []found
+	saved   []savedNode
 	changes int
 }
 
-// found is a node as it was; nil if there was none.
-type found struct {
+// savedNode is a copy of a node before a step; its node is nil if the path did not exist.
+type savedNode struct {
 	path string
 	node *node
 }
 
-func (u *undoing) keep(p string) {
-	f := found{path: p}
+func (u *undoLog) save(p string) {
+	f := savedNode{path: p}
 	if n := u.tree.Nodes[p]; n != nil {
-		copied := *n // data are replaced, never written to
+		copied := *n // a shallow copy is enough: data are replaced, never modified
 		f.node = &copied
 	}
-	u.found = append(u.found, f)
+	u.saved = append(u.saved, f)
 }
 
-func (u *undoing) apply(index uint64, s *Step, session string) (string, error) {
+func (u *undoLog) apply(index uint64, s *Step, session string) (string, error) {
 	t, p := u.tree, s.Path
 	if s.Op == StepCreate && s.Sequence {
 		if n := t.Nodes[path.Dir(p+"x")]; n != nil {
@@ -124,8 +123,8 @@
 		}
 	}
 	if s.Op != StepCheck && checkPath(p) == nil {
-		u.keep(p)
-		u.keep(path.Dir(p))
+		u.save(p)
+		u.save(path.Dir(p))
 	}
 	switch s.Op {
 	case StepCreate:
@@ -139,17 +138,17 @@
 	case StepRemove:
 		return p, t.remove(index, p, s.Version)
 	case StepCheck:
-		_, err := t.at(p, s.Version)
+		_, err := t.findAtVersion(p, s.Version)
 		return p, err
 	}
 	return p, fmt.Errorf("%w: step %q", errInput, s.Op)
 }
 
-// back undoes the steps, the last one first.
-func (u *undoing) back() {
+// rollBack undoes the steps in reverse order.
+func (u *undoLog) rollBack() {
 	t := u.tree
-	for i := len(u.found) - 1; i >= 0; i-- {
-		f := u.found[i]
+	for i := len(u.saved) - 1; i >= 0; i-- {
+		f := u.saved[i]
 		switch n := t.Nodes[f.path]; {
 		case n == nil && f.node != nil:
 			t.Nodes[f.path] = f.node
@@ -163,47 +162,47 @@
 	}
 }
 
-// View is the state between two operations of the log.
+// View is a read-only view of the state between two operations of the log.
 type View struct{ tree *tree }
 
-// Index is the latest operation that has been applied.
+// Index returns the latest operation applied.
 func (v View) Index() uint64 { return v.tree.Index }
 
-// Node is a node's data and the number of its children.
+// Node returns the data of a node and its number of children.
 func (v View) Node(p string) (data []byte, stat Stat, children int, err error) {
 	n, err := v.tree.find(p)
 	if err != nil {
 		return nil, Stat{}, 0, err
 	}
-	if kids := v.tree.kids[p]; kids != nil {
-		children = kids.Len()
+	if childSet := v.tree.childNames[p]; childSet != nil {
+		children = childSet.Len()
 	}
 	return n.Data, n.Stat, children, nil
 }
 
-// Children are the names below a node, in order.
+// Children returns the names below a node, in order.
 func (v View) Children(p string) []string { return v.tree.children(p) }
 
-// Holder is who speaks for a session; false if there is no such session.
+// Holder returns the holder of a session, and false if there is no such session.
 func (v View) Holder(session string) (string, bool) {
 	_, ok := v.tree.Sessions[session]
 	return v.tree.Claims[session].Holder, ok
 }
 
-// Sessions is how many sessions there are.
+// Sessions returns the number of sessions.
 func (v View) Sessions() int { return len(v.tree.Sessions) }
 
-// View runs f on the state of this replica, which does not change meanwhile. What
-// f calls must not wait, and must not call the replica.
+// View runs f on the state of this replica, which does not change meanwhile. f must not block and
+// must not call the replica.
 func (r *Replica) View(f func(View)) {
 	r.machine.mu.RLock()
 	defer r.machine.mu.RUnlock()
 	f(View{r.machine.tree})
 }
 
-// Observe has f told of every change from now on, in order and with the state
-// locked: what f calls must not wait, and must not call the replica. There is one
-// observer at most; nil ends it.
+// Observe registers f to receive every change from now on, in order and with the state locked: f
+// must not block and must not call the replica. A new observer replaces the previous one; nil
+// removes it.
 func (r *Replica) Observe(f func(index uint64, changes []Change)) {
 	r.machine.mu.Lock()
 	defer r.machine.mu.Unlock()
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	pace    = 250 * time.Millisecond
-	patient = 20 * time.Second
-	soon    = 5 * time.Millisecond
+	testPace     = 250 * time.Millisecond
+	waitLimit    = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// cluster is three replicas on loopback addresses.
+// cluster is a cluster of three replicas on loopback addresses.
 type cluster struct {
 	t        testing.TB
 	cfg      []Config
@@ -27,14 +27,15 @@
 	apis     []*API
 }
 
-var hosts atomic.Int32
+var lastHost atomic.Int32
 
 func newCluster(t testing.TB) *cluster {
 	c := &cluster{t: t, replicas: make([]*Replica, 3), apis: make([]*API, 3)}
 	var peers []Peer
 	for i := range c.replicas {
-		// Addresses of their own: they are closed until the replica starts, and connections take free ports of 127.0.0.1 meanwhile.
-		n := hosts.Add(1)
+		// Each replica has an address of its own: the ports are closed until the replica starts,
+		// and a connection could take a free port of 127.0.0.1 meanwhile.
+		n := lastHost.Add(1)
 		host := fmt.Sprintf("127.79.%d.%d:0", n/250, 1+n%250)
 		l, err := net.Listen("tcp4", host)
 		require.NoError(t, err)
@@ -46,7 +47,7 @@
 	}
 	dir := t.TempDir()
 	for i, p := range peers {
-		c.cfg = append(c.cfg, Config{ID: p.ID, DataDir: filepath.Join(dir, p.ID), Peers: peers, Pace: pace})
+		c.cfg = append(c.cfg, Config{ID: p.ID, DataDir: filepath.Join(dir, p.ID), Peers: peers, Pace: testPace})
 		c.open(i)
 	}
 	t.Cleanup(func() {
@@ -76,7 +77,7 @@
 	}
 }
 
-// checks let any text of this name be published that is not bad.
+// checks accepts any text for the configuration c except "bad".
 var checks = Checks{"c": func(text []byte) error {
 	if string(text) == "bad" {
 		return errors.New("key x: it is bad")
@@ -84,7 +85,7 @@
 	return nil
 }}
 
-// leader waits for the replica that takes writes.
+// leader waits until a replica is the leader.
 func (c *cluster) leader() (found int) {
 	c.eventually(func() bool {
 		for i, r := range c.replicas {
@@ -98,7 +99,7 @@
 	return found
 }
 
-// do lets the leader do something; if it loses the lead meanwhile, the next one.
+// do runs f on the leader, and again on the next leader if leadership changes meanwhile.
 func (c *cluster) do(f func(l *Replica) error) (err error) {
 	c.eventually(func() bool {
 		err = f(c.replicas[c.leader()])
@@ -123,10 +124,10 @@
 	return id
 }
 
-func (c *cluster) eventually(f func() bool) { require.Eventually(c.t, f, patient, soon) }
+func (c *cluster) eventually(f func() bool) { require.Eventually(c.t, f, waitLimit, pollInterval) }
 
-// everywhere waits until all replicas that run hold the data; nil: no node.
-func (c *cluster) everywhere(path string, data []byte) {
+// eventuallyEverywhere waits until all running replicas have the data at a path; nil means no node.
+func (c *cluster) eventuallyEverywhere(path string, data []byte) {
 	c.eventually(func() bool {
 		for _, r := range c.replicas {
 			if r == nil {
@@ -148,16 +149,16 @@
 	require.ErrorIs(t, c.create("/none/below", "", ""), ErrNoNode)
 	require.ErrorIs(t, c.create("/config/", "", ""), ErrBadPath)
 	require.NoError(t, c.set("/config", "b", 0))
-	require.ErrorIs(t, c.set("/config", "c", 0), ErrBadVersion, "a version can be set from once")
+	require.ErrorIs(t, c.set("/config", "c", 0), ErrBadVersion, "only one write succeeds from each version")
 	require.NoError(t, c.create("/config/x", "x", ""))
 	require.ErrorIs(t, c.do(func(l *Replica) error { return l.Delete("/config", AnyVersion) }), ErrNotEmpty)
-	c.everywhere("/config", []byte("b"))
-	c.everywhere("/config/x", []byte("x"))
-	at := c.leader()
-	require.ErrorIs(t, c.replicas[(at+1)%3].Set("/config", nil, AnyVersion), ErrNotLeader)
+	c.eventuallyEverywhere("/config", []byte("b"))
+	c.eventuallyEverywhere("/config/x", []byte("x"))
+	leaderIndex := c.leader()
+	require.ErrorIs(t, c.replicas[(leaderIndex+1)%3].Set("/config", nil, AnyVersion), ErrNotLeader)
 }
 
-func TestWatchTellsOnceOfAChange(t *testing.T) {
+func TestWatchFiresOncePerChange(t *testing.T) {
 	c := newCluster(t)
 	follower := c.replicas[(c.leader()+1)%3]
 	w, err := follower.Watch("/later")
@@ -167,12 +168,12 @@
 	require.NoError(t, c.create("/later", "", ""))
 	select {
 	case <-w.Changed():
-	case <-time.After(patient):
-		t.Fatal("the watch did not tell of the node's coming")
+	case <-time.After(waitLimit):
+		t.Fatal("the watch did not fire when the node was created")
 	}
 	select {
 	case <-other.Changed():
-		t.Fatal("a watch told of another path")
+		t.Fatal("a watch fired for another path")
 	default:
 	}
 	require.NoError(t, follower.CatchUp(t.Context()))
@@ -182,41 +183,41 @@
 	require.Equal(t, []string{"later"}, names)
 }
 
-func TestLeaderLost(t *testing.T) {
+func TestSessionsAndDataSurviveLeaderLoss(t *testing.T) {
 	c := newCluster(t)
 	id := c.session(time.Hour)
 	require.NoError(t, c.create("/kept", "1", id))
-	at := c.leader()
-	c.close(at)
-	require.NotEqual(t, at, c.leader())
-	// The session outlives its leader, and its owner goes on with the next one.
+	oldLeader := c.leader()
+	c.close(oldLeader)
+	require.NotEqual(t, oldLeader, c.leader())
+	// The session outlives the leader, and its owner continues with the next one.
 	require.NoError(t, c.do(func(l *Replica) error { return l.Touch(id) }))
 	require.NoError(t, c.set("/kept", "2", 0))
-	c.everywhere("/kept", []byte("2"))
-	c.open(at)
-	c.everywhere("/kept", []byte("2"))
+	c.eventuallyEverywhere("/kept", []byte("2"))
+	c.open(oldLeader)
+	c.eventuallyEverywhere("/kept", []byte("2"))
 }
 
-func TestLostSessionTakesItsNodesAlong(t *testing.T) {
+func TestExpiredSessionRemovesItsNodes(t *testing.T) {
 	c := newCluster(t)
 	require.NoError(t, c.create("/b", "b", ""))
 	kept := c.session(time.Hour)
 	require.NoError(t, c.create("/b/kept", "y", kept))
 	require.ErrorIs(t, c.create("/b/kept/below", "", ""), ErrEphemeral)
-	lost := c.session(8 * pace)
+	lost := c.session(8 * testPace)
 	require.NoError(t, c.create("/b/lost", "x", lost))
-	c.everywhere("/b/lost", nil) // its owner says nothing more
-	c.everywhere("/b/kept", []byte("y"))
+	c.eventuallyEverywhere("/b/lost", nil) // its owner no longer touches it
+	c.eventuallyEverywhere("/b/kept", []byte("y"))
 	require.ErrorIs(t, c.do(func(l *Replica) error { return l.Touch(lost) }), ErrNoSession)
 	require.ErrorIs(t, c.create("/b/again", "", lost), ErrNoSession)
 	require.NoError(t, c.do(func(l *Replica) error { return l.EndSession(kept) }))
-	c.everywhere("/b/kept", nil)
+	c.eventuallyEverywhere("/b/kept", nil)
 }
 
 func TestRestartKeepsData(t *testing.T) {
 	c := newCluster(t)
 	require.NoError(t, c.create("/config", "kept", ""))
-	c.everywhere("/config", []byte("kept"))
+	c.eventuallyEverywhere("/config", []byte("kept"))
 	for _, r := range c.replicas {
 		require.NoError(t, r.raft.Snapshot().Error())
 	}
@@ -228,5 +229,5 @@
 		c.open(i)
 	}
 	c.leader()
-	c.everywhere("/config", []byte("later"))
+	c.eventuallyEverywhere("/config", []byte("later"))
 }
--- a/store/transport.go
+++ b/store/transport.go
@@ -8,23 +8,25 @@
 	"github.com/hashicorp/raft"
 )
 
-// errNoVote is the answer to who asks a replica without a vote to lead, or to have itself elected.
+// errNoVote is returned to peers that ask a replica without a vote to become leader, and for its
+// own elections.
 var errNoVote = errors.New("this replica may have lost what it had acknowledged, and has no vote before it has caught up")
 
-// errDiskStalled is why a leader sends nothing.
-var errDiskStalled = errors.New("the disk does not answer, and another replica may lead")
+// errDiskStalled is returned for messages that a leader with a stalled disk must not send.
+var errDiskStalled = errors.New("the disk does not respond, another replica may become leader")
 
-// transport is raft's transport, but for what this replica must not do now. While it has no vote it grants none, and asks for
-// none. While its disk does not answer it sends no entries and no heartbeats: raft's heartbeats go on beside a write that hangs, and
-// would keep the others from electing a leader that can write.
+// transport is raft's transport with two restrictions. While this replica has no vote, it neither
+// grants nor requests votes. While its disk does not respond, it sends neither entries nor
+// heartbeats: raft's heartbeats continue during a hanging write, and would keep the other replicas
+// from electing a leader that can write.
 type transport struct {
 	*raft.NetworkTransport
 	recovery   *recovery
 	disk       *disk
-	stallLimit time.Duration // of the disk
+	stallLimit time.Duration // maximum duration of a disk stall
 	rpcs       chan raft.RPC
 	closing    chan struct{}
-	once       sync.Once
+	closeOnce  sync.Once
 }
 
 func newTransport(network *raft.NetworkTransport, r *recovery, d *disk, stallLimit time.Duration) *transport {
@@ -36,18 +38,19 @@
 // Consumer implements raft.Transport.
 func (t *transport) Consumer() <-chan raft.RPC { return t.rpcs }
 
-// Close implements raft.WithClose. It may be called again: raft closes its transport at its shutdown.
+// Close implements raft.WithClose. It may be called repeatedly: raft closes its transport at
+// shutdown as well.
 func (t *transport) Close() error {
-	t.once.Do(func() { close(t.closing) })
+	t.closeOnce.Do(func() { close(t.closing) })
 	return t.NetworkTransport.Close()
 }
 
-// filter hands on what comes, but for elections while the replica has no vote.
+// filter forwards incoming calls, except for those of elections while the replica has no vote.
 func (t *transport) filter() {
 	for {
 		select {
 		case rpc := <-t.NetworkTransport.Consumer():
-			if t.recovery.active.Load() && refuse(rpc) {
+			if t.recovery.active.Load() && refuseElection(rpc) {
 				continue
 			}
 			select {
@@ -61,8 +64,8 @@
 	}
 }
 
-// refuse answers what has to do with elections. It tells whether the call was one of those.
-func refuse(rpc raft.RPC) bool {
+// refuseElection refuses a call that belongs to an election. It reports whether the call was one.
+func refuseElection(rpc raft.RPC) bool {
 	switch c := rpc.Command.(type) {
 	case *raft.RequestVoteRequest:
 		rpc.Respond(&raft.RequestVoteResponse{RPCHeader: raft.RPCHeader{ProtocolVersion: c.ProtocolVersion}, Term: c.Term}, nil)
@@ -94,7 +97,7 @@
 
 // AppendEntries implements raft.Transport.
 func (t *transport) AppendEntries(id raft.ServerID, target raft.ServerAddress, args *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) error {
-	if t.disk.writes.stalled(time.Now()) > t.stallLimit {
+	if t.disk.writes.stalledFor(time.Now()) > t.stallLimit {
 		return errDiskStalled
 	}
 	return t.NetworkTransport.AppendEntries(id, target, args, resp)
--- a/store/tree.go
+++ b/store/tree.go
@@ -1,6 +1,5 @@
-// Package store is a small replicated store with ZooKeeper's semantics: paths
-// with versioned data, sessions with time-outs, ephemeral nodes and one-time
-// watches, agreed on by hashicorp/raft.
+// Package store is a small replicated store with ZooKeeper's semantics: paths with versioned data,
+// sessions with time-outs, ephemeral nodes and one-time watches. Replication uses hashicorp/raft.
 package store
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/google/btree"
 )
 
-// The faults of operations.
+// Errors of operations.
 var (
 	ErrNoNode     = errors.New("no such node")
 	ErrNodeExists = errors.New("node exists")
@@ -30,14 +29,14 @@
 // AnyVersion matches every version.
 const AnyVersion = -1
 
-// Stat tells about a node.
+// Stat describes a node.
 type Stat struct {
-	Version   int64  `json:"version"`  // of its data, from 0
-	Children  int64  `json:"children"` // version of its list of children
-	Created   uint64 `json:"created"`  // number of the operation that made it
-	Modified  uint64 `json:"modified"` // and of the latest that set its data
+	Version   int64  `json:"version"`  // of the data, from 0
+	Children  int64  `json:"children"` // version of the list of children
+	Created   uint64 `json:"created"`  // operation that created the node
+	Modified  uint64 `json:"modified"` // latest operation that set its data
 	Ephemeral string `json:"ephemeral,omitempty"`
-	// ChildrenOp is the latest operation that made or removed a child.
+	// ChildrenOp is the latest operation that created or removed a child.
 	ChildrenOp uint64 `json:"children_op,omitempty"`
 	CreatedMs  int64  `json:"created_ms,omitempty"` // Unix milliseconds, by the proposer's clock
 	ModifiedMs int64  `json:"modified_ms,omitempty"`
@@ -52,43 +51,43 @@
 // tree is the replicated state. It is not safe for concurrent use.
 type tree struct {
 	Nodes    map[string]*node         `json:"nodes"`
-	Sessions map[string]time.Duration `json:"sessions"` // their time-outs
-	// Claims are what sessions of the ZooKeeper front have beside a time-out.
+	Sessions map[string]time.Duration `json:"sessions"` // time-outs by session
+	// Claims holds the owners of the sessions that the ZooKeeper front opened.
 	Claims map[string]claim `json:"claims,omitempty"`
-	Index  uint64           `json:"index"` // the latest operation that was applied
-	// Published are the versions of each configuration that are kept, the oldest first.
+	Index  uint64           `json:"index"` // latest operation applied
+	// Published holds the retained versions of each configuration, oldest first.
 	Published map[string][]Revision `json:"published,omitempty"`
-	// Answers are those to the latest named writes.
+	// Answers holds the answers to the latest named writes.
 	Answers answers `json:"answers"`
 
-	// What follows from the nodes, so that neither a list of children nor the end
-	// of a session has to look at the whole tree; not in snapshots.
-	kids  map[string]*btree.BTreeG[string] // names below a node, in order
-	owned map[string]map[string]struct{}   // paths of a session's ephemeral nodes
+	// Indexes derived from the nodes, so that listing children and ending a session need not scan
+	// the whole tree; not part of snapshots.
+	childNames map[string]*btree.BTreeG[string] // names below a node, in order
+	ephemerals map[string]map[string]struct{}   // paths of a session's ephemeral nodes
 
-	now     int64 // of the operation that is being applied, in Unix milliseconds
-	changed func(Change)
+	nowMs    int64 // time of the operation being applied, in Unix milliseconds
+	onChange func(Change)
 }
 
-// claim says who may speak for a session: who knows the password, and of these
-// the connection that came last.
+// claim is the ownership of a session: the password that a connection needs to take it over, and
+// the connection that did so last.
 type claim struct {
 	Password []byte `json:"password"`
 	Holder   string `json:"holder"`
 }
 
-// Change is one thing that an operation has changed.
+// Change is a single change made by an operation.
 type Change struct {
 	Kind    ChangeKind
-	Path    string // of the node, but for the last three kinds
+	Path    string // of the node; not with SessionEnded, SessionMoved and StateReplaced
 	Session string // with SessionEnded and SessionMoved
-	Holder  string // with SessionMoved: who speaks for it now
+	Holder  string // with SessionMoved: the new holder
 }
 
-// ChangeKind tells what has changed.
+// ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
-// The kinds of change.
+// Kinds of changes.
 const (
 	NodeCreated ChangeKind = iota
 	NodeDeleted
@@ -99,57 +98,57 @@
 	StateReplaced // by a snapshot: anything may have changed
 )
 
-// degree is that of the B-trees of children: small, since most nodes have few.
-const degree = 8
+// childrenDegree is the degree of the B-trees of children: small, since most nodes have few.
+const childrenDegree = 8
 
 func newTree() *tree {
-	t := &tree{Nodes: map[string]*node{"/": {}}, Sessions: map[string]time.Duration{}, Claims: map[string]claim{}, Published: map[string][]Revision{}, Answers: newAnswers(), changed: func(Change) {}}
-	t.index()
+	t := &tree{Nodes: map[string]*node{"/": {}}, Sessions: map[string]time.Duration{}, Claims: map[string]claim{}, Published: map[string][]Revision{}, Answers: newAnswers(), onChange: func(Change) {}}
+	t.rebuildIndexes()
 	return t
 }
 
-// index builds anew what follows from the nodes.
-func (t *tree) index() {
-	t.kids, t.owned = map[string]*btree.BTreeG[string]{}, map[string]map[string]struct{}{}
+// rebuildIndexes rebuilds the indexes from the nodes.
+func (t *tree) rebuildIndexes() {
+	t.childNames, t.ephemerals = map[string]*btree.BTreeG[string]{}, map[string]map[string]struct{}{}
 	for p, n := range t.Nodes {
 		if p != "/" {
 			t.link(p, n)
 		}
 	}
-	t.Answers.index()
+	t.Answers.rebuildIndex()
 }
 
-// link enters a node in the indexes.
+// link adds a node to the indexes.
 func (t *tree) link(p string, n *node) {
 	dir, name := path.Split(p)
 	dir = path.Clean(dir)
-	if t.kids[dir] == nil {
-		t.kids[dir] = btree.NewOrderedG[string](degree)
+	if t.childNames[dir] == nil {
+		t.childNames[dir] = btree.NewOrderedG[string](childrenDegree)
 	}
-	t.kids[dir].ReplaceOrInsert(name)
+	t.childNames[dir].ReplaceOrInsert(name)
 	if s := n.Stat.Ephemeral; s != "" {
-		if t.owned[s] == nil {
-			t.owned[s] = map[string]struct{}{}
+		if t.ephemerals[s] == nil {
+			t.ephemerals[s] = map[string]struct{}{}
 		}
-		t.owned[s][p] = struct{}{}
+		t.ephemerals[s][p] = struct{}{}
 	}
 }
 
-// unlink takes a node out of the indexes.
+// unlink removes a node from the indexes.
 func (t *tree) unlink(p string, n *node) {
 	dir, name := path.Split(p)
 	dir = path.Clean(dir)
-	if t.kids[dir].Delete(name); t.kids[dir].Len() == 0 {
-		delete(t.kids, dir)
+	if t.childNames[dir].Delete(name); t.childNames[dir].Len() == 0 {
+		delete(t.childNames, dir)
 	}
 	if s := n.Stat.Ephemeral; s != "" {
-		if delete(t.owned[s], p); len(t.owned[s]) == 0 {
-			delete(t.owned, s)
+		if delete(t.ephemerals[s], p); len(t.ephemerals[s]) == 0 {
+			delete(t.ephemerals, s)
 		}
 	}
 }
 
-// checkPath takes absolute paths in their shortest form only.
+// checkPath accepts only clean absolute paths.
 func checkPath(p string) error {
 	if !strings.HasPrefix(p, "/") || path.Clean(p) != p || strings.ContainsRune(p, 0) {
 		return fmt.Errorf("%w: %q", ErrBadPath, p)
@@ -185,7 +184,7 @@
 	if parent.Stat.Ephemeral != "" {
 		return fmt.Errorf("%w: %s", ErrEphemeral, path.Dir(p))
 	}
-	n := &node{Data: data, Stat: Stat{Created: op, Modified: op, Ephemeral: session, CreatedMs: t.now, ModifiedMs: t.now}}
+	n := &node{Data: data, Stat: Stat{Created: op, Modified: op, Ephemeral: session, CreatedMs: t.nowMs, ModifiedMs: t.nowMs}}
 	t.Nodes[p] = n
 	t.link(p, n)
 	t.childrenChanged(op, p, NodeCreated)
@@ -193,26 +192,26 @@
 }
 
 func (t *tree) set(op uint64, p string, data []byte, version int64) error {
-	n, err := t.at(p, version)
+	n, err := t.findAtVersion(p, version)
 	if err != nil {
 		return err
 	}
 	n.Data = data
 	n.Stat.Version++
-	n.Stat.Modified, n.Stat.ModifiedMs = op, t.now
-	t.changed(Change{Kind: DataChanged, Path: p})
+	n.Stat.Modified, n.Stat.ModifiedMs = op, t.nowMs
+	t.onChange(Change{Kind: DataChanged, Path: p})
 	return nil
 }
 
 func (t *tree) remove(op uint64, p string, version int64) error {
-	n, err := t.at(p, version)
+	n, err := t.findAtVersion(p, version)
 	if err != nil {
 		return err
 	}
 	if p == "/" {
 		return fmt.Errorf("%w: the root stays", ErrBadPath)
 	}
-	if t.kids[p] != nil {
+	if t.childNames[p] != nil {
 		return fmt.Errorf("%w: %s", ErrNotEmpty, p)
 	}
 	delete(t.Nodes, p)
@@ -221,8 +220,8 @@
 	return nil
 }
 
-// at finds a node that must have the version.
-func (t *tree) at(p string, version int64) (*node, error) {
+// findAtVersion finds a node and checks its version.
+func (t *tree) findAtVersion(p string, version int64) (*node, error) {
 	n, err := t.find(p)
 	if err == nil && version != AnyVersion && version != n.Stat.Version {
 		return nil, fmt.Errorf("%w: %s is at %d, not %d", ErrBadVersion, p, n.Stat.Version, version)
@@ -230,24 +229,24 @@
 	return n, err
 }
 
-// childrenChanged notes that p came or went.
+// childrenChanged records in its parent that p was created or removed.
 func (t *tree) childrenChanged(op uint64, p string, kind ChangeKind) {
 	dir := path.Dir(p)
 	parent := t.Nodes[dir]
 	parent.Stat.Children++
 	parent.Stat.ChildrenOp = op
-	t.changed(Change{Kind: kind, Path: p})
-	t.changed(Change{Kind: ChildrenChanged, Path: dir})
+	t.onChange(Change{Kind: kind, Path: p})
+	t.onChange(Change{Kind: ChildrenChanged, Path: dir})
 }
 
 // children returns the names below p, in order.
 func (t *tree) children(p string) []string {
-	kids := t.kids[p]
-	if kids == nil {
+	childSet := t.childNames[p]
+	if childSet == nil {
 		return nil
 	}
-	names := make([]string, 0, kids.Len())
-	kids.Ascend(func(name string) bool {
+	names := make([]string, 0, childSet.Len())
+	childSet.Ascend(func(name string) bool {
 		names = append(names, name)
 		return true
 	})
@@ -261,12 +260,12 @@
 	}
 	delete(t.Sessions, id)
 	delete(t.Claims, id)
-	// In order, so that replicas tell their watches in one.
-	for _, p := range slices.Sorted(maps.Keys(t.owned[id])) {
+	// Sorted, so that all replicas fire their watches in the same order.
+	for _, p := range slices.Sorted(maps.Keys(t.ephemerals[id])) {
 		if err := t.remove(op, p, AnyVersion); err != nil {
 			return fmt.Errorf("end session %s: %w", id, err)
 		}
 	}
-	t.changed(Change{Kind: SessionEnded, Session: id})
+	t.onChange(Change{Kind: SessionEnded, Session: id})
 	return nil
 }
--- a/store/tree_test.go
+++ b/store/tree_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// scan is how children were listed before the index: over the whole tree.
+// scan lists children by a scan of the whole tree.
 func scan(t *tree, p string) []string {
 	var names []string
 	for other := range t.Nodes {
@@ -26,7 +26,7 @@
 	return names
 }
 
-// model is a tree as plain as can be: paths with data, owner and version.
+// model is a simple model of the tree: paths with data, owner and version.
 type model struct {
 	nodes    map[string]plainNode
 	sessions map[string]bool
@@ -46,9 +46,9 @@
 	return n
 }
 
-// The tree does what a plain model does, its indexes are what a scan finds, and a
-// snapshot brings all of it back.
-func TestTreeEqualsAPlainModel(t *testing.T) {
+// The tree behaves as a simple model, its indexes agree with a scan, and a snapshot restores all of
+// it.
+func TestTreeMatchesModel(t *testing.T) {
 	paths := []string{"/a", "/a/x", "/a/y", "/a/x/1", "/b", "/b/x", "/ab", "/a b"}
 	rapid.Check(t, func(rt *rapid.T) {
 		real, m := newTree(), &model{nodes: map[string]plainNode{"/": {}}, sessions: map[string]bool{}}
@@ -98,8 +98,8 @@
 				require.NoError(rt, err)
 				real = newTree()
 				require.NoError(rt, json.Unmarshal(text, real))
-				real.index()
-				real.changed = func(Change) {}
+				real.rebuildIndexes()
+				real.onChange = func(Change) {}
 			}
 			require.Len(rt, real.Nodes, len(m.nodes))
 			owned := 0
@@ -108,10 +108,10 @@
 				require.Equal(rt, scan(real, q), real.children(q))
 				if o.owner != "" {
 					owned++
-					require.Contains(rt, real.owned[o.owner], q)
+					require.Contains(rt, real.ephemerals[o.owner], q)
 				}
 			}
-			for _, list := range real.owned {
+			for _, list := range real.ephemerals {
 				owned -= len(list)
 			}
 			require.Zero(rt, owned)
@@ -119,9 +119,8 @@
 	})
 }
 
-// BenchmarkTree is on a tree of 100,000 nodes, 1,000 below each of 100: listing
-// one parent's children and making and removing a node, with the index and with
-// the scan that it replaces.
+// BenchmarkTree compares the index with a scan on a tree of 100,000 nodes, 1,000 below each of 100
+// parents: listing the children of one parent, and creating and removing a node.
 func BenchmarkTree(b *testing.B) {
 	big := func(b *testing.B) *tree {
 		t := newTree()
@@ -163,34 +162,34 @@
 		}
 	}
 	b.Run("create and remove/index", func(b *testing.B) { change(b, func(*tree) bool { return true }) })
-	// Before, a removal scanned the tree to see that the node had no children.
+	// Without the index, a removal scans the tree to check that the node has no children.
 	b.Run("create and remove/scan", func(b *testing.B) {
 		change(b, func(t *tree) bool { return len(scan(t, "/d50/new")) == 0 })
 	})
 }
 
-// A replica that starts from a snapshot lists children and ends sessions as the
-// one that wrote it.
-func TestSnapshotBringsTheIndexesBack(t *testing.T) {
-	m := newMachine()
+// A replica that starts from a snapshot lists children and ends sessions like the one that wrote
+// it.
+func TestSnapshotRestoresIndexes(t *testing.T) {
+	m := newFSM()
 	m.tree.Sessions["s"] = time.Second
 	require.NoError(t, m.tree.create(1, "/a", nil, ""))
 	require.NoError(t, m.tree.create(2, "/a/x", nil, "s"))
 	shot, err := m.Snapshot()
 	require.NoError(t, err)
-	again := newMachine()
-	require.NoError(t, again.Restore(io.NopCloser(strings.NewReader(string(shot.(snapshot))))))
-	require.Equal(t, []string{"x"}, again.tree.children("/a"))
-	require.NoError(t, again.tree.endSession(3, "s"))
-	require.Empty(t, again.tree.children("/a"))
+	restored := newFSM()
+	require.NoError(t, restored.Restore(io.NopCloser(strings.NewReader(string(shot.(snapshot))))))
+	require.Equal(t, []string{"x"}, restored.tree.children("/a"))
+	require.NoError(t, restored.tree.endSession(3, "s"))
+	require.Empty(t, restored.tree.children("/a"))
 }
 
-// Steps are applied all or none: after one that fails, the tree and its indexes
-// are what they were before the first, and nobody is told of anything.
-func TestStepsThatFailLeaveNothing(t *testing.T) {
+// Steps are atomic: after a failed step, the tree and its indexes are as before the first step, and
+// no change is reported.
+func TestFailedStepsAreRolledBack(t *testing.T) {
 	paths := []string{"/a", "/a/x", "/a/y", "/b", "/b/x", "/a/x/1", "bad"}
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMachine()
+		m := newFSM()
 		m.tree.Sessions["s"], m.tree.Claims["s"] = time.Second, claim{Holder: "h"}
 		step := rapid.Custom(func(rt *rapid.T) Step {
 			return Step{Op: rapid.SampledFrom([]StepOp{StepCreate, StepCreate, StepSet, StepRemove, StepCheck}).Draw(rt, "op"),
@@ -201,7 +200,7 @@
 		for index := range uint64(rapid.IntRange(1, 12).Draw(rt, "commands")) {
 			before, err := json.Marshal(m.tree)
 			require.NoError(rt, err)
-			told := len(m.changes)
+			reported := len(m.changes)
 			c := command{Session: "s", Claim: &claim{Holder: "h"}, Steps: rapid.SliceOfN(step, 1, 5).Draw(rt, "steps")}
 			r := m.steps(index+1, &c)
 			if r.Err == nil {
@@ -210,7 +209,7 @@
 				after, err := json.Marshal(m.tree)
 				require.NoError(rt, err)
 				require.JSONEq(rt, string(before), string(after))
-				require.Len(rt, m.changes, told)
+				require.Len(rt, m.changes, reported)
 			}
 			for p := range m.tree.Nodes {
 				require.Equal(rt, scan(m.tree, p), m.tree.children(p))
@@ -221,7 +220,7 @@
 					owned++
 				}
 			}
-			require.Len(rt, m.tree.owned["s"], owned)
+			require.Len(rt, m.tree.ephemerals["s"], owned)
 		}
 		c := command{Session: "s", Claim: &claim{Holder: "older"}, Steps: []Step{{Op: StepCreate, Path: "/z"}}}
 		require.ErrorIs(rt, m.steps(99, &c).Err, ErrMoved)
--- a/store/writes.go
+++ b/store/writes.go
@@ -8,58 +8,63 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A write may be named by its client. Given again under its name, as after a lost answer and at whichever replica, it is answered
-// with what it led to the first time and is not applied again. The answers of the latest mostAnswers named writes are part of the
-// replicated state. A name that is not among them is new, or its answer has been dropped: a write says which operation its client
-// had seen when the write was first sent, and it was applied after that if at all. If answers have been dropped since then it is
-// refused with ErrForgotten, since it may have been applied.
+// Clients may name their writes. A write that is repeated under its name, as after a lost answer
+// and at any replica, gets the answer of the first attempt and is not applied again. The answers to
+// the latest maxAnswers named writes are part of the replicated state. If a name is not among them,
+// the write is new or its answer has been dropped. To tell these apart, a write carries the
+// operation that its client had seen when it first sent the write; if the write was applied, that
+// happened later. If answers were dropped since then, the write is refused with ErrForgotten, since
+// it may have been applied.
 
 const (
-	// WriteHeader names a write. Writes of one name are applied once.
+	// WriteHeader names a write. Writes with the same name are applied once.
 	WriteHeader = "X-Store-Write"
-	// WriteSeenHeader is the operation that the client had seen (VersionHeader) when it first sent the write; 0 where it is missing.
+	// WriteSeenHeader is the operation that the client had seen (VersionHeader) when it first sent
+	// the write; a missing header means 0.
 	WriteSeenHeader = "X-Store-Write-Seen"
 )
 
-// mostAnswers bounds the answers that are kept, some 150 bytes each.
-const mostAnswers = 4096
+// maxAnswers bounds the number of retained answers, of about 150 bytes each.
+const maxAnswers = 4096
 
-// mostWriteName bounds the name of a write, in bytes.
-const mostWriteName = 64
+// maxWriteNameBytes bounds the length of a write's name.
+const maxWriteNameBytes = 64
 
-// ErrForgotten says that a named write was not applied now, and that it may have been before: answers as old are not kept.
+// ErrForgotten means that a named write was not applied now but may have been applied before: its
+// answer would have been dropped by now.
 var ErrForgotten = errors.New("the answers to writes of that time are no longer kept")
 
-// answers is the replicated record of what named writes have led to. It is exported to snapshots.
+// answers holds the results of named writes. It is part of the replicated state and of snapshots.
 type answers struct {
-	Kept []answer `json:"kept,omitempty"` // by the order of the operations
-	// Dropped is the operation of the latest answer that was dropped.
+	Kept []answer `json:"kept,omitempty"` // ordered by operation
+	// Dropped is the operation of the most recently dropped answer.
 	Dropped uint64 `json:"dropped,omitempty"`
 
-	most   int
+	limit  int
 	byName map[string]*answer
 }
 
-// answer is what one write has led to.
+// answer is the result of one write.
 type answer struct {
 	Name    string `json:"name"`
 	Index   uint64 `json:"index"`
-	Session string `json:"session,omitempty"` // that was made
-	Fault   string `json:"fault,omitempty"`   // as between replicas
+	Session string `json:"session,omitempty"` // the session that was created
+	Fault   string `json:"fault,omitempty"`   // name of the error, as in faults
 	Message string `json:"message,omitempty"`
 }
 
-func newAnswers() answers { return answers{most: mostAnswers, byName: map[string]*answer{}} }
+func newAnswers() answers { return answers{limit: maxAnswers, byName: map[string]*answer{}} }
 
-// index builds anew what follows from the list.
-func (a *answers) index() {
+// rebuildIndex rebuilds the index by name.
+func (a *answers) rebuildIndex() {
 	a.byName = map[string]*answer{}
 	for i := range a.Kept {
 		a.byName[a.Kept[i].Name] = &a.Kept[i]
 	}
 }
 
-// find returns what a write has led to, or nil if it has to be applied; ErrForgotten if that can't be told any more.
+// find returns the result of a write, or nil if it has not been applied; ErrForgotten if that is no
+// longer known.
 func (a *answers) find(name string, seen uint64) (*Result, error) {
 	if known := a.byName[name]; known != nil {
 		return known.result(), nil
@@ -70,13 +75,13 @@
 	return nil, nil
 }
 
-// add keeps the answer to a write that has been applied, and drops the oldest one if there are too many.
+// add stores the answer to an applied write, and drops the oldest answer if there are too many.
 func (a *answers) add(name string, index uint64, r *Result) {
 	kept := answer{Name: name, Index: index, Session: r.Session}
 	if r.Err != nil {
 		kept.Fault, kept.Message = faultName(r.Err), r.Err.Error()
 	}
-	if len(a.Kept) >= a.most {
+	if len(a.Kept) >= a.limit {
 		a.Dropped = a.Kept[0].Index
 		delete(a.byName, a.Kept[0].Name)
 		a.Kept = a.Kept[1:]
@@ -85,12 +90,12 @@
 	a.byName[name] = &kept
 }
 
-// result is the answer as the write had it.
+// result returns the original result of the write.
 func (k *answer) result() *Result {
 	return &Result{Index: k.Index, Failed: -1, Session: k.Session, Err: namedFault(k.Fault, k.Message)}
 }
 
-// named adds the name that a call gives its write to the command.
+// named adds the write's name from the headers of a call to the command.
 func named(ctx *fasthttp.RequestCtx, c command) (command, error) {
 	c.Write = string(ctx.Request.Header.Peek(WriteHeader))
 	if err := checkWriteName(c.Write); err != nil {
@@ -107,10 +112,10 @@
 	return c, nil
 }
 
-// checkWriteName takes names of printable ASCII without spaces.
+// checkWriteName accepts names of printable ASCII characters without spaces.
 func checkWriteName(name string) error {
-	if len(name) > mostWriteName {
-		return fmt.Errorf("%w: %s: the name has %d bytes, not %d at most", errInput, WriteHeader, len(name), mostWriteName)
+	if len(name) > maxWriteNameBytes {
+		return fmt.Errorf("%w: %s: the name has %d bytes, not %d at most", errInput, WriteHeader, len(name), maxWriteNameBytes)
 	}
 	for _, c := range []byte(name) {
 		if c <= ' ' || c > '~' {
--- a/store/writes_test.go
+++ b/store/writes_test.go
@@ -17,29 +17,29 @@
 	"pgregory.net/rapid"
 )
 
-// plainWrite is a named write as its client knows it.
-type plainWrite struct {
+// namedWrite is a named write and its first result.
+type namedWrite struct {
 	command command
-	first   *Result // nil: it has not been applied
+	first   *Result // nil: not applied yet
 }
 
-// However named writes are repeated and in whatever order, each is applied once at most and has the same answer each time; one
-// that is sent for the first time with what its client has just seen is never refused. A snapshot changes none of that, and the
-// record keeps its bound.
+// For any order of repeats, a named write is applied at most once and always has the same answer; a
+// first attempt that carries the latest operation is never refused. Snapshots don't affect this,
+// and the number of retained answers stays within its limit.
 func TestNamedWritesAreAppliedOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMachine()
-		m.tree.Answers.most = rapid.IntRange(1, 6).Draw(rt, "kept")
-		most := m.tree.Answers.most
+		m := newFSM()
+		m.tree.Answers.limit = rapid.IntRange(1, 6).Draw(rt, "kept")
+		maxKept := m.tree.Answers.limit
 		index := uint64(0)
 		apply := func(c command) *Result {
 			text, err := json.Marshal(c)
 			require.NoError(rt, err)
 			index++
-			return asWhole(index, m.Apply(&raft.Log{Index: index, Data: text}))
+			return toResult(index, m.Apply(&raft.Log{Index: index, Data: text}))
 		}
 		require.NoError(rt, apply(command{Op: opCreate, Path: "/n"}).Err)
-		var writes []*plainWrite
+		var writes []*namedWrite
 		applied := int64(0)
 		for i := range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 9).Draw(rt, "step") {
@@ -47,10 +47,10 @@
 				s, err := m.Snapshot()
 				require.NoError(rt, err)
 				require.NoError(rt, m.Restore(io.NopCloser(bytes.NewReader(s.(snapshot)))))
-				m.tree.Answers.most = most
-			case 1, 2, 3, 4: // a first send, of what its client saw some operations ago
+				m.tree.Answers.limit = maxKept
+			case 1, 2, 3, 4: // first attempt, possibly with an older operation seen
 				seen := index - uint64(rapid.IntRange(0, int(min(index, 8))).Draw(rt, "old"))
-				w := &plainWrite{command: command{Op: opSet, Path: "/n", Version: AnyVersion, Write: fmt.Sprint("w", i), Seen: seen}}
+				w := &namedWrite{command: command{Op: opSet, Path: "/n", Version: AnyVersion, Write: fmt.Sprint("w", i), Seen: seen}}
 				if rapid.IntRange(0, 3).Draw(rt, "fails") == 0 {
 					w.command.Version = 1 << 40
 				}
@@ -62,7 +62,7 @@
 						applied++
 					}
 				}
-			default: // a repeat
+			default: // repeat
 				if len(writes) == 0 {
 					continue
 				}
@@ -83,16 +83,17 @@
 			}
 			n, err := m.tree.find("/n")
 			require.NoError(rt, err)
-			require.Equal(rt, applied, n.Stat.Version, "each write counts once")
-			require.LessOrEqual(rt, len(m.tree.Answers.Kept), most)
+			require.Equal(rt, applied, n.Stat.Version, "each write is applied once")
+			require.LessOrEqual(rt, len(m.tree.Answers.Kept), maxKept)
 			require.Len(rt, m.tree.Answers.byName, len(m.tree.Answers.Kept))
 		}
 	})
 }
 
-// With its record of answers off, the property above is broken: a repeat is applied.
-func TestWithoutTheRecordARepeatIsApplied(t *testing.T) {
-	m := newMachine()
+// A repeated write without a name is applied again, which shows that the property above depends on
+// the retained answers.
+func TestUnnamedWriteIsAppliedAgain(t *testing.T) {
+	m := newFSM()
 	for i, c := range []command{{Op: opCreate, Path: "/n"}, {Op: opSet, Path: "/n", Version: AnyVersion}, {Op: opSet, Path: "/n", Version: AnyVersion}} {
 		text, err := json.Marshal(c)
 		require.NoError(t, err)
@@ -103,8 +104,9 @@
 	require.EqualValues(t, 2, n.Stat.Version)
 }
 
-// The API answers a repeat as it did the first time: a session with the same name, a node that does not meet itself, a refusal.
-func TestTheAPIAnswersARepeatedWriteAsTheFirst(t *testing.T) {
+// The API answers a repeated write like the first: a session has the same ID, a create does not
+// fail on its own node, and a refusal stays one.
+func TestAPIRepeatsAnswerOfNamedWrite(t *testing.T) {
 	c := newCluster(t)
 	api := "http://" + c.cfg[c.leader()].Self().API
 	call := func(method, path, body, name, seen string) (int, string) {
@@ -137,20 +139,20 @@
 		require.Equal(t, w.status, status, "%s %s: %s", w.method, w.path, again)
 		require.Equal(t, first, again)
 	}
-	for _, bad := range [][2]string{{"a b", "0"}, {strings.Repeat("x", mostWriteName+1), "0"}, {"w", "-1"}, {"w", "soon"}} {
+	for _, bad := range [][2]string{{"a b", "0"}, {strings.Repeat("x", maxWriteNameBytes+1), "0"}, {"w", "-1"}, {"w", "soon"}} {
 		status, text := call(http.MethodPost, "/v1/nodes/b", "", bad[0], bad[1])
 		require.Equal(t, 400, status, text)
 	}
 }
 
-// A client that has seen nothing yet writes at once, also where answers have been dropped; one whose write may have been applied
-// long ago is told that nobody knows.
-func TestAWriteThatIsOlderThanTheRecord(t *testing.T) {
+// A new client can write at once, also after answers have been dropped; a client whose write may
+// have been applied long ago gets ErrUnknown.
+func TestWriteOlderThanKeptAnswers(t *testing.T) {
 	c := newCluster(t)
 	c.do(func(l *Replica) error { return l.Create("/n", nil, "") })
 	for _, r := range c.replicas {
 		r.machine.mu.Lock()
-		r.machine.tree.Answers.most = 2
+		r.machine.tree.Answers.limit = 2
 		r.machine.mu.Unlock()
 	}
 	addr := c.cfg[c.leader()].Self().API
@@ -158,8 +160,8 @@
 	for range 5 {
 		require.NoError(t, first.Set("/n", nil, AnyVersion))
 	}
-	require.NoError(t, NewClient(addr).Set("/n", nil, AnyVersion), "nothing was dropped since it asked what there is")
-	require.NoError(t, NewClient("127.0.0.1:1", addr).Set("/n", nil, AnyVersion), "nothing was sent to a replica that can't be reached")
+	require.NoError(t, NewClient(addr).Set("/n", nil, AnyVersion), "no answer was dropped since the refusal that told the client its version")
+	require.NoError(t, NewClient("127.0.0.1:1", addr).Set("/n", nil, AnyVersion), "nothing was sent to the unreachable replica")
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = mute.Close() })
@@ -172,14 +174,14 @@
 			_ = conn.Close()
 		}
 	}()
-	late := NewClient(mute.Addr().String(), addr) // the first replica may have applied it
+	late := NewClient(mute.Addr().String(), addr) // the first replica may have applied the write
 	require.ErrorIs(t, late.Set("/n", nil, AnyVersion), ErrUnknown)
 	n, err := first.Node("/n")
 	require.NoError(t, err)
 	require.EqualValues(t, 7, n.Stat.Version)
 }
 
-// What a name costs a write: go test ./store -run xxx -bench Writes
+// BenchmarkWrites measures the cost of naming a write: go test ./store -run xxx -bench Writes
 func BenchmarkWrites(b *testing.B) {
 	c := newCluster(b)
 	require.NoError(b, c.do(func(l *Replica) error { return l.Create("/n", nil, "") }))
@@ -198,7 +200,7 @@
 						if named {
 							w.Write, w.Seen = fmt.Sprint("w", last.Add(1)), 1<<62
 						}
-						if err := l.done(w); err != nil {
+						if err := l.do(w); err != nil {
 							b.Error(err)
 						}
 					}
