--- a/conffile/conffile.go
+++ b/conffile/conffile.go
@@ -1,5 +1,5 @@
-// Package conffile reads configuration files, and of the project's TOML files says of what it does not
-// like where that stands: file, line, key and value.
+// Package conffile reads configuration files. Errors in the project's TOML files name their
+// position: file, line, key and value.
 package conffile
 
 import (
@@ -12,14 +12,14 @@
 	"github.com/BurntSushi/toml"
 )
 
-// File is a file that has been read.
+// File is a configuration file that has been read.
 type File struct {
 	Path string
 	text string
 }
 
-// Read decodes a file into a struct. A key that the struct lacks is an error:
-// a setting that is misspelt must not count as left out.
+// Read decodes a file into a struct. A key without a field in the struct is an error: a misspelt
+// setting must not be treated as missing.
 func Read(path string, into any) (*File, error) {
 	text, err := ReadText(path)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return Parse(path, string(text), into)
 }
 
-// Parse does as Read with a text of the given name.
+// Parse decodes a text as Read does; path is the name of its file.
 func Parse(path, text string, into any) (*File, error) {
 	f := &File{Path: path, text: text}
 	meta, err := toml.Decode(text, into)
@@ -44,17 +44,18 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, f.unknown(unknown[0])
+		return nil, f.unknownKey(unknown[0])
 	}
 	return f, nil
 }
 
-// unknown finds the line of a key that the decoder names without its numbers.
-func (f *File) unknown(key toml.Key) error {
+// unknownKey returns the error for a key that the decoder reports without array indexes, with the
+// key's first line.
+func (f *File) unknownKey(key toml.Key) error {
 	name := strings.Join(key, ".")
 	index := regexp.MustCompile(`\[\d+\]`)
 	line := 0
-	for at, n := range locate(f.text) {
+	for at, n := range findLines(f.text) {
 		if index.ReplaceAllString(at, "") == name && (line == 0 || n < line) {
 			line = n
 		}
@@ -62,21 +63,21 @@
 	return fmt.Errorf("%s:%d: unknown key %s", f.Path, line, name)
 }
 
-// Bad is the error that a key's value makes no sense, such as of
-// "source[2].servers". A key that is left out is told at the line of its table.
-func (f *File) Bad(key string, value any, why string) error {
+// Bad returns the error for an invalid value of a key, such as "source[2].servers". For a missing
+// key it names the line of the enclosing table.
+func (f *File) Bad(key string, value any, reason string) error {
 	if d, ok := value.(Duration); ok {
 		value = d.Duration
 	}
-	lines := locate(f.text)
+	lines := findLines(f.text)
 	at, line := key, 0
 	for line = lines[at]; line == 0 && strings.Contains(at, "."); line = lines[at] {
 		at = at[:strings.LastIndexByte(at, '.')]
 	}
 	if line == 0 {
-		return fmt.Errorf("%s: %s = %#v: %s", f.Path, key, value, why)
+		return fmt.Errorf("%s: %s = %#v: %s", f.Path, key, value, reason)
 	}
-	return fmt.Errorf("%s:%d: %s = %v: %s", f.Path, line, key, quoted(value), why)
+	return fmt.Errorf("%s:%d: %s = %v: %s", f.Path, line, key, quoted(value), reason)
 }
 
 func quoted(value any) any {
@@ -86,20 +87,21 @@
 	return value
 }
 
-// locate finds the lines of all keys and tables; members of arrays are numbered
-// from 0. It runs only for an error, so that a start doesn't pay for it. It reads what our files are made of, tables
-// and bare keys; lines are for messages only, so what it misses costs a number.
-func locate(text string) map[string]int {
+// findLines returns the line of each key and table; members of arrays are numbered from 0. It runs
+// only when an error is reported, so that a start does not pay for it. It supports tables and bare
+// keys, which is all that the project's files use; other syntax only costs the line number in a
+// message.
+func findLines(text string) map[string]int {
 	header := regexp.MustCompile(`^\s*(\[\[?)\s*([A-Za-z0-9_.-]+)\s*\]`)
-	setter := regexp.MustCompile(`^\s*([A-Za-z0-9_.-]+)\s*=`)
+	assignment := regexp.MustCompile(`^\s*([A-Za-z0-9_.-]+)\s*=`)
 	lines := map[string]int{}
 	counts := map[string]int{}
 	table := ""
 	for i, line := range strings.Split(text, "\n") {
 		if m := header.FindStringSubmatch(line); m != nil {
-			table = numbered(m[2], counts, m[1] == "[[")
+			table = indexedName(m[2], counts, m[1] == "[[")
 			lines[table] = i + 1
-		} else if m := setter.FindStringSubmatch(line); m != nil {
+		} else if m := assignment.FindStringSubmatch(line); m != nil {
 			key := m[1]
 			if table != "" {
 				key = table + "." + key
@@ -112,9 +114,9 @@
 	return lines
 }
 
-// numbered writes the numbers of arrays into a table's name: a new member of the
-// last part's array if it is one, the current one of those before.
-func numbered(name string, counts map[string]int, array bool) string {
+// indexedName adds array indexes to a table's name: for the last part the index of a new member if
+// it is an array, for the parts before it the index of the current member.
+func indexedName(name string, counts map[string]int, array bool) string {
 	parts := strings.Split(name, ".")
 	out := ""
 	for i, part := range parts {
@@ -132,7 +134,7 @@
 	return out
 }
 
-// Duration is a time span in a file, such as "250ms". It is never negative.
+// Duration is a non-negative time span in a file, such as "250ms".
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/conffile/conffile_test.go
+++ b/conffile/conffile_test.go
@@ -19,7 +19,7 @@
 	} `toml:"source"`
 }
 
-func TestFaultsSayWhereTheyAre(t *testing.T) {
+func TestErrorsNameTheirPosition(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.toml")
 	read := func(text string) (*File, error) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/conffile/read.go
+++ b/conffile/read.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// readWait bounds how long a file is tried that the system can't read for now: what a reload brings must be in hand 4 s
-	// after the signal.
-	readWait  = 3 * time.Second
-	readAgain = 20 * time.Millisecond
+	// readTimeout bounds the retries of a file that can't be read for now: a reloaded configuration
+	// must be in use within 4 s of the signal.
+	readTimeout   = 3 * time.Second
+	retryInterval = 20 * time.Millisecond
 )
 
-// mayReadLater tells whether open and read may succeed a moment later: such errors say nothing of the file.
-func mayReadLater(err error) bool { return transient.Is(err, syscall.EINTR, syscall.EIO) }
+// isTemporary reports whether an error of open or read may go away on a retry and does not concern
+// the file itself.
+func isTemporary(err error) bool { return transient.Is(err, syscall.EINTR, syscall.EIO) }
 
-// ReadText reads a file whole. Where the system lacks something for it, as descriptors, it is tried again for readWait.
+// ReadText reads a whole file. On a temporary error, such as a lack of file descriptors, it retries
+// for up to readTimeout.
 func ReadText(path string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), readWait)
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	var text []byte
-	err := transient.Retry(ctx, readAgain, mayReadLater, func() (err error) {
+	err := transient.Retry(ctx, retryInterval, isTemporary, func() (err error) {
 		text, err = os.ReadFile(path)
 		return err
 	})
