--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -1,8 +1,7 @@
-// Package cordon takes workers out by hand: it stands between discovery and a
-// core, and hands on a worker that an operator has suspended as draining,
-// whatever discovery says of it, until the operator resumes it. The set of
-// names out by hand is kept in a file, so that the next process, or the other
-// one in an upgrade, finds it.
+// Package cordon lets operators suspend workers. It sits between discovery and a core, and forwards
+// a suspended worker as draining, whatever discovery reports, until an operator resumes it. The set
+// of suspended workers is kept in a file, which is shared with the next process and, during an
+// upgrade, with the other one.
 package cordon
 
 import (
@@ -25,69 +24,72 @@
 	"lichenshelf/router"
 )
 
-// LookEvery is how often the file is looked at for changes that another process
-// made. The rule binds the other process 1 s after the call at the latest.
-const LookEvery = 100 * time.Millisecond
+// PollInterval is the interval at which the file is checked for changes by other processes. A
+// change has to take effect in another process within 1 s of the call.
+const PollInterval = 100 * time.Millisecond
 
-// ErrUnknown is the answer for a name that no list ever held.
+// ErrUnknown means that no list from discovery has ever contained the worker.
 var ErrUnknown = errors.New("no list ever held this worker")
 
-// Taker is told of the workers: a core, or what stands before it.
+// Taker receives the workers: a core, or a filter in front of one.
 type Taker interface {
 	Discovered(members []router.Member, whole bool)
 }
 
-// Cordon is safe for use from any goroutine.
+// Cordon keeps the set of suspended workers. It is safe for concurrent use.
 type Cordon struct {
 	gate *Gate
 	path string
 	log  *logrus.Logger
 
-	mu      sync.Mutex
-	version uint64               // of the set; it only grows
-	took    func(version uint64) // nil: nobody is told
-	out     map[string]bool      // names out by hand
-	seen    []byte               // the file's text as last read or written; nil: there was none
-	blind   bool                 // the system can't read the file, which has been logged
+	mu         sync.Mutex
+	version    uint64               // of the set; never decreases
+	onChange   func(version uint64) // nil: no callback
+	suspended  map[string]bool      // names of the suspended workers
+	lastText   []byte               // the file's text as last read or written; nil: no file
+	unreadable bool                 // the file could not be read, which has been logged
 }
 
-// file is what the file holds.
+// file is the content of the file.
 type file struct {
 	Suspended []string `json:"suspended"`
-	Version   uint64   `json:"version,omitempty"` // one more with each change; 0: of a process that does not count
+	// Version is incremented with each change; 0 if written by a process without version support.
+	Version uint64 `json:"version,omitempty"`
 }
 
-// Path is where a router's set is kept: in dir, by the router's name, which
-// stays the same across restarts and upgrades.
+// Path returns the path of a router's file in dir. It depends on the router's name, which is the
+// same across restarts and upgrades.
 func Path(dir, router string) string {
 	return filepath.Join(dir, "lichenshelf-suspended-"+router+".json")
 }
 
 const (
-	readWait  = 2 * time.Second // for the set at the start, while the system can't read it
-	readAgain = 20 * time.Millisecond
+	readTimeout       = 2 * time.Second // bounds retries of the first read
+	readRetryInterval = 20 * time.Millisecond
 )
 
-// New returns a cordon before next that takes up the set kept at path. A file
-// that is not there is an empty set; so is one that makes no sense, or that the system can't read for readWait, which is
-// logged: a router that does not start helps nobody.
+// New returns a cordon in front of next that starts with the set stored at path. A missing file is
+// an empty set. So is a file that is invalid or that can't be read within readTimeout, which is
+// logged: the router must start all the same.
 func New(next Taker, path string, log *logrus.Logger) *Cordon {
-	c := &Cordon{gate: NewGate(next), path: path, log: log, out: map[string]bool{}}
-	ctx, cancel := context.WithTimeout(context.Background(), readWait)
+	c := &Cordon{gate: NewGate(next), path: path, log: log, suspended: map[string]bool{}}
+	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	_ = transient.Retry(ctx, readAgain, nil, c.follow) // it is logged, and looked at again
+	// The error is logged, and Follow reads the file again.
+	_ = transient.Retry(ctx, readRetryInterval, nil, c.reload)
 	return c
 }
 
-// OnChange has f told of the set's version, now and at each change. It must return at once.
+// OnChange registers f to receive the version of the set, now and after each change. f must not
+// block.
 func (c *Cordon) OnChange(f func(version uint64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.took = f
+	c.onChange = f
 	f(c.version)
 }
 
-// parse takes a set, and its version, out of a file's text. Anything else is an error.
+// parse decodes a set and its version from the file's text.
 func parse(text []byte) (map[string]bool, uint64, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -96,44 +98,45 @@
 	if f.Suspended == nil {
 		return nil, 0, errors.New("no list under the key suspended")
 	}
-	out := map[string]bool{}
+	suspended := map[string]bool{}
 	for i, name := range f.Suspended {
 		if name == "" {
 			return nil, 0, fmt.Errorf("suspended.%d is empty", i)
 		}
-		out[name] = true
+		suspended[name] = true
 	}
-	return out, f.Version, nil
+	return suspended, f.Version, nil
 }
 
-// Discovered implements Taker.
+// Discovered implements Taker. It forwards the members, with the suspended ones as draining.
 func (c *Cordon) Discovered(members []router.Member, whole bool) { c.gate.Discovered(members, whole) }
 
-// put makes a set hold; c.mu is held. A version that is none or has been there is taken for the next one.
-func (c *Cordon) put(out map[string]bool, version uint64) {
-	c.out, c.version = out, max(version, c.version+1)
-	if c.took != nil {
-		c.took(c.version)
+// replaceSet installs a set; c.mu is held. If the version is missing or not higher than the current
+// one, the set gets the next version.
+func (c *Cordon) replaceSet(suspended map[string]bool, version uint64) {
+	c.suspended, c.version = suspended, max(version, c.version+1)
+	if c.onChange != nil {
+		c.onChange(c.version)
 	}
-	parts := make(map[string]float64, len(out))
-	for name := range out {
-		parts[name] = 0
+	shares := make(map[string]float64, len(suspended))
+	for name := range suspended {
+		shares[name] = 0
 	}
-	c.gate.Set(parts)
+	c.gate.Set(shares)
 }
 
-// Suspend takes the worker out. Once it returns without an error, nothing new
-// goes to the worker from this process, and the file says so for others.
-// Suspending a worker that is out already changes nothing.
+// Suspend suspends the worker. Once it returns without an error, this process sends nothing new to
+// the worker, and the file has the change for other processes. Suspending a suspended worker has no
+// effect.
 func (c *Cordon) Suspend(name string) error { return c.set(name, true) }
 
-// Resume puts the worker back, with the line that discovery gave last.
+// Resume restores the worker as discovery last reported it.
 func (c *Cordon) Resume(name string) error { return c.set(name, false) }
 
-func (c *Cordon) set(name string, out bool) error {
+func (c *Cordon) set(name string, suspend bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.gate.Known(name) && !c.out[name] {
+	if !c.gate.Known(name) && !c.suspended[name] {
 		return fmt.Errorf("worker %q: %w", name, ErrUnknown)
 	}
 	unlock, err := c.lock()
@@ -141,11 +144,12 @@
 		return err
 	}
 	defer unlock()
-	if err := c.follow(); err != nil { // another process may have changed the file since it was read
+	// Another process may have changed the file since it was last read.
+	if err := c.reload(); err != nil {
 		return err
 	}
-	next := maps.Clone(c.out)
-	if out {
+	next := maps.Clone(c.suspended)
+	if suspend {
 		next[name] = true
 	} else {
 		delete(next, name)
@@ -153,31 +157,33 @@
 	if err := c.write(next, c.version+1); err != nil {
 		return err
 	}
-	c.put(next, c.version+1)
+	c.replaceSet(next, c.version+1)
 	return nil
 }
 
 const (
-	lockWait  = 500 * time.Millisecond // for another process to have written its change
-	lockAgain = time.Millisecond
+	lockTimeout       = 500 * time.Millisecond // for another process to write its change
+	lockRetryInterval = time.Millisecond
 )
 
-// lock keeps other processes from changing the file until it is undone; c.mu is held. Two consoles that change it in one
-// instant would else each write what they read before the other wrote. It waits lockWait at most. The end of a process undoes its lock.
+// lock locks the file against changes by other processes until unlock; c.mu is held. Without it,
+// two consoles that change the file at the same time could overwrite each other's change. It waits
+// for lockTimeout at most. The system releases the lock when a process ends.
 func (c *Cordon) lock() (unlock func(), err error) {
 	path := c.path + ".lock"
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("workers out by hand: %w", err)
 	}
-	for until := time.Now().Add(lockWait); ; time.Sleep(lockAgain) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
-		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) || time.Now().After(until) {
+		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) || time.Now().After(deadline) {
 			break
 		}
 	}
-	if errors.Is(err, syscall.ENOSYS) || errors.Is(err, syscall.ENOTSUP) { // a system without locks: the later of two wins whole there
-		c.log.WithError(err).WithField("file", path).Warn("workers out by hand are changed without a lock")
+	// Without file locks, the later of two concurrent writes replaces the earlier one.
+	if errors.Is(err, syscall.ENOSYS) || errors.Is(err, syscall.ENOTSUP) {
+		c.log.WithError(err).WithField("file", path).Warn("the system has no file locks, changing the suspended workers without one")
 	} else if err != nil {
 		_ = f.Close()
 		return nil, fmt.Errorf("workers out by hand: lock %s: %w", path, err)
@@ -185,10 +191,10 @@
 	return func() { _ = f.Close() }, nil
 }
 
-// write puts the set in place whole: a reader sees the old file or the new one.
-func (c *Cordon) write(out map[string]bool, version uint64) error {
-	f := file{Suspended: make([]string, 0, len(out)), Version: version}
-	for name := range out {
+// write replaces the file atomically: a reader sees the old content or the new one.
+func (c *Cordon) write(suspended map[string]bool, version uint64) error {
+	f := file{Suspended: make([]string, 0, len(suspended)), Version: version}
+	for name := range suspended {
 		f.Suspended = append(f.Suspended, name)
 	}
 	slices.Sort(f.Suspended)
@@ -209,42 +215,43 @@
 		_ = os.Remove(tmp.Name())
 		return fmt.Errorf("workers out by hand: file %s: %w", c.path, err)
 	}
-	c.seen = text
+	c.lastText = text
 	return nil
 }
 
-// follow takes up changes that another process made to the file; c.mu is held. Where the system can't read it for now, which
-// is logged once, it fails, changes nothing, and says nothing of the file: the next look reads it. A file that makes no
-// sense is logged once and changes nothing.
-func (c *Cordon) follow() error {
+// reload applies changes that another process made to the file; c.mu is held. If the file can't be
+// read, reload logs that once, returns the error and keeps the set; the next poll reads the file
+// again. An invalid file is logged once and changes nothing.
+func (c *Cordon) reload() error {
 	text, err := os.ReadFile(c.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		if !c.blind {
-			c.log.WithError(err).Error("workers out by hand not read, the set in hand stays")
+		if !c.unreadable {
+			c.log.WithError(err).Error("can't read the suspended workers, keeping the current set")
 		}
-		c.blind = true
+		c.unreadable = true
 		return fmt.Errorf("workers out by hand: %w", err)
 	}
-	c.blind = false
-	// Its text is compared, since times and inodes need not tell: a set that is written takes another file's place.
-	if bytes.Equal(c.seen, text) && (c.seen == nil) == (text == nil) {
+	c.unreadable = false
+	// The texts are compared, since modification times and inodes may be the same after a change:
+	// each write replaces the file.
+	if bytes.Equal(c.lastText, text) && (c.lastText == nil) == (text == nil) {
 		return nil
 	}
-	c.seen = text
-	out, version := map[string]bool{}, uint64(0)
+	c.lastText = text
+	suspended, version := map[string]bool{}, uint64(0)
 	if text != nil {
-		if out, version, err = parse(text); err != nil {
-			c.log.WithError(fmt.Errorf("file %s: %w", c.path, err)).Error("workers out by hand not read, the set in hand stays")
+		if suspended, version, err = parse(text); err != nil {
+			c.log.WithError(fmt.Errorf("file %s: %w", c.path, err)).Error("can't read the suspended workers, keeping the current set")
 			return nil
 		}
 	}
-	c.put(out, version)
+	c.replaceSet(suspended, version)
 	return nil
 }
 
-// Follow looks at the file every LookEvery until ctx ends.
+// Follow checks the file every PollInterval until ctx ends.
 func (c *Cordon) Follow(ctx context.Context) {
-	tick := time.NewTicker(LookEvery)
+	tick := time.NewTicker(PollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -253,7 +260,7 @@
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		_ = c.follow() // it logs what it can't read
+		_ = c.reload() // read errors are logged by reload
 		c.mu.Unlock()
 	}
 }
--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -17,11 +17,11 @@
 	"lichenshelf/router"
 )
 
-type taken struct{ lists [][]router.Member }
+type recorder struct{ lists [][]router.Member }
 
-func (t *taken) Discovered(members []router.Member, _ bool) { t.lists = append(t.lists, members) }
+func (t *recorder) Discovered(members []router.Member, _ bool) { t.lists = append(t.lists, members) }
 
-func (t *taken) last(name string) logic.Health {
+func (t *recorder) last(name string) logic.Health {
 	for i := len(t.lists) - 1; i >= 0; i-- {
 		for _, m := range t.lists[i] {
 			if m.Name == name {
@@ -38,58 +38,60 @@
 	return router.Member{Name: name, Addr: "127.0.0.1:1", Member: logic.Member{Health: h, Since: since}}
 }
 
-func TestSuspendBindsWhateverDiscoverySaysUntilResume(t *testing.T) {
+func TestSuspensionHoldsUntilResume(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "set.json")
-	next := &taken{}
+	next := &recorder{}
 	c := New(next, path, quiet())
 	c.Discovered([]router.Member{member("w1", logic.Ready, 0), member("w2", logic.Ready, 0)}, true)
 
 	require.ErrorIs(t, c.Suspend("never-listed"), ErrUnknown)
 	require.NoError(t, c.Suspend("w1"))
-	require.Equal(t, logic.Draining, next.last("w1"), "handed on as draining at once")
-	require.NoError(t, c.Suspend("w1"), "a repeat changes nothing")
+	require.Equal(t, logic.Draining, next.last("w1"), "forwarded as draining at once")
+	require.NoError(t, c.Suspend("w1"), "a repeated suspension changes nothing")
 
-	// The worker restarts: gone, then back cold under a new start. It stays out.
+	// The worker restarts: it leaves, and comes back cold with a new start time. It stays
+	// suspended.
 	c.Discovered([]router.Member{member("w1", logic.Gone, 0)}, false)
 	c.Discovered([]router.Member{member("w1", logic.Ready, 5)}, false)
 	require.Equal(t, logic.Draining, next.last("w1"))
 	require.Equal(t, logic.Ready, next.last("w2"))
 
 	require.NoError(t, c.Resume("w1"))
-	require.Equal(t, logic.Ready, next.last("w1"), "put back with its last line")
+	require.Equal(t, logic.Ready, next.last("w1"), "restored as last listed")
 }
 
-func TestTheSetOutlivesTheProcessAndReachesTheOther(t *testing.T) {
+func TestSetIsSharedBetweenProcesses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "set.json")
-	oldNext, newNext := &taken{}, &taken{}
+	oldNext, newNext := &recorder{}, &recorder{}
 	old := New(oldNext, path, quiet())
 	old.Discovered([]router.Member{member("w1", logic.Ready, 0)}, true)
 	require.NoError(t, old.Suspend("w1"))
 
-	// The next process reads the file at its start.
+	// The next process reads the file when it starts.
 	next := New(newNext, path, quiet())
-	require.True(t, (next.gate.Known("w1") || next.out["w1"]))
+	require.True(t, (next.gate.Known("w1") || next.suspended["w1"]))
 	next.Discovered([]router.Member{member("w1", logic.Ready, 0)}, true)
 	require.Equal(t, logic.Draining, newNext.last("w1"))
 
-	// A resume at the new process reaches the old one when it looks.
+	// A resume in the new process takes effect in the old one at its next reload.
 	require.NoError(t, next.Resume("w1"))
 	old.mu.Lock()
-	require.NoError(t, old.follow())
+	require.NoError(t, old.reload())
 	old.mu.Unlock()
 	require.Equal(t, logic.Ready, oldNext.last("w1"))
 }
 
-// A torn or foreign file must not keep the router from starting, nor end the bans
-// in hand; it is reported with its path, once, and the next call replaces it.
-func TestATornOrForeignFileIsReportedAndIgnored(t *testing.T) {
+// An invalid file, truncated or written by another program, must neither prevent the router from
+// starting nor end current suspensions. It is reported once, with its path, and the next change
+// replaces it.
+func TestInvalidFileIsReportedAndIgnored(t *testing.T) {
 	for _, text := range []string{"", `{"suspended":["w`, "null", "[]", `{"workers":["w1"]}`, `{"suspended":[""]}`, "\x00\xff"} {
 		path := filepath.Join(t.TempDir(), "set.json")
 		require.NoError(t, writeFile(path, text))
 		log, logged := test.NewNullLogger()
-		next := &taken{}
+		next := &recorder{}
 		c := New(next, path, log)
-		require.NoError(t, c.follow())
+		require.NoError(t, c.reload())
 		require.Len(t, logged.Entries, 1, text)
 		require.ErrorContains(t, logged.LastEntry().Data[logrus.ErrorKey].(error), path)
 		c.Discovered([]router.Member{member("w1", logic.Ready, 0), member("w2", logic.Ready, 0)}, true)
@@ -97,33 +99,33 @@
 
 		require.NoError(t, c.Suspend("w1"))
 		require.NoError(t, writeFile(path, text))
-		require.NoError(t, c.follow())
+		require.NoError(t, c.reload())
 		require.NoError(t, c.Suspend("w2"))
-		after := New(&taken{}, path, quiet())
-		require.True(t, after.out["w1"] && after.out["w2"], "the set in hand stays, and is written whole")
+		after := New(&recorder{}, path, quiet())
+		require.True(t, after.suspended["w1"] && after.suspended["w2"], "the current set stays, and is written completely")
 	}
 }
 
-// A folder that can't be looked into says nothing of the file: no ban ends by it.
-func TestAFileThatCantBeLookedAtEndsNoBan(t *testing.T) {
+// If the directory can't be read, nothing is known about the file: no suspension ends.
+func TestUnreadableFileKeepsSuspensions(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "tmp")
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	log, logged := test.NewNullLogger()
-	next := &taken{}
+	next := &recorder{}
 	c := New(next, filepath.Join(dir, "set.json"), log)
 	c.Discovered([]router.Member{member("w1", logic.Ready, 0)}, true)
 	require.NoError(t, c.Suspend("w1"))
 	require.NoError(t, os.RemoveAll(dir))
-	require.NoError(t, writeFile(dir, "")) // no folder any more
-	require.Error(t, c.follow())
-	require.Error(t, c.follow())
-	require.Error(t, c.Resume("w1"), "a change that can't be kept is answered no")
+	require.NoError(t, writeFile(dir, "")) // a file instead of the directory
+	require.Error(t, c.reload())
+	require.Error(t, c.reload())
+	require.Error(t, c.Resume("w1"), "a change that can't be stored is an error")
 	require.Len(t, logged.Entries, 1)
 	require.Equal(t, logic.Draining, next.last("w1"))
 }
 
-// withoutDescriptors runs f while this process can open no file.
-func withoutDescriptors(t *testing.T, f func()) {
+// withoutFileDescriptors runs f while this process can't open files.
+func withoutFileDescriptors(t *testing.T, f func()) {
 	var was syscall.Rlimit
 	require.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was))
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 0, Max: was.Max}))
@@ -131,42 +133,44 @@
 	f()
 }
 
-// No change of the file is missed, and none is written over, whatever the system says of the file for a moment.
-func TestNoChangeOfTheFileIsMissed(t *testing.T) {
-	both := func(t *testing.T) (path string, next *taken, c, other *Cordon) {
-		path, next = filepath.Join(t.TempDir(), "set.json"), &taken{}
-		c, other = New(next, path, quiet()), New(&taken{}, path, quiet())
+// No change of the file is missed or overwritten, whatever temporary errors the system returns.
+func TestNoFileChangeIsMissed(t *testing.T) {
+	both := func(t *testing.T) (path string, next *recorder, c, other *Cordon) {
+		path, next = filepath.Join(t.TempDir(), "set.json"), &recorder{}
+		c, other = New(next, path, quiet()), New(&recorder{}, path, quiet())
 		for _, each := range []*Cordon{c, other} {
 			each.Discovered([]router.Member{member("w1", logic.Ready, 0), member("w2", logic.Ready, 0)}, true)
 		}
 		return path, next, c, other
 	}
-	// As where clients have all descriptors: what another process took out is out here too.
-	t.Run("it can't be opened, and is read at the next look", func(t *testing.T) {
+	// As when clients use up all file descriptors: a suspension by another process still takes
+	// effect.
+	t.Run("can't be opened, and is read by the next reload", func(t *testing.T) {
 		_, next, c, other := both(t)
 		require.NoError(t, other.Suspend("w1"))
-		withoutDescriptors(t, func() { require.Error(t, c.follow()) })
+		withoutFileDescriptors(t, func() { require.Error(t, c.reload()) })
 		require.Equal(t, logic.Ready, next.last("w1"))
-		require.NoError(t, c.follow())
+		require.NoError(t, c.reload())
 		require.Equal(t, logic.Draining, next.last("w1"))
 	})
-	t.Run("it can't be opened, and is not written over", func(t *testing.T) {
+	t.Run("can't be opened, and is not overwritten", func(t *testing.T) {
 		path, _, c, other := both(t)
 		require.NoError(t, other.Suspend("w1"))
-		withoutDescriptors(t, func() { require.Error(t, c.follow()) })
+		withoutFileDescriptors(t, func() { require.Error(t, c.reload()) })
 		require.NoError(t, c.Suspend("w2"))
-		after := New(&taken{}, path, quiet())
-		require.True(t, after.out["w1"] && after.out["w2"], "both processes' yes is kept")
+		after := New(&recorder{}, path, quiet())
+		require.True(t, after.suspended["w1"] && after.suspended["w2"], "the suspensions of both processes are kept")
 	})
-	// Two changes within one tick of the file system's clock, the second in the first one's inode.
-	t.Run("it looks as before", func(t *testing.T) {
+	// Two changes within one tick of the file system's clock, with the same modification time and
+	// inode.
+	t.Run("same modification time", func(t *testing.T) {
 		path, next, c, _ := both(t)
 		require.NoError(t, c.Suspend("w1"))
 		at, err := os.Stat(path)
 		require.NoError(t, err)
 		require.NoError(t, writeFile(path, `{"suspended":["w2"],"version":9}`))
 		require.NoError(t, os.Chtimes(path, at.ModTime(), at.ModTime()))
-		require.NoError(t, c.follow())
+		require.NoError(t, c.reload())
 		require.Equal(t, logic.Draining, next.last("w2"))
 	})
 }
@@ -181,9 +185,10 @@
 
 func writeFile(path, text string) error { return os.WriteFile(path, []byte(text), 0o600) }
 
-// A worker that a whole list no longer names has gone: a change of who is out must not bring it back.
-func TestGoneWorkerIsNotHandedOnAgain(t *testing.T) {
-	next := &taken{}
+// A worker that a complete list no longer contains has left: a change of the set must not bring it
+// back.
+func TestGoneWorkerIsNotForwardedAgain(t *testing.T) {
+	next := &recorder{}
 	g := NewGate(next)
 	g.Discovered([]router.Member{member("w1", logic.Ready, 0), member("w2", logic.Ready, 0)}, true)
 	g.Set(map[string]float64{"w1": 0, "w2": 0.5})
@@ -194,12 +199,12 @@
 	calls := len(next.lists)
 	g.Set(nil)
 	require.Len(t, next.lists, calls+1)
-	require.Len(t, next.lists[calls], 1, "w2 alone")
+	require.Len(t, next.lists[calls], 1, "only w2")
 	require.True(t, g.Known("w1"))
 }
 
-// Consoles of several processes that change the file in one instant lose none of the changes, and versions only grow.
-func TestConsolesInOneInstantLoseNothing(t *testing.T) {
+// Concurrent changes by several processes are all kept, and versions only increase.
+func TestConcurrentConsolesLoseNoChange(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "set.json")
 	const processes, each = 4, 12
 	var all []router.Member
@@ -211,7 +216,7 @@
 	}
 	var done sync.WaitGroup
 	for p := range processes {
-		c := New(&taken{}, path, quiet())
+		c := New(&recorder{}, path, quiet())
 		last := uint64(0)
 		c.OnChange(func(v uint64) {
 			if v < last {
@@ -235,10 +240,11 @@
 	require.EqualValues(t, processes*each, version, "one version for each change")
 }
 
-// A file of a process that does not count is a version of its own.
-func TestSetsWithoutAVersionCountOn(t *testing.T) {
+// A file without a version, as a process without version support writes it, counts as the next
+// version.
+func TestSetsWithoutVersionContinueCounting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "set.json")
-	c := New(&taken{}, path, quiet())
+	c := New(&recorder{}, path, quiet())
 	var seen []uint64
 	c.OnChange(func(v uint64) { seen = append(seen, v) })
 	c.Discovered([]router.Member{member("w1", logic.Ready, 0)}, true)
@@ -246,7 +252,7 @@
 	require.NoError(t, os.WriteFile(path+".new", []byte(`{"suspended":[]}`), 0o600))
 	require.NoError(t, os.Rename(path+".new", path))
 	c.mu.Lock()
-	require.NoError(t, c.follow())
+	require.NoError(t, c.reload())
 	c.mu.Unlock()
 	require.Equal(t, []uint64{0, 1, 2}, seen)
 }
--- a/cordon/gate.go
+++ b/cordon/gate.go
@@ -9,56 +9,57 @@
 	"lichenshelf/router"
 )
 
-// Gate stands between a list of workers and its taker. It keeps each worker's last
-// line, and hands on those that get only a part of their traffic: as draining where
-// that is 0, with less weight where it is less than 1. It is safe for use from any
-// goroutine.
+// Gate sits between a list of workers and its taker. It keeps the last state of each worker, and
+// forwards workers that get only a share of their traffic: as draining for a share of 0, with a
+// reduced weight for a share below 1. It is safe for concurrent use.
 type Gate struct {
 	next Taker
 
-	mu    sync.Mutex
-	last  map[string]router.Member
-	parts map[string]float64 // of the workers that do not get all
+	mu     sync.Mutex
+	last   map[string]router.Member
+	shares map[string]float64 // of the workers with less than their full traffic
 }
 
-// NewGate returns a gate before next through which all goes.
+// NewGate returns a gate in front of next that gives all workers their full traffic.
 func NewGate(next Taker) *Gate {
-	return &Gate{next: next, last: map[string]router.Member{}, parts: map[string]float64{}}
+	return &Gate{next: next, last: map[string]router.Member{}, shares: map[string]float64{}}
 }
 
-// Discovered implements Taker.
+// Discovered implements Taker. It forwards the members, adjusted by their shares.
 func (g *Gate) Discovered(members []router.Member, whole bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if whole { // who is not on it has gone, and must not come back by a change here
+	// Workers missing from a complete list have left, and a later change of shares must not bring
+	// them back.
+	if whole {
 		for name, m := range g.last {
 			m.Health = logic.Gone
 			g.last[name] = m
 		}
 	}
-	handed := make([]router.Member, len(members))
+	forwarded := make([]router.Member, len(members))
 	for i, m := range members {
 		g.last[m.Name] = m
-		handed[i] = g.apply(m)
+		forwarded[i] = g.apply(m)
 	}
-	g.next.Discovered(handed, whole)
+	g.next.Discovered(forwarded, whole)
 }
 
 func (g *Gate) apply(m router.Member) router.Member {
-	part, ok := g.parts[m.Name]
+	share, ok := g.shares[m.Name]
 	switch {
 	case !ok || m.Health != logic.Ready:
-	case part <= 0:
+	case share <= 0:
 		m.Health = logic.Draining
 	case m.Weight > 0:
-		m.Weight *= part
+		m.Weight *= share
 	default:
-		m.Weight = part
+		m.Weight = share
 	}
 	return m
 }
 
-// Known tells whether a list ever held the worker.
+// Known reports whether any list has ever contained the worker.
 func (g *Gate) Known(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,7 +67,7 @@
 	return ok
 }
 
-// Lines returns the last lines of all workers that have not gone.
+// Lines returns the last state of all workers that have not left.
 func (g *Gate) Lines() []router.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -79,23 +80,23 @@
 	return out
 }
 
-// Set says which part each worker gets that does not get all, and hands on the lines
-// that this changes.
-func (g *Gate) Set(parts map[string]float64) {
+// Set replaces the shares of the workers with less than their full traffic, and forwards the
+// workers whose share changes.
+func (g *Gate) Set(shares map[string]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var changed []string
-	for name, part := range parts {
-		if was, ok := g.parts[name]; !ok || was != part {
+	for name, share := range shares {
+		if was, ok := g.shares[name]; !ok || was != share {
 			changed = append(changed, name)
 		}
 	}
-	for name := range g.parts {
-		if _, ok := parts[name]; !ok {
+	for name := range g.shares {
+		if _, ok := shares[name]; !ok {
 			changed = append(changed, name)
 		}
 	}
-	g.parts = maps.Clone(parts)
+	g.shares = maps.Clone(shares)
 	var members []router.Member
 	for _, name := range slices.Sorted(slices.Values(changed)) {
 		if m, ok := g.last[name]; ok && m.Health != logic.Gone {
