--- a/conffile/conffile_test.go
+++ b/conffile/conffile_test.go
@@ -39,9 +39,9 @@
 	}
 	f, err := read("[[source]]\nkind = \"a\"\n[[source]]\n[[source.worker]]\naddr = \"x\"\n[[source.worker]]\naddr = \"y\"\n")
 	require.NoError(t, err)
-	require.EqualError(t, f.Bad("source[1].worker[1].addr", "y", "no port"), path+`:7: source[1].worker[1].addr = "y": no port`)
-	require.EqualError(t, f.Bad("source[1].kind", "", "is missing"), path+`:3: source[1].kind = "": is missing`)
-	require.ErrorContains(t, f.Bad("name", "x", "taken"), "name")
+	require.EqualError(t, f.ValueError("source[1].worker[1].addr", "y", "no port"), path+`:7: source[1].worker[1].addr = "y": no port`)
+	require.EqualError(t, f.ValueError("source[1].kind", "", "is missing"), path+`:3: source[1].kind = "": is missing`)
+	require.ErrorContains(t, f.ValueError("name", "x", "taken"), "name")
 	_, err = Read(path+"-else", &sample{})
 	require.ErrorContains(t, err, path+"-else")
 }
--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -31,8 +31,8 @@
 // ErrUnknown means that no list from discovery has ever contained the worker.
 var ErrUnknown = errors.New("no list ever held this worker")
 
-// Taker receives the workers: a core, or a filter in front of one.
-type Taker interface {
+// MemberReceiver receives the workers: a core, or a filter in front of one.
+type MemberReceiver interface {
 	Discovered(members []router.Member, whole bool)
 }
 
@@ -71,7 +71,7 @@
 // New returns a cordon in front of next that starts with the set stored at path. A missing file is
 // an empty set. So is a file that is invalid or that can't be read within readTimeout, which is
 // logged: the router must start all the same.
-func New(next Taker, path string, log *logrus.Logger) *Cordon {
+func New(next MemberReceiver, path string, log *logrus.Logger) *Cordon {
 	c := &Cordon{gate: NewGate(next), path: path, log: log, suspended: map[string]bool{}}
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -195,7 +195,7 @@
 	require.Equal(t, logic.Draining, next.last("w1"))
 	require.Equal(t, logic.Ready, next.last("w2"))
 	g.Discovered([]router.Member{member("w2", logic.Ready, 0)}, true)
-	require.Len(t, g.Lines(), 1)
+	require.Len(t, g.Members(), 1)
 	calls := len(next.lists)
 	g.Set(nil)
 	require.Len(t, next.lists, calls+1)
--- a/cordon/gate.go
+++ b/cordon/gate.go
@@ -13,7 +13,7 @@
 // forwards workers that get only a share of their traffic: as draining for a share of 0, with a
 // reduced weight for a share below 1. It is safe for concurrent use.
 type Gate struct {
-	next Taker
+	next MemberReceiver
 
 	mu     sync.Mutex
 	last   map[string]router.Member
@@ -21,7 +21,7 @@
 }
 
 // NewGate returns a gate in front of next that gives all workers their full traffic.
-func NewGate(next Taker) *Gate {
+func NewGate(next MemberReceiver) *Gate {
 	return &Gate{next: next, last: map[string]router.Member{}, shares: map[string]float64{}}
 }
 
@@ -67,8 +67,8 @@
 	return ok
 }
 
-// Lines returns the last state of all workers that have not left.
-func (g *Gate) Lines() []router.Member {
+// Members returns the last state of all workers that have not left.
+func (g *Gate) Members() []router.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []router.Member
--- a/discovery/sources/config.go
+++ b/discovery/sources/config.go
@@ -175,7 +175,7 @@
 	for i := range c.Sources {
 		s := &c.Sources[i]
 		at := fmt.Sprintf("source[%d].", i)
-		bad := func(key string, value any, why string) error { return c.file.Bad(at+key, value, why) }
+		bad := func(key string, value any, why string) error { return c.file.ValueError(at+key, value, why) }
 		if s.Name == "" || names[s.Name] || s.Name == Own && s.Kind != KindOwn {
 			return bad("name", s.Name, "must be there, and the source's own")
 		}
@@ -202,7 +202,7 @@
 		for i := range c.Sources {
 			if s := &c.Sources[i]; s.Kind == KindOwn && slices.Contains(s.Fronts, front) {
 				if own++; own > 1 {
-					return c.file.Bad(fmt.Sprintf("source[%d].kind", i), s.Kind, "the front "+front+" has only one list of its own")
+					return c.file.ValueError(fmt.Sprintf("source[%d].kind", i), s.Kind, "the front "+front+" has only one list of its own")
 				}
 			}
 		}
@@ -390,7 +390,7 @@
 func (c *Config) Bad(name, key string, value any, why string) error {
 	for i := 0; c != nil && i < len(c.Sources); i++ {
 		if c.Sources[i].Name == name {
-			return c.file.Bad(fmt.Sprintf("source[%d].%s", i, key), value, why)
+			return c.file.ValueError(fmt.Sprintf("source[%d].%s", i, key), value, why)
 		}
 	}
 	return fmt.Errorf("source %s: %s = %v: %s", name, key, value, why)
--- a/discovery/storesource/source.go
+++ b/discovery/storesource/source.go
@@ -62,7 +62,7 @@
 		return
 	}
 	select {
-	case <-r.Settled():
+	case <-r.CaughtUp():
 	case <-time.After(settle):
 	}
 }
--- a/fleet/agent/config.go
+++ b/fleet/agent/config.go
@@ -120,11 +120,11 @@
 		at := func(key string) string { return "zone[" + strconv.Itoa(i) + "]." + key }
 		switch {
 		case z.Name == "" || names[z.Name]:
-			return f.Bad(at("name"), z.Name, "empty, or named twice")
+			return f.ValueError(at("name"), z.Name, "empty, or named twice")
 		case !(z.Read >= 0 && z.Read <= mostRate):
-			return f.Bad(at("read"), z.Read, "not from 0 to 1000000")
+			return f.ValueError(at("read"), z.Read, "not from 0 to 1000000")
 		case !(z.Write >= 0 && z.Write <= mostRate):
-			return f.Bad(at("write"), z.Write, "not from 0 to 1000000")
+			return f.ValueError(at("write"), z.Write, "not from 0 to 1000000")
 		}
 		names[z.Name] = true
 	}
@@ -132,18 +132,18 @@
 		at := func(key string) string { return "zone_link[" + strconv.Itoa(i) + "]." + key }
 		switch {
 		case !names[l.From]:
-			return f.Bad(at("from"), l.From, "none of the zones listed")
+			return f.ValueError(at("from"), l.From, "none of the zones listed")
 		case !names[l.To] || l.To == l.From:
-			return f.Bad(at("to"), l.To, "none of the zones listed, or the same")
+			return f.ValueError(at("to"), l.To, "none of the zones listed, or the same")
 		case !(l.Far >= 0 && l.Far <= 1):
-			return f.Bad(at("far"), l.Far, "not from 0 to 1")
+			return f.ValueError(at("far"), l.Far, "not from 0 to 1")
 		case !(l.Room <= mostRate):
-			return f.Bad(at("room"), l.Room, "over 1000000")
+			return f.ValueError(at("room"), l.Room, "over 1000000")
 		}
 	}
 	for i, r := range c.Routers {
 		if len(c.Zones) > 0 && !names[r.Zone] {
-			return f.Bad("router["+strconv.Itoa(i)+"].zone", r.Zone, "none of the zones listed")
+			return f.ValueError("router["+strconv.Itoa(i)+"].zone", r.Zone, "none of the zones listed")
 		}
 	}
 	s := &c.Shift
@@ -170,7 +170,7 @@
 		{"shift.fade", s.Fade, s.Fade.Duration <= 0 || s.Fade.Duration > time.Hour, "not over 0 and up to 1h"},
 	} {
 		if k.bad {
-			return f.Bad(k.key, k.value, k.why)
+			return f.ValueError(k.key, k.value, k.why)
 		}
 	}
 	return nil
@@ -233,9 +233,9 @@
 		at := func(key string) string { return "router[" + strconv.Itoa(i) + "]." + key }
 		switch {
 		case r.Name == "" || names[r.Name]:
-			return nil, f.Bad(at("name"), r.Name, "empty, or another router's")
+			return nil, f.ValueError(at("name"), r.Name, "empty, or another router's")
 		case badAddr(r.Addr) || addrs[r.Addr]:
-			return nil, f.Bad(at("addr"), r.Addr, "not host:port, or another router's")
+			return nil, f.ValueError(at("addr"), r.Addr, "not host:port, or another router's")
 		}
 		names[r.Name], addrs[r.Addr] = true, true
 		if r.Name == c.Self && c.Listen == "" {
@@ -277,7 +277,7 @@
 		{"cold_per_s", c.Cold, !(c.Cold >= 0 && c.Cold <= mostRate), "not from 0 to 1000000"},
 	} {
 		if k.bad {
-			return nil, f.Bad(k.key, k.value, k.why)
+			return nil, f.ValueError(k.key, k.value, k.why)
 		}
 	}
 	return c, c.badZones(f)
--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -53,7 +53,7 @@
 }
 
 // Take returns what stands before the core: what lists workers tells it instead.
-func (f *Front) Take(core Core) cordon.Taker {
+func (f *Front) Take(core Core) cordon.MemberReceiver {
 	f.core, f.gate = core, cordon.NewGate(core)
 	if f.trail != nil {
 		f.gate = cordon.NewGate(&noted{core: core, front: f, out: map[string]bool{}, known: map[string]int64{}})
@@ -75,7 +75,7 @@
 	known map[string]int64 // the incarnation of each worker that is listed
 }
 
-// Discovered implements cordon.Taker. What is taken out is noted once the core's senders know;
+// Discovered implements cordon.MemberReceiver. What is taken out is noted once the core's senders know;
 // what comes back, before they do.
 func (n *noted) Discovered(members []router.Member, whole bool) {
 	grace, listed := n.front.cfg.Settings.DrainGrace, map[string]bool{}
@@ -123,7 +123,7 @@
 	return out
 }
 
-// Discovered implements cordon.Taker. A cold worker's budget is there before the core
+// Discovered implements cordon.MemberReceiver. A cold worker's budget is there before the core
 // hears of the worker.
 func (f *Front) Discovered(members []router.Member, whole bool) {
 	a := f.agent
@@ -281,7 +281,7 @@
 	}
 	lists := make([][]node.Line, len(fronts))
 	for i, f := range fronts {
-		lists[i] = lines(f.gate.Lines())
+		lists[i] = lines(f.gate.Members())
 	}
 	a.mu.Lock()
 	parts, told := a.node.Confer(lists, a.now())
--- a/front/zkfront/server.go
+++ b/front/zkfront/server.go
@@ -352,7 +352,7 @@
 		}
 	} else {
 		c.session = sessionName(hello.SessionID)
-		err := s.replica.TakeSession(ctx, c.session, hello.Password, c.holder)
+		err := s.replica.AttachSession(ctx, c.session, hello.Password, c.holder)
 		if errors.Is(err, store.ErrNoSession) {
 			c.send(zkwire.Append(nil, &zkwire.ConnectResponse{Password: make([]byte, password), HasReadOnly: hello.HasReadOnly}))
 			c.finish()
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -87,7 +87,7 @@
 						return err
 					}
 					if to := c.String("to"); to != "" {
-						return client.HandOver(to)
+						return client.TransferLeadership(to)
 					}
 					leader, err := client.Leader()
 					if err != nil {
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -47,9 +47,9 @@
 	// Follow returns a channel that is closed at the next version of a configuration.
 	Follow(config string) (changed <-chan struct{}, stop func(), err error)
 	Get(path string) ([]byte, store.Stat, error)
-	Swap(ctx context.Context, path string, data []byte, version int64) error
-	Make(ctx context.Context, path string, data []byte) error
-	Drop(ctx context.Context, path string) error
+	CompareAndSet(ctx context.Context, path string, data []byte, version int64) error
+	CreateAll(ctx context.Context, path string, data []byte) error
+	DeleteIfExists(ctx context.Context, path string) error
 }
 
 // ownReplica is the replica of this process as records.
@@ -238,7 +238,7 @@
 func (p *published) write(ctx context.Context, text []byte) error {
 	old, stat, err := p.d.records.Get(p.path)
 	if errors.Is(err, store.ErrNoNode) {
-		return p.d.records.Make(ctx, p.path, text)
+		return p.d.records.CreateAll(ctx, p.path, text)
 	}
 	if err != nil {
 		return err
@@ -247,7 +247,7 @@
 	if json.Unmarshal(old, &said) == nil && said.Version > p.ack.Version {
 		return fmt.Errorf("%s acknowledges version %d there, this process goes by %d", p.ack.Router, said.Version, p.ack.Version)
 	}
-	return p.d.records.Swap(ctx, p.path, text, stat.Version)
+	return p.d.records.CompareAndSet(ctx, p.path, text, stat.Version)
 }
 
 // acknowledge tells the store what this router goes by.
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -123,7 +123,7 @@
 	return s.front
 }
 
-func (s share) before(core *router.Core) cordon.Taker {
+func (s share) before(core *router.Core) cordon.MemberReceiver {
 	if s.front == nil {
 		return core
 	}
--- a/internal/daemon/modelapi.go
+++ b/internal/daemon/modelapi.go
@@ -70,7 +70,7 @@
 	defer cancel()
 	if d.replica != nil {
 		select {
-		case <-d.replica.Settled():
+		case <-d.replica.CaughtUp():
 			return nil
 		case <-ctx.Done():
 			return fmt.Errorf("the store can't tell what is newest, for the configuration: %w", ctx.Err())
--- a/internal/daemon/straggler.go
+++ b/internal/daemon/straggler.go
@@ -150,7 +150,7 @@
 func (s *straggling) drop(ctx context.Context, node string) bool {
 	ctx, cancel := context.WithTimeout(ctx, actWait)
 	defer cancel()
-	if err := s.d.records.Drop(ctx, node); err != nil {
+	if err := s.d.records.DeleteIfExists(ctx, node); err != nil {
 		s.d.log.WithError(err).WithField("slot", node).Warn("slot not given back yet")
 		return false
 	}
@@ -166,7 +166,7 @@
 	defer cancel()
 	for i := range s.cfg.Slots() {
 		node := s.slotPath(i)
-		err := s.d.records.Make(ctx, node, []byte(s.d.records.ID()))
+		err := s.d.records.CreateAll(ctx, node, []byte(s.d.records.ID()))
 		if errors.Is(err, store.ErrNodeExists) {
 			if text, _, e := s.d.records.Get(node); e == nil && string(text) == s.d.records.ID() {
 				err = nil // asked for before, and the answer was lost
--- a/store/config.go
+++ b/store/config.go
@@ -17,14 +17,14 @@
 	}
 	for i, addr := range c.Follow {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return nil, file.Bad(fmt.Sprintf("follow.%d", i), addr, err.Error())
+			return nil, file.ValueError(fmt.Sprintf("follow.%d", i), addr, err.Error())
 		}
 	}
 	switch {
 	case len(c.Follow) > 0 && c.ID != "":
-		return nil, file.Bad("follow", c.Follow, "this router runs its own replica, "+c.ID+", and follows that one")
+		return nil, file.ValueError("follow", c.Follow, "this router runs its own replica, "+c.ID+", and follows that one")
 	case len(c.Follow) > 0 && (c.Name == "" || strings.Contains(c.Name, "/")):
-		return nil, file.Bad("name", c.Name, "a router that follows replicas needs a name without /, unique among all routers")
+		return nil, file.ValueError("name", c.Name, "a router that follows replicas needs a name without /, unique among all routers")
 	case c.ID == "":
 		return &c, nil
 	}
@@ -33,7 +33,7 @@
 	}
 	if c.ZooKeeper != "" {
 		if _, _, err := net.SplitHostPort(c.ZooKeeper); err != nil {
-			return nil, file.Bad("zookeeper", c.ZooKeeper, err.Error())
+			return nil, file.ValueError("zookeeper", c.ZooKeeper, err.Error())
 		}
 	}
 	return &c, nil
--- a/store/follower.go
+++ b/store/follower.go
@@ -173,16 +173,16 @@
 	return err
 }
 
-// Swap sets the data of a node that is at the given version, as Replica.Swap does.
-func (f *Follower) Swap(ctx context.Context, p string, data []byte, version int64) error {
+// CompareAndSet sets the data of a node that is at the given version, as Replica.Swap does.
+func (f *Follower) CompareAndSet(ctx context.Context, p string, data []byte, version int64) error {
 	return withContext(ctx, func() error {
 		return f.send(fasthttp.MethodPut, p, nodesPath+p+"?version="+strconv.FormatInt(version, 10), data)
 	})
 }
 
-// Make creates a node that must not exist yet, and its missing parents. ErrNodeExists means that
+// CreateAll creates a node that must not exist yet, and its missing parents. ErrNodeExists means that
 // the node exists.
-func (f *Follower) Make(ctx context.Context, p string, data []byte) error {
+func (f *Follower) CreateAll(ctx context.Context, p string, data []byte) error {
 	return withContext(ctx, func() error { return f.create(p, data) })
 }
 
@@ -197,8 +197,8 @@
 	return f.change(fasthttp.MethodPost, p, data)
 }
 
-// Drop removes a node. It returns nil if the node does not exist.
-func (f *Follower) Drop(ctx context.Context, p string) error {
+// DeleteIfExists removes a node. It returns nil if the node does not exist.
+func (f *Follower) DeleteIfExists(ctx context.Context, p string) error {
 	err := withContext(ctx, func() error { return f.change(fasthttp.MethodDelete, p, nil) })
 	if errors.Is(err, ErrNoNode) {
 		return nil
--- a/store/leader.go
+++ b/store/leader.go
@@ -14,11 +14,11 @@
 // ErrNoReplica means that a name is not that of a replica.
 var ErrNoReplica = errors.New("no such replica")
 
-// HandOver transfers leadership to another replica, as before this one is stopped for long. It
+// TransferLeadership transfers leadership to another replica, as before this one is stopped for long. It
 // returns ErrNotLeader if this replica is not the leader, ErrNoReplica if the name is not that of a
 // peer, and another error if the other replica does not take over within an election time-out; this
 // replica remains the leader then.
-func (r *Replica) HandOver(to string) error {
+func (r *Replica) TransferLeadership(to string) error {
 	for _, p := range r.cfg.Peers {
 		switch {
 		case p.ID != to:
@@ -47,7 +47,7 @@
 		return reply(ctx, fasthttp.StatusOK, map[string]string{"leader": p.ID})
 	case ctx.IsPost():
 		ctx.SetStatusCode(fasthttp.StatusNoContent)
-		return a.replica.HandOver(string(ctx.QueryArgs().Peek("to")))
+		return a.replica.TransferLeadership(string(ctx.QueryArgs().Peek("to")))
 	}
 	return errMethod
 }
@@ -65,8 +65,8 @@
 	return l.Leader, nil
 }
 
-// HandOver transfers leadership to a replica.
-func (c *Client) HandOver(to string) error {
+// TransferLeadership transfers leadership to a replica.
+func (c *Client) TransferLeadership(to string) error {
 	uri := fasthttp.AcquireURI()
 	defer fasthttp.ReleaseURI(uri)
 	uri.SetPath(leaderPath)
--- a/store/publish.go
+++ b/store/publish.go
@@ -158,16 +158,16 @@
 	return resultError(r.propose(ctx, command{Op: opPut, Path: path, Data: data}))
 }
 
-// Swap sets the data of a node that is at the given version, at the leader. A call with an unknown
+// CompareAndSet sets the data of a node that is at the given version, at the leader. A call with an unknown
 // outcome that is applied late does not overwrite later writes. ErrBadVersion means that the node
 // is at another version.
-func (r *Replica) Swap(ctx context.Context, path string, data []byte, version int64) error {
+func (r *Replica) CompareAndSet(ctx context.Context, path string, data []byte, version int64) error {
 	return resultError(r.propose(ctx, command{Op: opSet, Path: path, Data: data, Version: version}))
 }
 
-// Make creates a node that must not exist yet, and its missing parents, at the leader.
+// CreateAll creates a node that must not exist yet, and its missing parents, at the leader.
 // ErrNodeExists means that the node exists.
-func (r *Replica) Make(ctx context.Context, p string, data []byte) error {
+func (r *Replica) CreateAll(ctx context.Context, p string, data []byte) error {
 	err := resultError(r.propose(ctx, command{Op: opCreate, Path: p, Data: data}))
 	if errors.Is(err, ErrNoNode) { // the parent is missing
 		if err := r.Put(ctx, path.Dir(p), nil); err != nil {
@@ -178,8 +178,8 @@
 	return err
 }
 
-// Drop removes a node, at the leader. It returns nil if the node does not exist.
-func (r *Replica) Drop(ctx context.Context, p string) error {
+// DeleteIfExists removes a node, at the leader. It returns nil if the node does not exist.
+func (r *Replica) DeleteIfExists(ctx context.Context, p string) error {
 	err := resultError(r.propose(ctx, command{Op: opRemove, Path: p, Version: AnyVersion}))
 	if errors.Is(err, ErrNoNode) {
 		return nil
--- a/store/replica.go
+++ b/store/replica.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// Settled returns a channel that is closed once Current reports true.
-func (r *Replica) Settled() <-chan struct{} { return r.caughtUp }
+// CaughtUp returns a channel that is closed once Current reports true.
+func (r *Replica) CaughtUp() <-chan struct{} { return r.caughtUp }
 
 // IsLeader reports whether this replica takes writes.
 func (r *Replica) IsLeader() bool { return r.raft.State() == raft.Leader }
