--- a/logic/api.go
+++ b/logic/api.go
@@ -1,22 +1,23 @@
-// Package logic decides, for one gateway in front of a disaggregated model
-// service, which reader reads a prompt and which writer streams its answer.
+// Package logic decides, for one gateway in front of a disaggregated model service, which reader
+// reads a prompt and which writer streams its answer.
 //
-// This file is the interface: settings, events and actions. It decides nothing.
+// The interface of the package is in this file: settings, events and actions. It contains no
+// decisions.
 package logic
 
 import "time"
 
-// Time is a reading of the caller's clock in nanoseconds from an arbitrary start.
+// Time is a reading of the caller's clock, in nanoseconds since an arbitrary start.
 type Time int64
 
-// ServerID, RequestID and Key are opaque; the zero Key means none.
+// ServerID, RequestID and Key are opaque identifiers. The zero Key means none.
 type (
 	ServerID  uint32
 	RequestID uint64
 	Key       uint64
 )
 
-// Role is what a kind of server can do.
+// Role is the work that a kind of server can do.
 type Role uint8
 
 // The roles of a server kind.
@@ -26,17 +27,17 @@
 	RoleBoth
 )
 
-// Effect says what running a request of a class twice would do.
+// Effect says what happens if a request of a class runs twice.
 type Effect uint8
 
 // The kinds of effect.
 const (
-	EffectRepeatable Effect = iota
-	EffectByKey
-	EffectOnce
+	EffectRepeatable Effect = iota // harmless
+	EffectByKey                    // servers of the class's group discard repeats
+	EffectOnce                     // must not run twice
 )
 
-// Group is the set of servers that discard repeats of a by-key request.
+// Group is the set of servers within which repeats of a by-key request are discarded.
 type Group uint8
 
 // The groups of a by-key class.
@@ -46,54 +47,55 @@
 	GroupCell
 )
 
-// Class holds the figures of one class of requests.
+// Class holds the parameters of one class of requests.
 type Class struct {
-	Aim          time.Duration // first token wanted within this, before the prompt's part
+	Aim          time.Duration // target time to the first token, without the prompt's part
 	AimPer1000   time.Duration // added to the aim for each 1,000 prompt tokens
-	TokenAim     time.Duration // wanted mean gap between tokens
-	Points       float64       // worth
-	LateShare    float64       // part of the worth paid after the aim
+	TokenAim     time.Duration // target mean time between tokens
+	Points       float64       // value of an answer within the aim
+	LateShare    float64       // fraction of the value that remains after the aim
 	Effect       Effect
 	Group        Group
 	RepeatWindow time.Duration // how long a group remembers a by-key request
 }
 
-// Tenant holds one tenant's share.
+// Tenant holds the quota of one tenant.
 type Tenant struct {
-	QuotaPerSecond float64 // over all gateways together; 0 means none stated
+	QuotaPerSecond float64 // requests over all gateways together; 0: no quota
 }
 
-// Kind holds the figures of one kind of server.
+// Kind holds the parameters of one kind of server.
 type Kind struct {
 	Role         Role
-	MemoryTokens float64 // 0 means not stated
+	MemoryTokens float64 // 0: unknown
 }
 
-// Settings are what a deployment states once, at the start of an instance.
+// Settings holds the configuration of a deployment, given once when an instance is created. Retune
+// replaces parts of it later.
 type Settings struct {
-	Gateways       int // how many instances share the fleet
-	Zone           int // the zone of this instance
+	Gateways       int // number of instances that share the fleet
+	Zone           int // zone of this instance
 	Classes        []Class
 	Tenants        []Tenant
 	Kinds          []Kind
-	WritersRead    bool // a writer without a state reads the prompt itself
-	Weights        bool // a server's share of the traffic goes with its Weight, 1 being a usual one
+	WritersRead    bool // a writer without a read state reads the prompt itself
+	Weights        bool // distribute traffic by Member.Weight, 1 being an ordinary server
 	CancelAllowed  bool
-	RetryAfter     bool // clients are told when to come back
+	RetryAfter     bool // refusals tell clients when to retry
 	MaxRetryAfter  time.Duration
 	MaxAttempts    int
 	ConnectTimeout time.Duration
-	OverShareWorth float64       // worth of traffic past a tenant's quota
-	DrainGrace     time.Duration // sends to a leaving server must have ceased by then
-	ColdShare      float64       // part of its capacity a fresh server has at least
-	WarmWithin     time.Duration
-	FallMultiple   float64 // of present capacity, for FallAfter: a cold server falls over
-	FallAfter      time.Duration
-	Resume         bool          // a client comes again for the rest of a stream that broke
-	ReleaseWithin  time.Duration // a held state must be used or released within this
+	OverShareWorth float64       // relative value of traffic beyond a tenant's quota
+	DrainGrace     time.Duration // sends to a leaving server must have ceased within this
+	ColdShare      float64       // minimum fraction of its capacity that a newly started server has
+	WarmWithin     time.Duration // a newly started server reaches full capacity within this
+	FallMultiple   float64       // a cold server fails under this multiple of its present capacity
+	FallAfter      time.Duration // if the overload lasts this long
+	Resume         bool          // clients reconnect for the rest of a broken stream
+	ReleaseWithin  time.Duration // a held read state must be used or released within this
 }
 
-// Health is what the list of servers says of one.
+// Health is the state of a server in the server list.
 type Health uint8
 
 // The listed states of a server.
@@ -103,7 +105,7 @@
 	Gone
 )
 
-// Member is one line of the list of servers.
+// Member is one entry of the server list.
 type Member struct {
 	Server ServerID
 	Weight float64
@@ -111,29 +113,29 @@
 	Zone   int
 	Kind   int
 	Health Health
-	Since  Time // its latest start, by the list's clock; 0 means long ago
-	Began  Time // the same by the caller's clock; 0: that is the list's
+	Since  Time // latest start, by the list's clock; 0: long ago
+	Began  Time // latest start, by the caller's clock; 0: same as Since
 }
 
-// Status is how an attempt ended.
+// Status is the outcome of an attempt.
 type Status uint8
 
-// The ways an attempt ends.
+// The outcomes of an attempt.
 const (
 	Served Status = iota
 	ServerError
-	Full // never ran: no room, or with Kept 1 no state to fetch
+	Full // not run: no room, or, if Kept is 1, no read state to fetch
 	TimedOut
 	ConnectFailed
 	ConnectionReset
 	Cancelled
 	NotSent
-	PromptRead // the state waits at the reader
-	Rejected   // the server found fault with the request itself: it has not run, and no other server would take it
+	PromptRead // the read state is held at the reader
+	Rejected   // the request itself is invalid: it has not run, and no server would accept it
 )
 
-// Answered tells whether the server itself has answered, so that it had the request. Nothing else proves
-// that.
+// Answered reports whether the server itself has answered, which is the only proof that it received
+// the request.
 func (s Status) Answered() bool {
 	switch s {
 	case Served, ServerError, Full, PromptRead, Rejected:
@@ -142,7 +144,7 @@
 	return false
 }
 
-// EventKind tells which fields of an Event are set.
+// EventKind says which fields of an Event are set.
 type EventKind uint8
 
 // The kinds of event.
@@ -153,27 +155,27 @@
 	AttemptEnded                    // ID, Server, Latency, Status, Closed, Kept, Stale, Unreached, Load
 	ClientLeft                      // ID
 	TimerFired                      // Token
-	LoadTold                        // Server, Load: as others tell of it
-	Closing                         // Latency: the instance gives up what is in hand so much later, with 0 now
+	LoadTold                        // Server, Load: a load report that other routers passed on
+	Closing                         // Latency: the instance ends open requests after this; 0: now
 )
 
-// Request is a prompt as it arrives.
+// Request is an arriving prompt.
 type Request struct {
 	ID           RequestID
 	Class        int
 	Tenant       int
 	Session      Key
-	Prefix       Key     // beginning shared with other sessions
+	Prefix       Key     // prefix shared with other sessions
 	PromptTokens float64 // whole prompt
-	PrefixTokens float64 // part of it in the shared beginning
-	MaxTokens    float64 // most that the answer may hold
+	PrefixTokens float64 // part of the prompt that is in the shared prefix
+	MaxTokens    float64 // maximum length of the answer
 	AnswerHint   time.Duration
 	Hinted       bool // AnswerHint is valid
-	Resumed      bool // comes again after its stream broke or was moved
+	Resumed      bool // repeated after its stream broke or was moved
 	Patience     time.Duration
 }
 
-// Load is a server's own report, late and noisy.
+// Load is a server's own load report, which is delayed and noisy.
 type Load struct {
 	HasMemory   bool
 	MemoryShare float64
@@ -181,7 +183,7 @@
 	UnreadToken float64
 }
 
-// Event is something the gateway has seen.
+// Event is something that the gateway has observed.
 type Event struct {
 	Kind    EventKind
 	Whole   bool // Members is the complete list
@@ -193,23 +195,23 @@
 	Latency time.Duration
 	Status  Status
 	Closed  bool   // the request has its final answer
-	Kept    uint32 // prompt tokens found kept; 1 with Full: no state
-	Stale   bool   // ConnectionReset of a connection that had been kept: the server may be well
-	// Unreached says that the attempt never reached its server: what is held for the request
-	// has been held all the while, and it does not count towards the bound on attempts.
+	Kept    uint32 // prompt tokens found in the server's cache; 1 with Full: no read state
+	Stale   bool   // ConnectionReset of a reused connection: the server may be healthy
+	// Unreached says that the attempt never reached its server: a read state held for the request
+	// has been held throughout, and the attempt does not count towards MaxAttempts.
 	Unreached bool
 	Load      Load
 	Token     uint64
 }
 
-// ActionKind tells which fields of an Action are set.
+// ActionKind says which fields of an Action are set.
 type ActionKind uint8
 
 // The kinds of action.
 const (
 	Send     ActionKind = iota // ID, Server, After as time-out, SendWithin
 	CallOff                    // ID, Attempt
-	Refuse                     // ID, After as come-back advice, Why
+	Refuse                     // ID, After as retry advice, Why
 	Fail                       // ID, Why
 	Release                    // ID
 	Move                       // ID
@@ -217,43 +219,43 @@
 	Log                        // Text
 )
 
-// Why says for what reason a request is refused or failed.
+// Why is the reason for refusing or failing a request.
 type Why uint8
 
 // The reasons.
 const (
-	WhyNone       Why = iota
-	WhyNotSent        // the caller would not send it
-	WhyRejected       // a server found fault with it
-	WhyTriesSpent     // all its attempts have been made
-	WhyTimeOver       // its client's time is
-	WhyMayHaveRun     // and it must not run twice, or not any more
-	WhyQueue          // it would wait too long at the best server
-	WhyNoServer       // none may take it now, and its time or that of its state is over
-	WhyClosing        // the instance ends
+	WhyNone             Why = iota
+	WhyNotSent              // the caller did not send it
+	WhyRejected             // a server rejected the request itself
+	WhyAttemptsSpent        // all attempts have been made
+	WhyDeadlineExceeded     // the client's time is over
+	WhyMayHaveRun           // it may have run, and must not, or can no longer, be repeated
+	WhyQueue                // the expected wait at the best server is too long
+	WhyNoServer             // no server was available before the request or its read state expired
+	WhyClosing              // the instance is closing
 )
 
 var whys = [...]string{"none", "not_sent", "rejected", "tries_spent", "time_over", "may_have_run", "queue", "no_server", "closing"}
 
-// String is the reason's name in logs and counters.
+// String returns the name of the reason in logs and metrics.
 func (w Why) String() string { return whys[w] }
 
-// Action is something the gateway must do, in the order given.
+// Action is something that the gateway must do. Actions are executed in the given order.
 type Action struct {
 	Kind       ActionKind
 	ID         RequestID
 	Attempt    int
 	Server     ServerID
 	After      time.Duration
-	SendWithin time.Duration // the request's last byte must have gone out within this; 0: no bound
+	SendWithin time.Duration // the request's last byte must be sent within this; 0: no limit
 	Token      uint64
 	Text       string
 	Why        Why
 }
 
-// Decider is one gateway's decisions. It is not safe for concurrent use;
-// instances share nothing.
+// Decider makes the decisions of one gateway. It is not safe for concurrent use; instances share
+// nothing.
 type Decider interface {
-	// Handle takes what was seen at now and appends what to do to actions.
+	// Handle processes the events observed at now and appends the resulting actions to actions.
 	Handle(now Time, events []Event, actions []Action) []Action
 }
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -1,211 +1,219 @@
 package logic
 
-// This file: an attempt from its start to what follows from its end.
-
 import (
 	"math"
 	"time"
 )
 
 const (
-	callOffPart = 0.3         // part of the aim that every attempt gets before it is called off
-	fullBacklog = time.Second // backlog that a 'full' stands for
+	minAttemptAimShare = 0.3         // part of the aim that each attempt gets before cancellation
+	fullBacklog        = time.Second // backlog assumed at a server that answers Full
 )
 
-// send starts the one attempt of a request, charges it, and budgets its time-out.
+// send starts the only attempt of a request, charges it to the server and sets its time-out.
 func (g *Gateway) send(r *request, s *server) {
 	if g.assumedWarmth(s) < 1 {
 		s.coldCredits--
 	}
-	if s.suspectUntil != 0 && g.now >= s.suspectUntil { // its trial: one at a time
+	if s.suspectUntil != 0 && g.now >= s.suspectUntil { // this is its trial: one at a time
 		s.suspectUntil = g.now + Time(firstBackoff)
 	}
 	r.charge, r.queuedAhead = 0, 0
 	if r.reader == nil {
-		r.charge, r.queuedAhead = g.missing(r, s), g.pending(s)+g.reported(s)
+		r.charge, r.queuedAhead = g.uncachedTokens(r, s), g.pendingLoad(s)+g.peerLoad(s)
 		s.pendingTokens += r.charge
 		s.record(r, g.now)
 	}
-	r.phase = reading
+	r.phase = phaseReading
 	if s.role != RoleRead {
-		r.phase = writing
+		r.phase = phaseWriting
 		s.streams++
-		s.tokens += r.memory
-		s.since += r.memory
+		s.ownTokens += r.memory
+		s.tokensSinceReport += r.memory
 	}
 	if s.waiting == 0 {
-		s.lastSignAt = g.now
+		s.lastActivityAt = g.now
 	}
 	s.waiting++
-	r.out, r.called, r.server, r.sentAt, r.check = true, false, s, g.now, math.MaxInt64
+	r.inFlight, r.cancelled, r.server, r.sentAt, r.checkAt = true, false, s, g.now, math.MaxInt64
 	r.sends++
-	g.do(Action{Kind: Send, ID: r.ID, Server: s.Server, After: g.budget(r, s), SendWithin: g.sendWithin(r)})
-	g.armRelease(r)
+	g.emit(Action{Kind: Send, ID: r.ID, Server: s.Server,
+		After: g.attemptTimeout(r, s), SendWithin: g.sendWithin(r)})
+	g.setReleaseTimer(r)
 }
 
-// budget is the time-out of an attempt: past all that is usual and a good part of the aim, if another try
-// can still make it then. A server that is at work on other requests is slow, not silent: cutting it off
-// would only have the prompt read twice. So where calls may be called off, this is for the silent alone.
-func (g *Gateway) budget(r *request, s *server) time.Duration {
-	left := after(g.now, r.deadline)
-	p, _ := g.stage(r, s)
-	// Nothing may be kept there. What is called off at a writer loses its place, and waits as long at the next.
-	d := seconds(p.unusual(r.PromptTokens+r.queuedAhead+baseTokens)) + quietFloor
+// attemptTimeout returns the time-out of an attempt: beyond all usual durations and a good part of
+// the aim, if another attempt can still be made then. A server that works on other requests is
+// slow, not silent: cancelling would only have the prompt read twice. So where attempts can be
+// cancelled, a timer does so at silent servers only.
+func (g *Gateway) attemptTimeout(r *request, s *server) time.Duration {
+	left := between(g.now, r.deadline)
+	p, _ := g.speedFor(r, s)
+	// Assumes an empty cache. A request cancelled at a writer loses its place, and waits as long at
+	// the next.
+	d := seconds(p.outlierSeconds(r.PromptTokens+r.queuedAhead+overheadTokens)) + attemptMargin
 	if r.reader != nil {
-		d += seconds(2 * g.waitAt(s.role))
+		d += seconds(2 * g.recentWait(s.role))
 	}
-	d = max(d, time.Duration(callOffPart*float64(r.aim)))
-	// What must not run twice is not called off once it may run: nothing could be tried after it.
-	last := r.sends-r.unreached >= r.most || s.role != RoleRead && g.class(r).Effect == EffectOnce
+	d = max(d, time.Duration(minAttemptAimShare*float64(r.aim)))
+	// What must not run twice is not cancelled once it may run: no other attempt could follow.
+	last := r.sends-r.unreached >= r.maxAttempts || s.role != RoleRead && g.class(r).Effect == EffectOnce
 	if d > left/2 || last {
 		d = left
-	} else if g.set.CancelAllowed {
-		r.check = g.now + Time(d)
-		g.arm(r, d)
+	} else if g.settings.CancelAllowed {
+		r.checkAt = g.now + Time(d)
+		g.setTimer(r, d)
 		d = left
 	}
 	return max(d, time.Millisecond)
 }
 
-// stage is the pace that an attempt goes by, and the tokens that it is worth there.
-func (g *Gateway) stage(r *request, s *server) (*pace, float64) {
+// speedFor returns the speed estimate for an attempt, and the number of tokens that it amounts to.
+func (g *Gateway) speedFor(r *request, s *server) (*speedEstimate, float64) {
 	if r.reader != nil {
-		return &g.fetch, r.PromptTokens + baseTokens
+		return &g.fetchSpeed, r.PromptTokens + overheadTokens
 	}
-	return &g.reads[s.Kind], r.charge + r.queuedAhead + baseTokens
+	return &g.readSpeeds[s.Kind], r.charge + r.queuedAhead + overheadTokens
 }
 
 func (g *Gateway) started(e *Event) {
 	r := g.requests[e.ID]
-	if r == nil || !r.out || r.phase != writing {
+	if r == nil || !r.inFlight || r.phase != phaseWriting {
 		return
 	}
-	r.settle()
-	g.takeReport(r.server, e.Load)
-	g.learn(r, r.server, e.Latency)
-	r.phase = streaming
-	g.delay.average(g.now, g.waitSpan(), math.Max(0, after(r.arrived, g.now).Seconds()-r.need), 0.02)
+	r.refundCharge()
+	g.applyReport(r.server, e.Load)
+	g.observeAttempt(r, r.server, e.Latency)
+	r.phase = phaseStreaming
+	g.firstTokenDelay.average(g.now, g.waitTimeConstant(),
+		math.Max(0, between(r.arrived, g.now).Seconds()-r.serviceSeconds), 0.02)
 	if r.reader == nil {
 		r.server.record(r, g.now)
 	}
-	r.reader, r.released = nil, false // the answer's beginning lets go of the rest
+	r.reader, r.released = nil, false // the start of the answer ends the held read state
 }
 
-// learn compares an attempt's time with the pace of its kind. A wait for a writer is all of its time.
-func (g *Gateway) learn(r *request, s *server, took time.Duration) {
-	s.served(g.now)
-	g.settleStage(r, true)
-	p, tok := g.stage(r, s)
-	sec, want := took.Seconds(), p.seconds(tok)
-	if p.n > 0 {
-		g.sample(s, sec/want)
+// observeAttempt compares an attempt's duration with the speed of its kind. At a writer all of it
+// is a wait.
+func (g *Gateway) observeAttempt(r *request, s *server, took time.Duration) {
+	s.markServing(g.now)
+	g.settleStageCount(r, true)
+	p, tok := g.speedFor(r, s)
+	sec, expected := took.Seconds(), p.seconds(tok)
+	if p.samples > 0 {
+		g.observeSlowdown(s, sec/expected)
 	}
 	if r.reader != nil {
-		want = 0
+		expected = 0
 	}
-	if r.reader != nil || g.peers > 0 {
-		g.waited(s.role, sec-want)
+	if r.reader != nil || g.peerCount > 0 {
+		g.observeWait(s.role, sec-expected)
 	}
-	if r.reader == nil || !g.reports || g.share(s) < roomShare { // a wait for room is no pace
+	// A wait for room says nothing about speed.
+	if r.reader == nil || !g.memoryReported || g.memoryShare(s) < maxMemoryShare {
 		p.observe(tok, sec)
 	}
 }
 
-// unanswered takes an attempt without an outcome of its own for one that took so long at least.
-func (g *Gateway) unanswered(r *request, s *server) {
-	p, tok := g.stage(r, s)
-	sec := after(r.sentAt, g.now).Seconds()
-	most := p.seconds(tok) * (p.ratio + strayTimes/2*p.dev)
-	if sec < most { // its client's time was short, which says nothing of the server
+// observeUnanswered records an attempt without an outcome of its own as one that took at least as
+// long.
+func (g *Gateway) observeUnanswered(r *request, s *server) {
+	p, tok := g.speedFor(r, s)
+	sec := between(r.sentAt, g.now).Seconds()
+	outlier := p.seconds(tok) * (p.ratio + outlierDeviations/2*p.dev)
+	if sec < outlier { // the client's time was short, which says nothing about the server
 		return
 	}
-	// Beside many answers that come at once, one that does not is lost; in a jam it is a longer wait.
-	bound := (2*g.waitAt(s.role) + quietFloor.Seconds()) / (1 - g.unseenShare)
-	g.waited(s.role, math.Min(sec-p.seconds(tok), bound))
-	g.sample(s, sec/p.seconds(tok))
-	p.stray(tok, most)            // a jam raises the time-outs by and by; silent servers must not do so at once
-	if s.lastSignAt <= r.sentAt { // nothing at all since: silent, not just slow
+	// Beside many fast answers a missing one is lost; in a jam it is a longer wait.
+	bound := (2*g.recentWait(s.role) + attemptMargin.Seconds()) / (1 - g.unseenShare)
+	g.observeWait(s.role, math.Min(sec-p.seconds(tok), bound))
+	g.observeSlowdown(s, sec/p.seconds(tok))
+	// A jam raises the time-outs gradually; silent servers must not do so at once.
+	p.observeRatio(tok, outlier)
+	if s.lastActivityAt <= r.sentAt { // no activity since: silent, not just slow
 		g.suspect(s)
 	}
 }
 
 func (g *Gateway) ended(e *Event) {
 	r := g.requests[e.ID]
-	if r == nil || !r.out {
+	if r == nil || !r.inFlight {
 		return
 	}
 	s, was := r.server, r.phase
-	r.free(g.now, e.Unreached)
-	g.takeReport(s, e.Load)
-	if was != streaming {
-		r.settle()
+	r.finishAttempt(g.now, e.Unreached)
+	g.applyReport(s, e.Load)
+	if was != phaseStreaming {
+		r.refundCharge()
 	}
-	if was != reading {
+	if was != phaseReading {
 		s.streams--
-		s.tokens = math.Max(0, s.tokens-r.memory)
+		s.ownTokens = math.Max(0, s.ownTokens-r.memory)
 	}
-	g.judge(r, s, e)
-	g.settleStage(r, false)
+	g.assessServer(r, s, e)
+	g.settleStageCount(r, false)
 	r.closed = r.closed || e.Closed
 	noState := e.Status == Full && e.Kept == 1
-	g.settleState(r, was, e)
-	never := e.Status == Full || e.Status == ConnectFailed || e.Status == NotSent || e.Status == PromptRead
-	if was == writing && !never && !r.mayHaveRun {
+	g.settleReadState(r, was, e)
+	neverRan := e.Status == Full || e.Status == ConnectFailed ||
+		e.Status == NotSent || e.Status == PromptRead
+	if was == phaseWriting && !neverRan && !r.mayHaveRun {
 		r.mayHaveRun, r.ranAt, r.ranServer = true, r.sentAt, s
 	}
 	if e.Status != PromptRead && !noState && !e.Stale {
 		r.tried = append(r.tried, s)
-		r.failed++
+		r.failedAttempts++
 	}
 	switch {
 	case r.closed:
 		g.drop(r)
 	case e.Status == NotSent:
-		g.giveUp(r, WhyNotSent)
+		g.refuseOrFail(r, WhyNotSent)
 	case e.Status == Rejected:
-		g.giveUp(r, WhyRejected)
+		g.refuseOrFail(r, WhyRejected)
 	case e.Status == Full && !noState && r.sends > 2:
-		g.hold(r) // where all are full, asking each of them at once only adds to it
+		g.hold(r) // where all are full, trying each of them at once only adds load
 	default:
 		g.proceed(r)
 	}
 }
 
-// refusalReason tells why nothing can be sent for a request any more.
+// refusalReason returns why no further attempt can be made for a request, or WhyNone.
 func (g *Gateway) refusalReason(r *request) Why {
 	c := g.class(r)
 	switch {
 	case g.closing:
 		return WhyClosing
-	case r.sends-r.unreached >= r.most:
-		return WhyTriesSpent
-	case after(g.now, r.deadline) <= holdMargin:
-		return WhyTimeOver
+	case r.sends-r.unreached >= r.maxAttempts:
+		return WhyAttemptsSpent
+	case between(g.now, r.deadline) <= deadlineMargin:
+		return WhyDeadlineExceeded
 	case !r.mayHaveRun:
 		return WhyNone
-	case c.Effect == EffectOnce, c.Effect == EffectByKey && after(r.ranAt, g.now) >= c.RepeatWindow:
+	case c.Effect == EffectOnce, c.Effect == EffectByKey && between(r.ranAt, g.now) >= c.RepeatWindow:
 		return WhyMayHaveRun
 	}
 	return WhyNone
 }
 
-// proceed takes a request with no attempt out on: to a writer with its state, or to a reader.
+// proceed continues a request without an attempt in flight: at a writer with its read state, or at
+// a reader.
 func (g *Gateway) proceed(r *request) {
-	if r.reader != nil && g.sendWithin(r) < g.leastSendTime() {
-		r.reader = nil // too late to reach a writer with it: it is let go of, and the prompt read again
-		g.do(Action{Kind: Release, ID: r.ID})
+	if r.reader != nil && g.sendWithin(r) < g.minSendTime() {
+		r.reader = nil // too late to reach a writer: release it and read the prompt again
+		g.emit(Action{Kind: Release, ID: r.ID})
 	}
 	if why := g.refusalReason(r); why != WhyNone {
-		g.giveUp(r, why)
+		g.refuseOrFail(r, why)
 		return
 	}
 	var s *server
-	g.survey()
+	g.updateMeans()
 	g.countAtStage(r)
 	if r.reader != nil {
 		s = g.pickWriter(r)
 	} else if s = g.pickReader(r); s != nil && g.tooLate(r, s) {
-		g.giveUp(r, WhyQueue)
+		g.refuseOrFail(r, WhyQueue)
 		return
 	}
 	if s == nil {
@@ -215,45 +223,48 @@
 	g.send(r, s)
 }
 
-// judge draws from an outcome what it says of the server.
-func (g *Gateway) judge(r *request, s *server, e *Event) {
+// assessServer updates what is known of a server by the outcome of an attempt.
+func (g *Gateway) assessServer(r *request, s *server, e *Event) {
 	switch e.Status {
 	case PromptRead:
-		r.charge = math.Max(0, r.PromptTokens-float64(e.Kept)) // a failed promise is not the server's slowness
-		g.learn(r, s, e.Latency)
-		// A shortfall of kept tokens voids nothing: what was just read is kept again, and other entries
-		// still lead their sessions back to one reader instead of scattering them over all.
+		r.charge = math.Max(0, r.PromptTokens-float64(e.Kept)) // a cache miss is not slowness
+		g.observeAttempt(r, s, e.Latency)
+		// A shortfall of cached tokens removes no entries: what was just read is cached again, and
+		// other entries still lead their sessions to one reader instead of scattering them over
+		// all.
 		s.record(r, g.now)
 	case Served:
-		s.served(g.now)
+		s.markServing(g.now)
 	case Full, Rejected:
-		if e.Unreached { // it was not even asked
+		if e.Unreached { // the server never got the request
 			break
 		}
-		if s.lastSignAt = g.now; e.Kept == 1 || e.Status == Rejected { // it has room
+		if s.lastActivityAt = g.now; e.Kept == 1 || e.Status == Rejected { // it has room
 			break
 		}
-		// Its queue is full, whatever this gateway has there: peers' work, or left behind.
-		g.waited(s.role, fullBacklog.Seconds())
-		full := s.memory // of a writer: without own streams it would look the emptiest
+		// Its queue is full, whatever this gateway has there: work of peers, or left behind.
+		g.observeWait(s.role, fullBacklog.Seconds())
+		full := s.memory // a writer without own streams would look the least loaded
 		if s.role != RoleWrite {
 			full = fullBacklog.Seconds() / g.readSeconds(s, 1)
 		}
-		s.residualTokens.add(g.now, residualFade, math.Max(0, full-s.residualTokens.value(g.now, residualFade)))
+		s.residualTokens.add(g.now, residualDecay,
+			math.Max(0, full-s.residualTokens.value(g.now, residualDecay)))
 	case TimedOut, Cancelled:
-		s.residualTokens.add(g.now, residualFade, r.charge)
-		if e.Status == TimedOut || r.called {
-			g.unanswered(r, s)
+		s.residualTokens.add(g.now, residualDecay, r.charge)
+		if e.Status == TimedOut || r.cancelled {
+			g.observeUnanswered(r, s)
 		}
 	case ConnectFailed, ConnectionReset:
-		if e.Stale { // the connection's fault
+		if e.Stale { // the connection failed, not the server
 			break
 		}
-		// A dead process keeps nothing; a path that is cut keeps it from us all the same.
-		s.kept = map[Key]entry{}
+		// A dead process has lost its cache; behind a network failure the cache is out of reach as
+		// well.
+		s.cached = map[Key]cacheEntry{}
 		g.suspect(s)
-		s.missed(g.now, e.Status == ConnectFailed, g.set.FallAfter)
+		s.markUnreachable(g.now, e.Status == ConnectFailed, g.settings.FallAfter)
 	case ServerError:
-		g.erred(s)
+		g.observeError(s)
 	}
 }
--- a/logic/choice.go
+++ b/logic/choice.go
@@ -1,37 +1,39 @@
 package logic
 
-// This file: what all choices have in common: who may be sent to at all, and in what order.
-
 import (
 	"math"
 	"slices"
 )
 
-// farWait is the wait at writers, in seconds, from which a cold one is worth a far move.
-const farWait = 0.2
+// remoteColdWait is the wait at writers, in seconds, above which a cold writer of another cell is
+// preferred.
+const remoteColdWait = 0.2
 
-const never = math.MaxInt
+// excluded is the class of servers that must not be picked.
+const excluded = math.MaxInt
 
-// pick returns the allowed server of the lowest class, and among those of the lowest cost. What was tried
-// comes later and suspects last, but none is left out: when all look bad, the least bad is chosen.
-func (g *Gateway) pick(r *request, weigh func(*server) (int, float64)) *server {
+// pick returns the allowed server of the lowest class, and of the lowest cost within it. Servers
+// that have failed the request come later and suspect servers last, but none is left out: if all
+// look bad, the least bad one is picked.
+func (g *Gateway) pick(r *request, evaluate func(*server) (int, float64)) *server {
 	var best *server
-	bestClass, bestCost := never, math.Inf(1)
-	few, jam := g.unseenShare > mostUnseen, g.waitAt(RoleWrite) > farWait
+	bestClass, bestCost := excluded, math.Inf(1)
+	sparse, writersJammed := g.unseenShare > maxUnseenShare, g.recentWait(RoleWrite) > remoteColdWait
 	for _, s := range g.servers {
 		if !g.allowed(r, s) {
 			continue
 		}
-		class, cost := weigh(s)
-		if class == never {
+		class, cost := evaluate(s)
+		if class == excluded {
 			continue
 		}
 		if slices.Contains(r.tried, s) {
 			class += 8
-		} else if few && s.fails == 0 && g.assumedWarmth(s) < 1 && (class == 0 || r.reader == nil || jam) {
-			class -= 32 // a credit that is not used lapses, and of many gateways each has few
+		} else if sparse && s.failures == 0 && g.assumedWarmth(s) < 1 &&
+			(class == 0 || r.reader == nil || writersJammed) {
+			class -= 32 // unused credits expire, and each of many gateways has few
 		}
-		if s.fails > 1 && (g.now < s.suspectUntil || r.failed > 0) || g.risky(r, s) {
+		if s.failures > 1 && (g.now < s.suspectUntil || r.failedAttempts > 0) || g.risky(r, s) {
 			class += 16
 		}
 		if class < bestClass || class == bestClass && cost < bestCost {
@@ -41,9 +43,10 @@
 	return best
 }
 
-// allowed keeps the rules: drains, cold servers, and the group of a by-key request; proceed, its window.
+// allowed reports whether the rules on draining, cold servers and the group of a by-key request let
+// r go to s. The repeat window of a by-key request is checked by proceed.
 func (g *Gateway) allowed(r *request, s *server) bool {
-	if !s.usable() || s != r.creditFreeServer && !g.coldRoom(s) || s.role == RoleRead && r.reader != nil {
+	if !s.usable() || s != r.creditFreeServer && !g.mayUseCold(s) || s.role == RoleRead && r.reader != nil {
 		return false
 	}
 	if r.mayHaveRun {
--- a/logic/cost_test.go
+++ b/logic/cost_test.go
@@ -49,14 +49,14 @@
 		now += Time(100 * time.Millisecond)
 		serve(g, now, id, nil)
 	}
-	g.Handle(now+Time(2*keepFor), []Event{{Kind: ServersChanged, Whole: true}}, nil)
+	g.Handle(now+Time(2*entryTTL), []Event{{Kind: ServersChanged, Whole: true}}, nil)
 	entries := 0
 	for _, s := range g.servers {
-		entries += len(s.kept)
+		entries += len(s.cached)
 	}
-	if len(g.requests)+len(g.homes)+len(g.servers)+len(g.byID)+entries != 0 {
+	if len(g.requests)+len(g.affinityGroups)+len(g.servers)+len(g.byID)+entries != 0 {
 		t.Errorf("%d requests, %d homes, %d servers, %d entries after all have aged out",
-			len(g.requests), len(g.homes), len(g.servers), entries)
+			len(g.requests), len(g.affinityGroups), len(g.servers), entries)
 	}
 }
 
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -6,83 +6,83 @@
 	"time"
 )
 
-// crowd is a fleet under many gateways: each decides alone, and what they send is counted together.
-type crowd struct {
+// gatewaySim is a fleet under many gateways: each decides alone, and what they send is counted together.
+type gatewaySim struct {
 	gateways []*Gateway
 	rng      *rand.Rand
 	now      Time
-	queue    map[Time][]crowdEvent
+	queue    map[Time][]simEvent
 	ids      RequestID
 	sent     map[ServerID][]Time
 	refused  int
 	// answer says how an attempt at a server ends and after how long.
-	answer func(c *crowd, s ServerID) (Status, time.Duration)
+	answer func(c *gatewaySim, s ServerID) (Status, time.Duration)
 	// draw gives the next request and the gateway that it comes by.
-	draw func(c *crowd) (gateway int, q Request)
-	// over is told of a request that was refused or failed.
-	over     func(c *crowd, gateway int, id RequestID)
-	requests map[RequestID]Request
-	doing    Action // the send that answer is asked about
+	draw func(c *gatewaySim) (gateway int, q Request)
+	// onRefused is told of a request that was refused or failed.
+	onRefused func(c *gatewaySim, gateway int, id RequestID)
+	requests  map[RequestID]Request
+	current   Action // the send that answer is asked about
 }
 
-type crowdEvent struct {
-	gateway int
-	of      *Gateway // one that has been restarted since hears no more of it
+type simEvent struct {
+	gateway  int
+	instance *Gateway // one that has been restarted since hears no more of it
 	Event
 }
 
-const crowdTick = 5 * time.Millisecond
+const simTick = 5 * time.Millisecond
 
-func newCrowd(n int, members []Member, now Time) *crowd {
-	return &crowd{gateways: gateways(n, members, now), rng: rand.New(rand.NewPCG(uint64(n), 7)), now: now,
-		queue: map[Time][]crowdEvent{}, sent: map[ServerID][]Time{},
-		answer: func(*crowd, ServerID) (Status, time.Duration) { return Served, 50 * time.Millisecond },
-		draw:   usual, over: func(*crowd, int, RequestID) {}, requests: map[RequestID]Request{}}
+func newGatewaySim(n int, members []Member, now Time) *gatewaySim {
+	return &gatewaySim{gateways: gateways(n, members, now), rng: rand.New(rand.NewPCG(uint64(n), 7)), now: now,
+		queue: map[Time][]simEvent{}, sent: map[ServerID][]Time{},
+		answer: func(*gatewaySim, ServerID) (Status, time.Duration) { return Served, 50 * time.Millisecond },
+		draw:   drawUsualRequest, onRefused: func(*gatewaySim, int, RequestID) {}, requests: map[RequestID]Request{}}
 }
 
-func (c *crowd) later(d time.Duration, gateway int, e Event) {
-	at := c.now + Time(max((d+crowdTick-1)/crowdTick, 1)*crowdTick)
-	c.queue[at] = append(c.queue[at], crowdEvent{gateway, c.gateways[gateway], e})
+func (c *gatewaySim) schedule(d time.Duration, gateway int, e Event) {
+	at := c.now + Time(max((d+simTick-1)/simTick, 1)*simTick)
+	c.queue[at] = append(c.queue[at], simEvent{gateway, c.gateways[gateway], e})
 }
 
 // handle delivers an event and acts out what the gateway does.
-func (c *crowd) handle(gateway int, e Event) {
+func (c *gatewaySim) handle(gateway int, e Event) {
 	g := c.gateways[gateway]
 	for _, a := range g.Handle(c.now, []Event{e}, nil) {
 		switch a.Kind {
 		case SetTimer:
-			c.later(a.After, gateway, Event{Kind: TimerFired, Token: a.Token})
+			c.schedule(a.After, gateway, Event{Kind: TimerFired, Token: a.Token})
 		case Refuse, Fail:
 			c.refused++
-			c.over(c, gateway, a.ID)
+			c.onRefused(c, gateway, a.ID)
 		case Send:
 			c.sent[a.Server] = append(c.sent[a.Server], c.now)
-			c.doing = a
+			c.current = a
 			status, took := c.answer(c, a.Server)
 			end := Event{Kind: AttemptEnded, ID: a.ID, Server: a.Server, Latency: took, Status: status}
 			if role := g.byID[a.Server].role; status == Served && role == RoleRead {
 				end.Status = PromptRead
 			} else if status == Served {
-				c.later(took, gateway, Event{Kind: AnswerStarted, ID: a.ID, Server: a.Server, Latency: took})
+				c.schedule(took, gateway, Event{Kind: AnswerStarted, ID: a.ID, Server: a.Server, Latency: took})
 				end.Latency += time.Second
 				end.Closed = true
 			}
-			c.later(end.Latency, gateway, end)
+			c.schedule(end.Latency, gateway, end)
 		}
 	}
 }
 
 // run lets requests arrive at so many a second, at a gateway drawn for each, half of them with one of some
 // prefixes, the first of which is the most frequent.
-func (c *crowd) run(d time.Duration, perSecond float64) {
-	for end := c.now + Time(d); c.now < end; c.now += Time(crowdTick) {
+func (c *gatewaySim) run(d time.Duration, perSecond float64) {
+	for end := c.now + Time(d); c.now < end; c.now += Time(simTick) {
 		for _, e := range c.queue[c.now] {
-			if e.of == c.gateways[e.gateway] || e.Kind == Arrived {
+			if e.instance == c.gateways[e.gateway] || e.Kind == Arrived {
 				c.handle(e.gateway, e.Event)
 			}
 		}
 		delete(c.queue, c.now)
-		if c.rng.Float64() >= perSecond*crowdTick.Seconds() {
+		if c.rng.Float64() >= perSecond*simTick.Seconds() {
 			continue
 		}
 		gateway, q := c.draw(c)
@@ -91,14 +91,14 @@
 }
 
 // ask has a request arrive, under a new number.
-func (c *crowd) ask(gateway int, q Request) {
+func (c *gatewaySim) ask(gateway int, q Request) {
 	c.ids++
 	q.ID = c.ids
 	c.requests[q.ID] = q
 	c.handle(gateway, Event{Kind: Arrived, Request: q})
 }
 
-func usual(c *crowd) (int, Request) {
+func drawUsualRequest(c *gatewaySim) (int, Request) {
 	q := Request{Session: Key(c.rng.Uint64()), PromptTokens: 2000, MaxTokens: 100, Patience: 4 * time.Second}
 	if c.rng.Float64() < 0.5 {
 		q.Prefix, q.PrefixTokens = Key(1000+20*c.rng.Float64()*c.rng.Float64()), 1500
@@ -108,13 +108,13 @@
 
 // The next turn of a session mostly comes by another gateway, which has seen other requests, and few. It must
 // meet the session's reader all the same, whether it shares its beginning with other sessions or not.
-func TestTurnsMeetWhateverGatewayTheyComeBy(t *testing.T) {
+func TestSessionTurnsReachTheSameReaderThroughAnyGateway(t *testing.T) {
 	for _, n := range []int{8, 80, 200} {
 		for _, shared := range []bool{true, false} {
 			if n < 80 && !shared { // they see enough of load to go by it
 				continue
 			}
-			c := newCrowd(n, fleet(24, 0), Time(time.Hour))
+			c := newGatewaySim(n, fleet(24, 0), Time(time.Hour))
 			c.run(2*time.Second, 40) // what each has seen differs
 			same, turns := 0, 300
 			for i := range turns {
--- a/logic/endings.go
+++ b/logic/endings.go
@@ -1,92 +1,96 @@
 package logic
 
-// This file: requests that wait or end, and what is let go of.
-
 import (
 	"maps"
 	"slices"
 	"time"
 )
 
-// holdStep is after how long a held request is looked at again.
-const holdStep = 20 * time.Millisecond
+// holdRetryInterval is the time after which a request that waits for a server is tried again.
+const holdRetryInterval = 20 * time.Millisecond
 
-// hold keeps a request for a moment: no server may take it now.
+// hold keeps a request for a moment because no server may take it now.
 func (g *Gateway) hold(r *request) {
-	stateDue := r.reader != nil && r.unreached == 0 && after(r.idleSince, g.now) > g.set.ReleaseWithin/2
-	if after(g.now, r.deadline) <= holdMargin+holdStep || stateDue {
-		g.giveUp(r, WhyNoServer)
+	stateDue := r.reader != nil && r.unreached == 0 &&
+		between(r.idleSince, g.now) > g.settings.ReleaseWithin/2
+	if between(g.now, r.deadline) <= deadlineMargin+holdRetryInterval || stateDue {
+		g.refuseOrFail(r, WhyNoServer)
 		return
 	}
-	r.check = g.now + Time(holdStep)
-	g.arm(r, holdStep)
+	r.checkAt = g.now + Time(holdRetryInterval)
+	g.setTimer(r, holdRetryInterval)
 }
 
-func (g *Gateway) timer(id RequestID) {
+// handleTimer performs what is due for a request: a release, a move, a new attempt or a
+// cancellation.
+func (g *Gateway) handleTimer(id RequestID) {
 	r := g.requests[id]
 	if r != nil {
-		g.releaseUnanswered(r)
+		g.releaseOverdue(r)
 	}
 	switch {
-	case r != nil && !r.closed && r.phase == streaming && r.moveAt != 0 && g.now >= r.moveAt:
-		g.do(Action{Kind: Move, ID: id})
-	case r == nil || r.closed || g.now < r.check || r.phase == streaming || r.out && r.called:
-	case !r.out:
+	case r != nil && !r.closed && r.phase == phaseStreaming && r.moveDueAt != 0 && g.now >= r.moveDueAt:
+		g.emit(Action{Kind: Move, ID: id})
+	case r == nil || r.closed || g.now < r.checkAt ||
+		r.phase == phaseStreaming || r.inFlight && r.cancelled:
+	case !r.inFlight:
 		g.proceed(r)
-	case r.server.lastSignAt <= r.sentAt:
-		r.called = true
-		g.do(Action{Kind: CallOff, ID: r.ID, Attempt: r.sends - 1})
+	case r.server.lastActivityAt <= r.sentAt:
+		r.cancelled = true
+		g.emit(Action{Kind: CallOff, ID: r.ID, Attempt: r.sends - 1})
 	default:
-		r.check = g.now + Time(quietFloor)
-		g.arm(r, quietFloor)
+		r.checkAt = g.now + Time(attemptMargin)
+		g.setTimer(r, attemptMargin)
 	}
 }
 
-// giveUp answers at once: a refusal where the rules allow one, with advice when to come back.
-func (g *Gateway) giveUp(r *request, why Why) {
+// refuseOrFail ends a request at once: with a refusal where the rules allow one, which advises when
+// to retry, otherwise with a failure.
+func (g *Gateway) refuseOrFail(r *request, why Why) {
 	a, c := Action{Kind: Refuse, ID: r.ID, Why: why}, g.class(r)
 	if r.mayHaveRun && (c.Effect == EffectOnce || c.Effect == EffectByKey && c.Group != GroupAll) {
 		a.Kind = Fail
-	} else if g.set.RetryAfter {
-		a.After = time.Duration(float64(g.set.MaxRetryAfter) * (0.5 + 0.5*g.rng.Float64()))
+	} else if g.settings.RetryAfter {
+		a.After = time.Duration(float64(g.settings.MaxRetryAfter) * (0.5 + 0.5*g.rng.Float64()))
 	}
-	g.do(a)
+	g.emit(a)
 	r.closed = true
 	g.drop(r)
 }
 
-// close ends what is in hand before the instance ends: answers that have begun move, where their clients
-// come again for the rest, and requests that wait for one are called off and answered. Until all of that
-// is due, answers move one by one: each is read anew elsewhere, and all at once would jam the readers.
-func (g *Gateway) close(in time.Duration) {
+// shutDown ends the open requests before the instance ends. Answers that have begun are moved,
+// where their clients reconnect for the rest, and requests that wait for one are cancelled and
+// answered. Until all of that is due, answers are moved one by one: each is read again elsewhere,
+// and all at once would jam the readers.
+func (g *Gateway) shutDown(in time.Duration) {
 	g.closing = in <= 0
 	ids := slices.Sorted(maps.Keys(g.requests))
 	for i, id := range ids {
 		switch r := g.requests[id]; {
 		case r.closed:
-		case r.phase == streaming && g.set.Resume:
+		case r.phase == phaseStreaming && g.settings.Resume:
 			d := max(in*time.Duration(i)/time.Duration(len(ids)), 0)
-			r.moveAt = g.now + Time(d)
-			g.arm(r, d)
-		case r.phase == streaming || !g.closing:
-		case r.out:
-			r.called = true
-			g.do(Action{Kind: CallOff, ID: id, Attempt: r.sends - 1})
+			r.moveDueAt = g.now + Time(d)
+			g.setTimer(r, d)
+		case r.phase == phaseStreaming || !g.closing:
+		case r.inFlight:
+			r.cancelled = true
+			g.emit(Action{Kind: CallOff, ID: id, Attempt: r.sends - 1})
 		default:
-			g.giveUp(r, WhyClosing)
+			g.refuseOrFail(r, WhyClosing)
 		}
 	}
 }
 
-// drop forgets a request that has ended, once nothing of it is out, and lets go of what is held for it.
+// drop removes a request that has ended, once no attempt is in flight, and releases its read state.
 func (g *Gateway) drop(r *request) {
-	if r.out {
+	if r.inFlight {
 		return
 	}
 	if r.reader != nil {
-		g.do(Action{Kind: Release, ID: r.ID})
+		g.emit(Action{Kind: Release, ID: r.ID})
 		r.reader = nil
 	}
-	g.settleStage(r, false)
+	g.settleStageCount(r, false)
 	delete(g.requests, r.ID)
 }
--- a/logic/errors_test.go
+++ b/logic/errors_test.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	erringEvery   = 100 * time.Millisecond // a request comes
-	erringStreams = 20                     // answers that run at a time: each as long as so many requests come
+	arrivalPeriod = 100 * time.Millisecond // a request comes
+	maxStreams    = 20                     // answers that run at a time: each as long as so many requests come
 )
 
-// erring is a rig whose writers answer errors at once where they are told to, and serve else. It returns how often each writer
+// runErringWriters is a rig whose writers answer errors at once where they are told to, and serve else. It returns how often each writer
 // was asked, and how many requests were refused.
-func erring(t *testing.T, requests int, errs func(s ServerID, n int) bool) (asked map[ServerID]int, refused int) {
+func runErringWriters(t *testing.T, requests int, errs func(s ServerID, n int) bool) (asked map[ServerID]int, refused int) {
 	type stream struct {
 		id RequestID
 		at ServerID
 	}
 	var running []stream
-	r := newRig(t, reader(1, 0), writer(2, 0), writer(3, 0), writer(4, 0))
+	r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0), writer(4, 0))
 	asked = map[ServerID]int{}
 	for n := range requests {
-		r.wait(erringEvery)
-		if len(running) == erringStreams {
+		r.wait(arrivalPeriod)
+		if len(running) == maxStreams {
 			done := running[0]
 			running = running[1:]
 			r.g.Handle(r.now, []Event{{Kind: AttemptEnded, ID: done.id, Server: done.at, Status: Served, Closed: true}}, nil)
@@ -54,10 +54,10 @@
 
 // A writer that answers errors at once always looks the emptiest. It is asked again by single trials, ever later, and comes back
 // with the first answer that it serves.
-func TestAServerThatErrsIsTriedSeldom(t *testing.T) {
+func TestErringServerIsTriedSeldom(t *testing.T) {
 	const requests, heals = 300, 200
 	early, late := 0, 0
-	_, refused := erring(t, requests, func(s ServerID, n int) bool {
+	_, refused := runErringWriters(t, requests, func(s ServerID, n int) bool {
 		if s != 2 {
 			return false
 		}
@@ -80,9 +80,9 @@
 }
 
 // Where all err, none is left out: each request is tried as often as the settings let it.
-func TestNothingIsShedWhereAllServersErr(t *testing.T) {
+func TestNothingIsShedWhenAllServersErr(t *testing.T) {
 	const requests = 50
-	asked, refused := erring(t, requests, func(ServerID, int) bool { return true })
+	asked, refused := runErringWriters(t, requests, func(ServerID, int) bool { return true })
 	attempts := asked[2] + asked[3] + asked[4]
 	if least := requests * (testSettings().MaxAttempts - 2); attempts < least {
 		t.Errorf("%d attempts at writers, %d requests, refused %d", attempts, requests, refused)
@@ -95,9 +95,9 @@
 }
 
 // What may run once only goes elsewhere after a single error; others do not mind one, which may be the request's fault.
-func TestWhatMayRunOnceGoesElsewhereAfterAnError(t *testing.T) {
+func TestOnceRequestsAvoidAServerAfterAnError(t *testing.T) {
 	for class, elsewhere := range []bool{false, true, true} {
-		r := newRig(t, reader(1, 0), writer(2, 0), writer(3, 0))
+		r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0))
 		read := func(class int) (RequestID, *Action) {
 			id, _ := r.arrive(Request{Class: class})
 			return id, find(r.end(id, 1, PromptRead, 0), Send)
@@ -105,7 +105,7 @@
 		id, first := read(0)
 		r.g.Handle(r.now, []Event{{Kind: AttemptEnded, ID: id, Server: first.Server, Status: ServerError, Closed: true}}, nil)
 		other := r.g.byID[5-first.Server]
-		other.tokens, other.streams = 0.5*other.memory, 20 // it looks the worse by far
+		other.ownTokens, other.streams = 0.5*other.memory, 20 // it looks the worse by far
 		if _, next := read(class); (next.Server == other.Server) != elsewhere {
 			t.Errorf("class %d goes to %d after an error of %d", class, next.Server, first.Server)
 		}
--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -1,57 +1,61 @@
 package logic
 
-// This file: estimates that follow what was observed: values that fade, and the paces of kinds.
-
 import (
 	"math"
 	"time"
 )
 
-// slowLearn is the weight of a new sample in a kind's pace.
-const slowLearn = 0.03
+// slowWeight is the minimum weight of a new sample in the speed estimate of a kind.
+const slowWeight = 0.03
 
-// fading is a value that decays towards zero with time.
-type fading struct {
+// decayingValue is a value that decays exponentially towards zero.
+type decayingValue struct {
 	v  float64
 	at Time
 }
 
-func (f fading) value(now Time, over time.Duration) float64 {
-	return f.v * math.Exp(-math.Max(float64(now-f.at), 0)/float64(over))
+func (f decayingValue) value(now Time, timeConstant time.Duration) float64 {
+	return f.v * math.Exp(-math.Max(float64(now-f.at), 0)/float64(timeConstant))
 }
 
-func (f *fading) add(now Time, over time.Duration, x float64) { f.v, f.at = f.value(now, over)+x, now }
+func (f *decayingValue) add(now Time, timeConstant time.Duration, x float64) {
+	f.v, f.at = f.value(now, timeConstant)+x, now
+}
 
-// average takes x into a fading mean. Its weight grows with the time since the last one: what is seldom
-// heard of is believed at once, what is often heard of is averaged.
-func (f *fading) average(now Time, over time.Duration, x, least float64) {
-	a := finite(1-math.Exp(-3*math.Max(float64(now-f.at), 0)/float64(over)), least, 0.5)
-	f.add(now, over, a*(x-f.value(now, over)))
+// average moves the value towards the sample x. The weight of the sample grows with the time since
+// the last one: a rare sample counts at once, frequent samples are averaged.
+func (f *decayingValue) average(now Time, timeConstant time.Duration, x, minWeight float64) {
+	a := clamp(1-math.Exp(-3*math.Max(float64(now-f.at), 0)/float64(timeConstant)), minWeight, 0.5)
+	f.add(now, timeConstant, a*(x-f.value(now, timeConstant)))
 }
 
-// pace is the usual speed of a kind: tokens and seconds, slowly averaged, and how far single times stray.
-type pace struct {
-	n                    int
+// speedEstimate is the usual speed of a kind of server: slow averages of tokens and seconds, and
+// how far single durations deviate from them.
+type speedEstimate struct {
+	samples              int
 	tok, sec, ratio, dev float64
 }
 
-func (p *pace) seconds(tok float64) float64 { return p.sec / p.tok * tok }
+func (p *speedEstimate) seconds(tok float64) float64 { return p.sec / p.tok * tok }
 
-// unusual is the time that hardly any attempt takes.
-func (p *pace) unusual(tok float64) float64 { return p.seconds(tok) * (p.ratio + strayTimes*p.dev) }
+// outlierSeconds returns a duration that hardly any attempt exceeds.
+func (p *speedEstimate) outlierSeconds(tok float64) float64 {
+	return p.seconds(tok) * (p.ratio + outlierDeviations*p.dev)
+}
 
-func (p *pace) observe(tok, sec float64) {
-	p.stray(tok, sec)
-	p.n++
-	a := math.Max(1/float64(p.n), slowLearn)
+func (p *speedEstimate) observe(tok, sec float64) {
+	p.observeRatio(tok, sec)
+	p.samples++
+	a := math.Max(1/float64(p.samples), slowWeight)
 	p.tok += a * (tok - p.tok)
 	p.sec += a * (sec - p.sec)
 }
 
-// stray notes how far one time lies from the pace; that of an attempt cut off counts as well, or a fleet
-// that queues would have its reads cut off and read again until nothing else is read.
-func (p *pace) stray(tok, sec float64) {
-	x := finite(sec/p.seconds(tok), 0, maxRatio)
-	p.dev += fastLearn * (math.Abs(x-p.ratio) - p.dev)
-	p.ratio += fastLearn * (x - p.ratio)
+// observeRatio records how far one duration deviates from the speed. Durations of cancelled
+// attempts count as well. Otherwise, when the fleet queues, its reads would be cancelled and
+// repeated until nothing else is read.
+func (p *speedEstimate) observeRatio(tok, sec float64) {
+	x := clamp(sec/p.seconds(tok), 0, maxSampleRatio)
+	p.dev += fastWeight * (math.Abs(x-p.ratio) - p.dev)
+	p.ratio += fastWeight * (x - p.ratio)
 }
--- a/logic/fairness_test.go
+++ b/logic/fairness_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// shares of what was asked for that was answered, by how it is asked for.
-type shares struct {
-	all, long float64 // of all, and of the tenth with the longest prompts
-	shunned   float64 // sessions of which every turn was refused, beyond what chance gives
+// answeredShares of what was asked for that was answered, by how it is asked for.
+type answeredShares struct {
+	all, long     float64 // of all, and of the tenth with the longest prompts
+	alwaysRefused float64 // sessions of which every turn was refused, beyond what chance gives
 }
 
 const (
-	mostShunned = 0.12     // the operators' bounds: of a quiet day's sessions,
-	leastQuiet  = 2.0 / 3  // of the class's share, for the longest prompts on a quiet day,
-	leastBusy   = 0.5      // and on others
-	readRate    = 20_000.0 // tokens a second of one reader
+	maxAlwaysRefused  = 0.12     // the operators' bounds: of a quiet day's sessions,
+	minQuietLongShare = 2.0 / 3  // of the class's share, for the longest prompts on a quiet day,
+	minBusyLongShare  = 0.5      // and on others
+	readRate          = 20_000.0 // tokens a second of one reader
 )
 
 // fairness plays sessions whose turns come by any gateway, one of ten sessions with prompts ten times as long, at readers that
 // work on one prompt after the other; load is the part of what they can read that is asked for.
-func fairness(n int, load float64, seed uint64) shares {
+func fairness(n int, load float64, seed uint64) answeredShares {
 	const turns, spread = 3, 4 * time.Second
 	members := fleet(24, 0)
-	c := newCrowd(n, members, Time(time.Hour))
+	c := newGatewaySim(n, members, Time(time.Hour))
 	c.rng = rand.New(rand.NewPCG(uint64(n), seed))
 	free, readers := map[ServerID]Time{}, 0.0
 	for _, m := range members {
@@ -34,16 +34,16 @@
 			readers++
 		}
 	}
-	c.answer = func(c *crowd, s ServerID) (Status, time.Duration) {
+	c.answer = func(c *gatewaySim, s ServerID) (Status, time.Duration) {
 		if c.gateways[0].byID[s].role != RoleRead {
 			return Served, 50 * time.Millisecond
 		}
 		was := free[s]
-		free[s] = max(was, c.now) + Time(seconds(c.requests[c.doing.ID].PromptTokens/readRate))
+		free[s] = max(was, c.now) + Time(seconds(c.requests[c.current.ID].PromptTokens/readRate))
 		took := time.Duration(free[s] - c.now)
-		if took > c.doing.After { // called off while it waits
+		if took > c.current.After { // called off while it waits
 			free[s] = was
-			return TimedOut, c.doing.After
+			return TimedOut, c.current.After
 		}
 		return Served, took
 	}
@@ -57,7 +57,7 @@
 		}
 		return 0
 	}
-	c.over = func(c *crowd, _ int, id RequestID) {
+	c.onRefused = func(c *gatewaySim, _ int, id RequestID) {
 		of[id].refused++
 		answered[kind(c.requests[id])]--
 	}
@@ -69,7 +69,7 @@
 		c.ask(c.rng.IntN(n), q)
 	}
 	const mean = 0.9*2000 + 0.1*20_000 // tokens
-	perTick := load * readers * readRate / mean / turns * crowdTick.Seconds()
+	perTick := load * readers * readRate / mean / turns * simTick.Seconds()
 	for end := c.now + Time(40*time.Second); c.now < end; {
 		for _, f := range later[c.now] {
 			f()
@@ -83,11 +83,11 @@
 			sessions = append(sessions, s)
 			turn(s, q)
 			for i := 1; i < turns; i++ {
-				at := c.now + Time(i)*Time(spread)/turns + Time(c.rng.IntN(20))*Time(crowdTick)
-				later[at/Time(crowdTick)*Time(crowdTick)] = append(later[at/Time(crowdTick)*Time(crowdTick)], func() { turn(s, q) })
+				at := c.now + Time(i)*Time(spread)/turns + Time(c.rng.IntN(20))*Time(simTick)
+				later[at/Time(simTick)*Time(simTick)] = append(later[at/Time(simTick)*Time(simTick)], func() { turn(s, q) })
 			}
 		}
-		c.run(crowdTick, 0)
+		c.run(simTick, 0)
 	}
 	refused, all := 0.0, 0.0
 	for _, s := range sessions {
@@ -96,21 +96,21 @@
 			all += 1 / float64(len(sessions))
 		}
 	}
-	return shares{(answered[0] + answered[1]) / (asked[0] + asked[1]), answered[1] / asked[1], all - math.Pow(refused, turns)}
+	return answeredShares{(answered[0] + answered[1]) / (asked[0] + asked[1]), answered[1] / asked[1], all - math.Pow(refused, turns)}
 }
 
 // With any number of gateways the longest prompts get their part of what their class gets, and on a quiet day no set of sessions
 // is refused throughout.
-func TestLongPromptsAndSessionsAreNotSingledOut(t *testing.T) {
+func TestLongPromptsAndSessionsAreServedFairly(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 300} {
 		for seed := range uint64(2) {
 			quiet, busy := fairness(n, 0.6, seed), fairness(n, 1.4, seed)
 			t.Logf("%3d gateways, seed %d: quiet %.2f, long %.2f, shunned %+.2f; busy %.2f, long %.2f", n, seed, quiet.all, quiet.long,
-				quiet.shunned, busy.all, busy.long)
-			if quiet.long < leastQuiet*quiet.all || quiet.shunned > mostShunned {
+				quiet.alwaysRefused, busy.all, busy.long)
+			if quiet.long < minQuietLongShare*quiet.all || quiet.alwaysRefused > maxAlwaysRefused {
 				t.Errorf("%d gateways, seed %d, quiet: %s", n, seed, fmt.Sprint(quiet))
 			}
-			if busy.long < leastBusy*busy.all {
+			if busy.long < minBusyLongShare*busy.all {
 				t.Errorf("%d gateways, seed %d, busy: %s", n, seed, fmt.Sprint(busy))
 			}
 		}
--- a/logic/guards_test.go
+++ b/logic/guards_test.go
@@ -8,15 +8,15 @@
 )
 
 // bench of one gateway: each helper delivers one event and returns the actions.
-type rig struct {
+type testGateway struct {
 	t   *testing.T
 	g   *Gateway
 	now Time
 	ids RequestID
 }
 
-func newRig(t *testing.T, members ...Member) *rig {
-	r := &rig{t: t, g: New(testSettings(), 1), now: Time(time.Hour)}
+func newTestGateway(t *testing.T, members ...Member) *testGateway {
+	r := &testGateway{t: t, g: New(testSettings(), 1), now: Time(time.Hour)}
 	for i := range members {
 		members[i].Weight = 1
 	}
@@ -24,9 +24,9 @@
 	return r
 }
 
-func (r *rig) wait(d time.Duration) { r.now += Time(d) }
+func (r *testGateway) wait(d time.Duration) { r.now += Time(d) }
 
-func (r *rig) arrive(q Request) (RequestID, []Action) {
+func (r *testGateway) arrive(q Request) (RequestID, []Action) {
 	r.ids++
 	q.ID = r.ids
 	if q.PromptTokens == 0 {
@@ -39,12 +39,12 @@
 	return q.ID, r.g.Handle(r.now, []Event{{Kind: Arrived, Request: q}}, nil)
 }
 
-func (r *rig) end(id RequestID, s ServerID, st Status, kept uint32) []Action {
+func (r *testGateway) end(id RequestID, s ServerID, st Status, kept uint32) []Action {
 	return r.g.Handle(r.now, []Event{{Kind: AttemptEnded, ID: id, Server: s, Status: st, Kept: kept,
 		Latency: 50 * time.Millisecond}}, nil)
 }
 
-func (r *rig) start(id RequestID, s ServerID) {
+func (r *testGateway) start(id RequestID, s ServerID) {
 	r.g.Handle(r.now, []Event{{Kind: AnswerStarted, ID: id, Server: s, Latency: 50 * time.Millisecond}}, nil)
 }
 
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (r *rig) wantSend(actions []Action, s ServerID) {
+func (r *testGateway) wantSend(actions []Action, s ServerID) {
 	r.t.Helper()
 	if a := find(actions, Send); a == nil || a.Server != s {
 		r.t.Fatalf("actions %+v, want a send to %d", actions, s)
@@ -68,7 +68,7 @@
 func writer(id ServerID, cell int) Member { return Member{Server: id, Kind: 1, Cell: cell} }
 
 func TestReaderChoice(t *testing.T) {
-	r := newRig(t, reader(1, 0), reader(2, 0), writer(3, 0))
+	r := newTestGateway(t, reader(1, 0), reader(2, 0), writer(3, 0))
 	id, acts := r.arrive(Request{Session: 5})
 	r.wantSend(acts, 1)
 	_, acts = r.arrive(Request{Session: 6}) // the load at 1 weighs
@@ -77,15 +77,15 @@
 	r.end(2, 2, PromptRead, 0)
 	_, acts = r.arrive(Request{Session: 6, PromptTokens: 2500}) // the table at 2 weighs
 	r.wantSend(acts, 2)
-	r.wait(keepFor)
+	r.wait(entryTTL)
 	_, acts = r.arrive(Request{Session: 6, PromptTokens: 2500}) // aged out: the load left at 2 decides
 	r.wantSend(acts, 1)
 }
 
-func TestReportedLoadAndUnheardReaders(t *testing.T) {
-	r := newRig(t, reader(1, 0), reader(2, 0), reader(4, 0), writer(3, 0))
+func TestReportedLoadAndReadersWithoutReports(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), reader(2, 0), reader(4, 0), writer(3, 0))
 	report := func(id ServerID, tokens float64) {
-		r.g.byID[id].load, r.g.byID[id].loadAt = Load{HasUnread: true, UnreadToken: tokens}, r.now
+		r.g.byID[id].load, r.g.byID[id].loadReportedAt = Load{HasUnread: true, UnreadToken: tokens}, r.now
 	}
 	report(1, 8000)
 	report(2, 100)
@@ -94,7 +94,7 @@
 }
 
 func TestWriterChoice(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(2, 1), writer(3, 0), writer(4, 0))
+	r := newTestGateway(t, reader(1, 0), writer(2, 1), writer(3, 0), writer(4, 0))
 	for _, tc := range []struct {
 		name   string
 		tokens [3]float64 // own tokens at 2, 3, 4
@@ -106,9 +106,9 @@
 	} {
 		for i, n := range tc.tokens {
 			s := r.g.byID[ServerID(i+2)]
-			s.tokens, s.streams = n, int(n/1000)
+			s.ownTokens, s.streams = n, int(n/1000)
 		}
-		r.g.surveyed = 0
+		r.g.meansUpdatedAt = 0
 		id, _ := r.arrive(Request{})
 		a := find(r.end(id, 1, PromptRead, 0), Send)
 		if a == nil || a.Server != tc.want {
@@ -118,9 +118,9 @@
 }
 
 // Silence through the attempt is called off; a server at work on others keeps its read.
-func TestOnlySilenceIsCalledOff(t *testing.T) {
+func TestOnlySilentAttemptsAreCancelled(t *testing.T) {
 	for _, busy := range []bool{false, true} {
-		r := newRig(t, reader(1, 0), writer(3, 0))
+		r := newTestGateway(t, reader(1, 0), writer(3, 0))
 		other, _ := r.arrive(Request{})
 		id, acts := r.arrive(Request{})
 		timer := find(acts, SetTimer)
@@ -135,8 +135,8 @@
 	}
 }
 
-func TestCalledOffReadGoesElsewhereAndStaysCharged(t *testing.T) {
-	r := newRig(t, reader(1, 0), reader(2, 0), writer(3, 0))
+func TestCancelledReadGoesElsewhereAndStaysCharged(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), reader(2, 0), writer(3, 0))
 	id, acts := r.arrive(Request{})
 	r.wantSend(acts, 1)
 	r.wait(find(acts, SetTimer).After)
@@ -145,14 +145,14 @@
 		t.Fatal("not called off")
 	}
 	r.wantSend(r.end(id, 1, Cancelled, 0), 2)
-	if g := r.g.pending(r.g.byID[1]); g < 1000 {
+	if g := r.g.pendingLoad(r.g.byID[1]); g < 1000 {
 		t.Errorf("%v tokens left charged, want most of 2000", g)
 	}
 }
 
 // A 'full' with note 1 lets go of what a cut reader may still hold, and reads anew.
 func TestLostStateIsReleasedAndReadAnew(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(3, 0))
+	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	id, _ := r.arrive(Request{})
 	r.end(id, 1, PromptRead, 0)
 	acts := r.end(id, 3, Full, 1)
@@ -164,7 +164,7 @@
 
 func TestWriterFailureTriesAnotherWriterWithTheState(t *testing.T) {
 	for _, st := range []Status{Full, TimedOut, ConnectFailed, ConnectionReset, ServerError} {
-		r := newRig(t, reader(1, 0), writer(3, 0), writer(4, 0))
+		r := newTestGateway(t, reader(1, 0), writer(3, 0), writer(4, 0))
 		id, _ := r.arrive(Request{})
 		first := find(r.end(id, 1, PromptRead, 0), Send).Server
 		r.wantSend(r.end(id, first, st, 0), 3+4-first)
@@ -175,8 +175,8 @@
 // Nothing has been read yet, as after a restart, so the aims' growth stands in for the pace.
 // A writer that has just turned a request away has no own streams and looks the emptiest of all: it is not asked again
 // while another one has room, and is once some time has gone by.
-func TestAFullWriterIsNotAskedWhileAnotherHasRoom(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(2, 0), writer(3, 0))
+func TestFullWriterIsAvoidedWhileAnotherHasRoom(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0))
 	read := func() (RequestID, []Action) {
 		id, acts := r.arrive(Request{Session: 5})
 		r.wantSend(acts, 1)
@@ -192,13 +192,13 @@
 		r.wantSend(acts, room)
 		r.start(b, room)
 	}
-	r.wait(5 * residualFade)
+	r.wait(5 * residualDecay)
 	_, acts = read()
 	r.wantSend(acts, full)
 }
 
-func TestBacklogRefusesTheLessWorthyFirst(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(3, 0))
+func TestBacklogRefusesLowValueRequestsFirst(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	refusedAt := [2]int{}
 	for i := range 40 {
 		for class := range 2 {
@@ -216,8 +216,8 @@
 	}
 }
 
-func TestColdBudgetHoldsOverAnyWindow(t *testing.T) {
-	r := newRig(t, reader(1, 0), Member{Server: 2, Kind: 0, Since: Time(time.Hour) - 1}, writer(3, 0))
+func TestColdBudgetHoldsInEveryWindow(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), Member{Server: 2, Kind: 0, Since: Time(time.Hour) - 1}, writer(3, 0))
 	cold := 0
 	for range 100 { // one a 20 ms; the window is 2 s
 		id, acts := r.arrive(Request{PromptTokens: 200})
@@ -230,7 +230,7 @@
 		r.end(id, 3, Served, 0)
 		r.wait(20 * time.Millisecond)
 	}
-	most := coldCaution * 2.5 * 0.3 * 100
+	most := coldBudgetShare * 2.5 * 0.3 * 100
 	if cold == 0 || float64(cold) > most {
 		t.Errorf("%d sends to the cold reader in its window, want 1 to %.0f", cold, most)
 	}
@@ -238,13 +238,13 @@
 
 // A suspect writer gets its trial although every request there was sent to a reader before.
 func TestSuspectWriterGetsTrial(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(3, 0), writer(4, 0))
+	r := newTestGateway(t, reader(1, 0), writer(3, 0), writer(4, 0))
 	s := r.g.byID[3]
 	r.g.suspect(s)
 	r.g.suspect(s)
 	id, _ := r.arrive(Request{})
 	r.wantSend(r.end(id, 1, PromptRead, 0), 4) // out for now
-	r.g.byID[4].tokens = 40000
+	r.g.byID[4].ownTokens = 40000
 	r.wait(maxBackoff)
 	id, _ = r.arrive(Request{})
 	r.wantSend(r.end(id, 1, PromptRead, 0), 3) // the trial
@@ -258,7 +258,7 @@
 
 // Two troubles at once, most servers suspect, and a restart: never an empty choice, and recovery by itself.
 func TestAllSuspectDegradesAndRecovers(t *testing.T) {
-	r := newRig(t, reader(1, 0), reader(2, 1), writer(3, 0), writer(4, 1))
+	r := newTestGateway(t, reader(1, 0), reader(2, 1), writer(3, 0), writer(4, 1))
 	for _, s := range r.g.servers {
 		for range 4 {
 			r.g.suspect(s)
@@ -284,23 +284,23 @@
 
 // Reads at a mixed server stop the answers that run there.
 func TestAnswersAreLoadAtMixedServers(t *testing.T) {
-	r := newRig(t, reader(1, 0), Member{Server: 2, Kind: 2}, writer(3, 0))
+	r := newTestGateway(t, reader(1, 0), Member{Server: 2, Kind: 2}, writer(3, 0))
 	r.g.byID[1].pendingTokens = 3000
 	_, acts := r.arrive(Request{})
 	r.wantSend(acts, 2)
-	r.g.byID[2].tokens = 30000
+	r.g.byID[2].ownTokens = 30000
 	r.g.byID[2].pendingTokens = 0
 	_, acts = r.arrive(Request{})
 	r.wantSend(acts, 1)
 }
 
-func TestLegalOddities(t *testing.T) {
-	r := newRig(t)
+func TestUnusualLegalEvents(t *testing.T) {
+	r := newTestGateway(t)
 	id, acts := r.arrive(Request{Class: 200, Tenant: 99, Patience: 300 * time.Millisecond})
 	if find(acts, Send) != nil || find(acts, SetTimer) == nil {
 		t.Fatalf("an empty list must hold the request: %+v", acts)
 	}
-	r.wait(holdStep)
+	r.wait(holdRetryInterval)
 	acts = r.g.Handle(r.now, []Event{
 		{Kind: TimerFired, Token: 12345}, {Kind: ClientLeft, ID: 999}, {Kind: AttemptEnded, ID: 998},
 		{Kind: ServersChanged, Members: []Member{{Server: 77, Health: Gone}}},
@@ -311,7 +311,7 @@
 
 // Traffic past a tenant's quota goes first, and a stream that comes again goes last.
 func TestQuotaAndResumedUnderBacklog(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(3, 0))
+	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	for range 40 { // 20 a second over two gateways, two seconds of burst and chance: the level is spent
 		r.g.inQuota(0)
 	}
@@ -333,14 +333,14 @@
 }
 
 // A server that restarts keeps nothing of its table, and nothing is held against it.
-func TestRestartClearsTheModelOfAServer(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(3, 0))
+func TestRestartClearsServerState(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	r.arrive(Request{Session: 5})
 	s := r.g.byID[1]
 	r.g.suspect(s)
 	r.g.Handle(r.now, []Event{{Kind: ServersChanged, Members: []Member{{Server: 1, Weight: 1, Since: r.now}}}}, nil)
-	if len(s.kept) != 0 || s.suspectUntil != 0 || r.g.warmth(s) >= 1 {
-		t.Errorf("kept %d, suspect %v, warmth %v", len(s.kept), s.suspectUntil != 0, r.g.warmth(s))
+	if len(s.cached) != 0 || s.suspectUntil != 0 || r.g.warmth(s) >= 1 {
+		t.Errorf("kept %d, suspect %v, warmth %v", len(s.cached), s.suspectUntil != 0, r.g.warmth(s))
 	}
 }
 
@@ -372,7 +372,7 @@
 		for _, tc := range []struct{ times, least, most float64 }{{0.7, 0.9, 1}, {5, 0, 0.45}} {
 			rng, in, asked := rand.New(rand.NewPCG(1, 2)), 0, 0
 			for _, g := range gateways(n, nil, 0) {
-				g.set.Tenants = []Tenant{{QuotaPerSecond: 60}}
+				g.settings.Tenants = []Tenant{{QuotaPerSecond: 60}}
 				for at := 0.0; at < 30; at += rng.ExpFloat64() * float64(n) / 60 / tc.times {
 					g.now = Time(time.Hour) + Time(at*1e9)
 					asked++
@@ -389,7 +389,7 @@
 }
 
 // Gateways that know nothing spread their first sends over the readers of their zone, and those of one prefix meet at few readers.
-func TestFirstSendsSpreadAndPrefixesMeet(t *testing.T) {
+func TestFirstSendsSpreadAndPrefixesShareReaders(t *testing.T) {
 	for _, prefix := range []Key{0, 77} {
 		count := map[ServerID]int{}
 		for _, g := range gateways(200, fleet(40, 0), Time(time.Hour)) {
@@ -404,15 +404,15 @@
 		for _, n := range count {
 			most = max(most, n)
 		}
-		if prefix == 0 && (len(count) < 10 || most > 40) || prefix != 0 && len(count) > mostHomes {
+		if prefix == 0 && (len(count) < 10 || most > 40) || prefix != 0 && len(count) > maxPreferredReaders {
 			t.Errorf("prefix %d: %d readers in use, the busiest got %d of 200", prefix, len(count), most)
 		}
 	}
 }
 
 // Answers lost now and then at most servers leave the fleet in use: suspicion of one fades by itself.
-func TestLostAnswersLeaveTheFleetInUse(t *testing.T) {
-	r := &rig{t: t, g: gateways(100, fleet(24, 0), Time(time.Hour))[0], now: Time(time.Hour)}
+func TestLostAnswersKeepAllServersInUse(t *testing.T) {
+	r := &testGateway{t: t, g: gateways(100, fleet(24, 0), Time(time.Hour))[0], now: Time(time.Hour)}
 	rng, used := rand.New(rand.NewPCG(3, 4)), map[ServerID]int{}
 	for range 300 {
 		r.wait(time.Second)
@@ -439,8 +439,8 @@
 }
 
 // What cannot be read in the time its client has left is refused at once, not read for nobody.
-func TestShortPatienceIsRefusedNotReadForNobody(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(3, 0))
+func TestShortPatienceIsRefusedBeforeReading(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	if _, acts := r.arrive(Request{PromptTokens: 8000, Patience: 300 * time.Millisecond}); find(acts, Refuse) == nil {
 		t.Errorf("8000 tokens at 50 us each for a client with 300 ms: %+v", acts)
 	}
@@ -450,39 +450,39 @@
 }
 
 // Beside many answers that come at once, a lost one is not a backlog: it must not have the rest refused.
-func TestLostAnswerIsNoBacklogBesideQuickOnes(t *testing.T) {
+func TestLostAnswerIsNotTakenForBacklog(t *testing.T) {
 	for _, tc := range []struct {
 		unseen      float64
 		least, most float64
 	}{{0.1, 0, 0.2}, {0.9, 0.2, 2}} { // many own streams a server; few, where one sign must do
-		g := newRig(t, reader(1, 0), writer(3, 0)).g
+		g := newTestGateway(t, reader(1, 0), writer(3, 0)).g
 		s := g.byID[1]
 		for i := range 200 {
 			g.now += Time(20 * time.Millisecond)
 			g.unseenShare = tc.unseen
 			r := &request{charge: 2000, server: s, sentAt: g.now - Time(2*time.Second)}
 			if i%5 == 4 {
-				g.unanswered(r, s)
+				g.observeUnanswered(r, s)
 			} else {
-				g.learn(r, s, 50*time.Millisecond)
+				g.observeAttempt(r, s, 50*time.Millisecond)
 			}
 		}
 		g.now += Time(time.Millisecond)
-		if w := g.waitAt(RoleRead); w < tc.least || w > tc.most {
+		if w := g.recentWait(RoleRead); w < tc.least || w > tc.most {
 			t.Errorf("unseen %.1f: a wait of %.2f s is seen at readers that answer in 50 ms", tc.unseen, w)
 		}
 	}
 }
 
 // Where the settings allow many attempts, each server is tried once before one is tried again, also the one that keeps the text.
-func TestEachServerIsTriedBeforeOneIsTriedAgain(t *testing.T) {
+func TestEachServerIsTriedOnceBeforeAnyIsRetried(t *testing.T) {
 	const n = 8
 	var members []Member
 	for i := range n {
 		members = append(members, reader(ServerID(i+1), i))
 	}
-	r := newRig(t, members...)
-	r.g.set.MaxAttempts = 2 * n
+	r := newTestGateway(t, members...)
+	r.g.settings.MaxAttempts = 2 * n
 	long := Request{Session: 5, PromptTokens: 50000, Patience: time.Minute}
 	before, acts := r.arrive(long)
 	r.end(before, find(acts, Send).Server, PromptRead, 0)
@@ -502,12 +502,12 @@
 }
 
 // A writer that has what must not run twice is waited for: nothing could be tried after it.
-func TestOnceIsNotCalledOffOnceItMayRun(t *testing.T) {
+func TestOnceRequestIsNotCancelledOnceItMayRun(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		called bool
 	}{{0, true}, {1, false}} {
-		r := newRig(t, reader(1, 0), writer(3, 0), writer(4, 0))
+		r := newTestGateway(t, reader(1, 0), writer(3, 0), writer(4, 0))
 		id, _ := r.arrive(Request{Class: c.class})
 		r.end(id, 1, PromptRead, 0)
 		called := false
@@ -524,9 +524,9 @@
 
 // Past the window in which its workers discard repeats, a request by key can't be sent on any more: it is answered at once,
 // and not when its client's patience ends.
-func TestPastItsWindowARequestIsAnswered(t *testing.T) {
+func TestRequestPastItsRepeatWindowFailsAtOnce(t *testing.T) {
 	for _, past := range []bool{false, true} {
-		r := newRig(t, reader(1, 0), writer(2, 0), writer(3, 0))
+		r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0))
 		id, _ := r.arrive(Request{Class: 2, Patience: 20 * time.Second})
 		first := find(r.end(id, 1, PromptRead, 0), Send).Server
 		r.wait(testSettings().Classes[2].RepeatWindow - 100*time.Millisecond)
@@ -545,9 +545,9 @@
 
 // A timer set for the read has nothing to say of the write that follows it: a writer that has been silent for
 // a moment has not had its time yet.
-func TestTimerOfTheReadDoesNotCallOffTheWrite(t *testing.T) {
+func TestReadTimerDoesNotCancelTheWrite(t *testing.T) {
 	for class := range 2 {
-		r := newRig(t, reader(1, 0), writer(3, 0))
+		r := newTestGateway(t, reader(1, 0), writer(3, 0))
 		id, acts := r.arrive(Request{Class: class})
 		read := find(acts, SetTimer)
 		if read == nil {
@@ -568,7 +568,7 @@
 	for weights, want := range map[bool]float64{false: 0.5, true: 0.75} {
 		set := testSettings()
 		set.Weights = weights
-		r := &rig{t: t, g: New(set, 1), now: Time(time.Hour)}
+		r := &testGateway{t: t, g: New(set, 1), now: Time(time.Hour)}
 		first, second := reader(1, 0), reader(2, 0)
 		first.Weight, second.Weight = 3, 1
 		r.g.Handle(r.now, []Event{{Kind: ServersChanged, Whole: true, Members: []Member{first, second, writer(3, 0)}}}, nil)
@@ -588,7 +588,7 @@
 
 // Before an instance ends, each request in hand gets its answer by the rules of its
 // class, and an answer that has begun moves only where its client comes again.
-func TestClosingEndsWhatIsInHand(t *testing.T) {
+func TestClosingEndsOpenRequests(t *testing.T) {
 	const safe, once = 0, 1
 	for _, c := range []struct {
 		name   string
@@ -604,9 +604,9 @@
 		{"its client does not", safe, "stream", false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, reader(1, 0), writer(2, 0))
-			r.g.set.Resume = c.resume
-			r.g.set.Classes[once].Effect = EffectOnce
+			r := newTestGateway(t, reader(1, 0), writer(2, 0))
+			r.g.settings.Resume = c.resume
+			r.g.settings.Classes[once].Effect = EffectOnce
 			id, acts := r.arrive(Request{Class: c.class})
 			r.wantSend(acts, 1)
 			if c.until != "read" {
@@ -653,8 +653,8 @@
 
 // A worker that restarts while it is out by hand is listed as draining with its new
 // start. Put back, it keeps nothing of what the old process had.
-func TestARestartWhileDrainingVoidsWhatWasKept(t *testing.T) {
-	r := newRig(t, reader(1, 0), writer(2, 0))
+func TestRestartWhileDrainingClearsTheCache(t *testing.T) {
+	r := newTestGateway(t, reader(1, 0), writer(2, 0))
 	id, _ := r.arrive(Request{Session: 5})
 	r.end(id, 1, PromptRead, 0)
 	for _, h := range []Health{Draining, Ready} {
@@ -662,26 +662,26 @@
 		m.Weight, m.Health, m.Since = 1, h, r.now
 		r.g.Handle(r.now, []Event{{Kind: ServersChanged, Members: []Member{m}}}, nil)
 	}
-	if kept := r.g.byID[1].kept; len(kept) != 0 {
+	if kept := r.g.byID[1].cached; len(kept) != 0 {
 		t.Fatalf("%d entries kept past the restart", len(kept))
 	}
 }
 
 // What this gateway could not send is no sign of life of the server that it was meant for: an attempt there that nobody answers is
 // called off all the same.
-func TestWhatWasNotSentIsNoSignOfLife(t *testing.T) {
+func TestUnreachedAttemptIsNoSignOfLife(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		unreached bool
 		called    bool
 	}{{"turned away by the server", false, false}, {"not sent for want of a connection", true, true}} {
-		r := newRig(t, reader(1, 0))
+		r := newTestGateway(t, reader(1, 0))
 		silent, _ := r.arrive(Request{})
 		r.wait(10 * time.Millisecond)
 		other, acts := r.arrive(Request{})
 		r.wantSend(acts, 1)
 		r.g.Handle(r.now, []Event{{Kind: AttemptEnded, ID: other, Server: 1, Status: Full, Unreached: c.unreached}}, nil)
-		r.now = r.g.requests[silent].check
+		r.now = r.g.requests[silent].checkAt
 		acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(silent)}}, nil)
 		if called := find(acts, CallOff) != nil; called != c.called {
 			t.Errorf("%s: called off: %v, want %v", c.name, called, c.called)
@@ -690,10 +690,10 @@
 }
 
 // A stream is moved when that is due and clients come again for the rest, by no timer that was set for something else.
-func TestStreamsMoveWhenThatIsDue(t *testing.T) {
+func TestStreamsMoveAtTheirDueTime(t *testing.T) {
 	for _, resume := range []bool{false, true} {
-		r := newRig(t, reader(1, 0), writer(3, 0))
-		r.g.set.Resume = resume
+		r := newTestGateway(t, reader(1, 0), writer(3, 0))
+		r.g.settings.Resume = resume
 		var ids []RequestID
 		for range 2 {
 			id, _ := r.arrive(Request{})
--- a/logic/health.go
+++ b/logic/health.go
@@ -1,68 +1,70 @@
 package logic
 
-// This file: how slow or suspect a server is.
-
 import (
 	"math"
 	"time"
 )
 
 const (
-	suspectScale = 3.0              // cost scale of a server after one bad sign
-	forgetSlow   = 10 * time.Second // a slowness not confirmed fades with this time constant
-	maxBackoff   = 8 * time.Second
-	errorsInRow  = 2 // errors with nothing between them from which a server is at fault, not a request
+	suspectScale       = 3.0              // cost factor of a server after one failure
+	slowdownDecay      = 10 * time.Second // time constant of a slowdown that is not confirmed
+	maxBackoff         = 8 * time.Second
+	suspectAfterErrors = 2 // consecutive errors that are the server's fault, not a request's
 )
 
-// scale makes a token at s dearer by all that makes s slow: its observed pace, a bad sign, distance, cold.
-func (g *Gateway) scale(s *server) float64 {
-	v := g.slowness(s) / math.Pow(math.Max(g.warmth(s), 0.05), 1-g.unseenShare)
-	if g.now < s.suspectUntil { // one bad sign may be chance: dearer, but not out
+// costScale returns the factor on the cost of a token at s: its observed speed, a recent failure,
+// distance, slow start and weight.
+func (g *Gateway) costScale(s *server) float64 {
+	v := g.slowdownFactor(s) / math.Pow(math.Max(g.warmth(s), 0.05), 1-g.unseenShare)
+	if g.now < s.suspectUntil { // one failure may be chance: costlier, but not excluded
 		v *= suspectScale
 	}
-	v *= g.distance(s)
-	if g.set.Weights && s.Weight > 0 {
+	v *= g.distanceCost(s)
+	if g.settings.Weights && s.Weight > 0 {
 		v /= s.Weight
 	}
 	return v
 }
 
-func (g *Gateway) slowness(s *server) float64 {
-	return math.Max(1+s.slow.value(g.now, forgetSlow), 0.3)
+func (g *Gateway) slowdownFactor(s *server) float64 {
+	return math.Max(1+s.slowdown.value(g.now, slowdownDecay), 0.3)
 }
 
-func (g *Gateway) sample(s *server, ratio float64) {
-	s.slow.average(g.now, forgetSlow, finite(ratio, 0.2, maxRatio)-1, fastLearn)
+func (g *Gateway) observeSlowdown(s *server, ratio float64) {
+	s.slowdown.average(g.now, slowdownDecay, clamp(ratio, 0.2, maxSampleRatio)-1, fastWeight)
 }
 
-// erred takes an error that a server answered. One may be the request's fault; where nothing else came
-// between two, the server is suspect: one that errs at once holds nothing and would look the best of all.
-func (g *Gateway) erred(s *server) {
-	g.sample(s, 2)
-	s.erredAt = g.now
-	if s.errors++; s.errors >= errorsInRow {
-		s.fails = max(s.fails, 1) // no trial in between, as after a first bad sign
+// observeError records an error answered by a server. A single one may be the fault of the request;
+// after consecutive ones the server is suspect. A server that fails at once holds nothing and would
+// look the least loaded of all.
+func (g *Gateway) observeError(s *server) {
+	g.observeSlowdown(s, 2)
+	s.lastErrorAt = g.now
+	if s.consecutiveErrors++; s.consecutiveErrors >= suspectAfterErrors {
+		// Out of the ordinary path at once, unlike after a first failure.
+		s.failures = max(s.failures, 1)
 		g.suspect(s)
 	}
 }
 
-// risky tells whether a request that may run once only should rather go elsewhere: the server's latest answer
-// was an error, and nothing could be tried after another one.
+// risky reports whether a request that may run only once should rather go elsewhere: the server's
+// latest answer was an error, and no attempt could follow another one.
 func (g *Gateway) risky(r *request, s *server) bool {
 	once := g.class(r).Effect != EffectRepeatable
-	return once && s.errors > 0 && after(s.erredAt, g.now) < maxBackoff
+	return once && s.consecutiveErrors > 0 && between(s.lastErrorAt, g.now) < maxBackoff
 }
 
-// served takes a sign that the server serves.
-func (s *server) served(now Time) {
-	s.lastSignAt, s.fails, s.errors, s.suspectUntil = now, 0, 0, 0
+// markServing records that the server serves requests, which ends any suspicion.
+func (s *server) markServing(now Time) {
+	s.lastActivityAt, s.failures, s.consecutiveErrors, s.suspectUntil = now, 0, 0, 0
 }
 
-// suspect takes a server out of the ordinary path; single trials, ever later, bring it back. Where this
-// gateway seldom sends to any one server, a trial costs as much and tells as little: they are later.
+// suspect takes a server out of the ordinary path. Single trials at increasing intervals bring it
+// back. Where this gateway seldom sends to any one server, a trial costs as much and reveals as
+// little: trials are later.
 func (g *Gateway) suspect(s *server) {
-	unit := min(max(firstBackoff, seconds(g.arrivalGap*float64(g.pools[s.role].n))), maxBackoff)
-	wait := min(unit<<min(s.fails, 6), max(maxBackoff, 2*unit))
-	s.fails++
+	unit := min(max(firstBackoff, seconds(g.arrivalInterval*float64(g.pools[s.role].count))), maxBackoff)
+	wait := min(unit<<min(s.failures, 6), max(maxBackoff, 2*unit))
+	s.failures++
 	s.suspectUntil = g.now + Time(float64(wait)*(0.8+0.4*g.rng.Float64()))
 }
--- a/logic/held.go
+++ b/logic/held.go
@@ -1,60 +1,55 @@
 package logic
 
-// This file: the read state that waits at a reader until a writer takes it, and when it is let go of.
-//
-// Bytes that went out prove nothing: a proxy, or the system of a server that is stopped or cut off, takes
-// them too. So the time for which a state may wait runs on until a server has answered for it, and then the
-// state is let go of, whether an attempt is out or not. That does not harm an attempt which a server has:
-// what is let go of is what no attempt waits for.
-
 import (
 	"time"
 )
 
-// triesWithState is how many servers are tried with one held state where connections fail.
-const triesWithState = 3
+// attemptsPerState is how many servers are tried with one held read state if connections fail.
+const attemptsPerState = 3
 
-// leastSendTime is how much time to reach a writer makes a try worth while. So long before its time is over a
-// state is let go of.
-func (g *Gateway) leastSendTime() time.Duration { return g.set.ReleaseWithin / triesWithState / 2 }
+// minSendTime returns the minimum time to reach a writer for which an attempt is made. A held state
+// is released this long before its time limit.
+func (g *Gateway) minSendTime() time.Duration { return g.settings.ReleaseWithin / attemptsPerState / 2 }
 
-// releaseDue is when the request's state has to be let go of unless a server has answered for it by then.
+// releaseDue returns when the request's read state has to be released unless a server has answered
+// for it by then.
 func (g *Gateway) releaseDue(r *request) Time {
-	return r.heldSince + Time(g.set.ReleaseWithin-g.leastSendTime())
+	return r.heldSince + Time(g.settings.ReleaseWithin-g.minSendTime())
 }
 
-// sendWithin is how long an attempt may take to reach its server. A state counts as held until then; a try
-// gets a part.
+// sendWithin returns how long an attempt may take to reach its server: a part of the time until the
+// release is due. The state counts as held until the attempt has reached a server.
 func (g *Gateway) sendWithin(r *request) time.Duration {
 	if r.reader == nil {
 		return 0
 	}
-	return min(g.set.ReleaseWithin/triesWithState, after(g.now, g.releaseDue(r)))
+	return min(g.settings.ReleaseWithin/attemptsPerState, between(g.now, g.releaseDue(r)))
 }
 
-// armRelease has the state looked at when it is due, once for each state however many attempts carry it.
-func (g *Gateway) armRelease(r *request) {
+// setReleaseTimer sets a timer for when the release is due, once for each state however many
+// attempts carry it.
+func (g *Gateway) setReleaseTimer(r *request) {
 	due := g.releaseDue(r)
-	if r.reader == nil || g.set.ReleaseWithin <= 0 || r.releaseArmed == due {
+	if r.reader == nil || g.settings.ReleaseWithin <= 0 || r.releaseTimerAt == due {
 		return
 	}
-	r.releaseArmed = due
-	g.arm(r, max(after(g.now, due), 0))
+	r.releaseTimerAt = due
+	g.setTimer(r, max(between(g.now, due), 0))
 }
 
-// releaseUnanswered lets go of a state that is due beside the attempt that carries it.
-func (g *Gateway) releaseUnanswered(r *request) {
-	carried := r.phase == writing && r.reader != nil && !r.released
-	if !carried || g.set.ReleaseWithin <= 0 || g.now < g.releaseDue(r) {
+// releaseOverdue releases a state that is due while the attempt that carries it is in flight.
+func (g *Gateway) releaseOverdue(r *request) {
+	carried := r.phase == phaseWriting && r.reader != nil && !r.released
+	if !carried || g.settings.ReleaseWithin <= 0 || g.now < g.releaseDue(r) {
 		return
 	}
 	r.released = true
-	g.do(Action{Kind: Release, ID: r.ID})
+	g.emit(Action{Kind: Release, ID: r.ID})
 }
 
-// settleState takes what the end of an attempt says of the request's state. Where the state is gone, or may
-// be, it is let go of again: an attempt that is over may have waited for it.
-func (g *Gateway) settleState(r *request, was phase, e *Event) {
+// settleReadState updates the request's read state by the outcome of an attempt. A state that is
+// lost, or may be, is released again: the attempt that has ended may have waited for it.
+func (g *Gateway) settleReadState(r *request, was attemptPhase, e *Event) {
 	answered := e.Status.Answered() && !e.Unreached
 	if answered {
 		r.heldSince = g.now
@@ -65,14 +60,14 @@
 	case e.Status == PromptRead:
 		r.reader = r.server
 		return
-	case was == reading && e.Status == Rejected:
+	case was == phaseReading && e.Status == Rejected:
 		return
-	case was == reading: // a reader behind a cut path may hold it still
+	case was == phaseReading: // an unreachable reader may still hold it
 	case r.reader != nil && released && !answered:
-	case e.Status == Full && e.Kept == 1: // no state there
+	case e.Status == Full && e.Kept == 1: // no read state there
 	default:
 		return
 	}
 	r.reader = nil
-	g.do(Action{Kind: Release, ID: r.ID})
+	g.emit(Action{Kind: Release, ID: r.ID})
 }
--- a/logic/limits_test.go
+++ b/logic/limits_test.go
@@ -12,7 +12,7 @@
 // the deploy file lists all of them but api.go, which is the interface.
 //
 // Before there was one module, of 940 lines at most; the operators have withdrawn that bound on the whole.
-func TestModuleLimits(t *testing.T) {
+func TestFileSizeLimits(t *testing.T) {
 	const mostLines, mostCharacters = 260, 110
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/logic/load.go
+++ b/logic/load.go
@@ -1,86 +1,95 @@
 package logic
 
-// This file: the load of a server: what was sent to it, and what it reports.
-
 import (
 	"math"
 	"time"
 )
 
 const (
-	waitFade  = 2 * time.Second // a wait not confirmed fades, so that servers are tried again
-	shareFade = 5 * time.Second // the same of its memory, which changes with its answers
+	waitDecay  = 2 * time.Second // unconfirmed waits decay, so that servers are tried again
+	shareDecay = 5 * time.Second // the same for a reported memory share, which changes with answers
 )
 
-// pending is the read load that this gateway put on s: what is out, and what time-outs left behind, or a
-// server that times out would look idle just when it is not.
-func (g *Gateway) pending(s *server) float64 {
-	return s.pendingTokens + s.residualTokens.value(g.now, residualFade)
+// pendingLoad returns the read load that this gateway has put on s: what is in flight, and what
+// time-outs left behind. Without the latter a server that times out would look idle just when it is
+// not.
+func (g *Gateway) pendingLoad(s *server) float64 {
+	return s.pendingTokens + s.residualTokens.value(g.now, residualDecay)
 }
 
-// trust in a server's own report falls with its age; none is as old as can be.
-func (g *Gateway) trust(s *server, over time.Duration) float64 {
+// reportWeight returns the weight of a server's own report, which decreases with its age. Without a
+// report it is 0.
+func (g *Gateway) reportWeight(s *server, timeConstant time.Duration) float64 {
 	if !s.load.HasMemory && !s.load.HasUnread {
 		return 0
 	}
-	return math.Exp(-float64(after(s.loadAt, g.now)) / float64(over))
+	return math.Exp(-float64(between(s.loadReportedAt, g.now)) / float64(timeConstant))
 }
 
-// reported is the peers' part of the read load that s reports, or of the mean as the report ages.
-func (g *Gateway) reported(s *server) float64 {
-	mean := g.pools[s.role].readLoad.value(g.now, g.waitSpan())
-	return g.peerShare * (mean + g.trust(s, unreadFade)*(s.load.UnreadToken-mean))
+// peerLoad returns the peers' part of the read load that s reports. As the report ages, the mean of
+// all servers replaces it.
+func (g *Gateway) peerLoad(s *server) float64 {
+	mean := g.pools[s.role].readLoad.value(g.now, g.waitTimeConstant())
+	return g.peerShare * (mean + g.reportWeight(s, unreadDecay)*(s.load.UnreadToken-mean))
 }
 
-// takeReport takes a server's report into its model and into the means of its role.
-func (g *Gateway) takeReport(s *server, l Load) {
+// applyReport records a server's load report for the server and in the means of its role.
+func (g *Gateway) applyReport(s *server, l Load) {
 	if s == nil || !l.HasMemory && !l.HasUnread {
 		return
 	}
-	l.MemoryShare, l.UnreadToken = finite(l.MemoryShare, 0, 1), finite(l.UnreadToken, 0, 1e7)
-	s.load, s.loadAt, s.since = l, g.now, 0
+	l.MemoryShare, l.UnreadToken = clamp(l.MemoryShare, 0, 1), clamp(l.UnreadToken, 0, 1e7)
+	s.load, s.loadReportedAt, s.tokensSinceReport = l, g.now, 0
 	p := &g.pools[s.role]
-	p.reports++
-	a := math.Max(fastLearn, 1/float64(p.reports))
+	p.reportCount++
+	a := math.Max(fastWeight, 1/float64(p.reportCount))
 	if l.HasMemory {
-		g.reports, p.share = true, p.share+a*(l.MemoryShare-p.share)
+		g.memoryReported, p.meanShare = true, p.meanShare+a*(l.MemoryShare-p.meanShare)
 	}
-	p.readLoad.average(g.now, g.waitSpan(), l.UnreadToken, fastLearn)
+	p.readLoad.average(g.now, g.waitTimeConstant(), l.UnreadToken, fastWeight)
 }
 
-// share is the part of a server's memory that is held: its last report plus own tokens sent since, and
-// the mean of the reports as it ages. Without reports own tokens speak for the peers' as far as there
-// are enough of them, and their mean for the rest.
-func (g *Gateway) share(s *server) float64 {
-	mean := g.pools[s.role].share
-	if !g.reports {
-		own := s.tokens / s.memory * (1 + g.peers*(1-g.unseenShare))
-		return s.turnedAway(g.now) + own + g.peerShare*mean*g.unseenShare
+// memoryShare returns the fraction of a server's memory that is in use: its last report plus own
+// tokens sent since, and the mean of the reports as it ages. Without reports it is extrapolated
+// from own tokens as far as there are enough of them, and from their mean for the rest.
+func (g *Gateway) memoryShare(s *server) float64 {
+	mean := g.pools[s.role].meanShare
+	if !g.memoryReported {
+		own := s.ownTokens / s.memory * (1 + g.peerCount*(1-g.unseenShare))
+		return s.rejectionShare(g.now) + own + g.peerShare*mean*g.unseenShare
 	}
-	return s.turnedAway(g.now) + mean + g.trust(s, shareFade)*(s.load.MemoryShare-mean) + s.since/s.memory
+	return s.rejectionShare(g.now) + mean +
+		g.reportWeight(s, shareDecay)*(s.load.MemoryShare-mean) + s.tokensSinceReport/s.memory
 }
 
-// pool is what is known of all usable servers of one role together.
+// pool holds the aggregates over all usable servers of one role.
 type pool struct {
-	n        int
-	reports  int
-	share    float64 // mean part of the memory held, by reports or by own tokens and as many of each peer
-	readLoad fading  // mean of the reported read loads
-	wait     fading  // seconds that requests wait there beyond the usual
-	roomiest *server // of the usable ones by their reports; nil without any
+	count       int
+	reportCount int
+	meanShare   float64       // mean memory share, by reports, or by own tokens times the gateways
+	readLoad    decayingValue // mean of the reported read loads
+	wait        decayingValue // seconds that requests wait there beyond the usual
+	leastLoaded *server       // usable server with the lowest reported memory share; nil: none
 }
 
-// waitAt is how long, in seconds, requests have lately waited at the servers of a role beyond the usual.
-// It fades with time, or where this gateway sees little with a few of its arrivals.
-func (g *Gateway) waitAt(role Role) float64 { return g.pools[role].wait.value(g.now, g.waitSpan()) }
+// recentWait returns how long, in seconds, requests have recently waited at the servers of a role
+// beyond the usual. It decays with time or, where this gateway sees little, over a few of its
+// arrivals.
+func (g *Gateway) recentWait(role Role) float64 {
+	return g.pools[role].wait.value(g.now, g.waitTimeConstant())
+}
 
-// readSeconds is how long s takes for so many prompt tokens.
+// readSeconds returns how long s takes to read the given number of prompt tokens.
 func (g *Gateway) readSeconds(s *server, tokens float64) float64 {
-	return g.reads[s.Kind].seconds(tokens) * g.slowness(s)
+	return g.readSpeeds[s.Kind].seconds(tokens) * g.slowdownFactor(s)
 }
 
-func (g *Gateway) waited(role Role, sec float64) {
-	g.pools[role].wait.average(g.now, g.waitSpan(), math.Max(0, sec), 0.02)
+// observeWait records a wait beyond the usual at a server of the role.
+func (g *Gateway) observeWait(role Role, sec float64) {
+	g.pools[role].wait.average(g.now, g.waitTimeConstant(), math.Max(0, sec), 0.02)
 }
 
-func (g *Gateway) waitSpan() time.Duration { return max(waitFade, seconds(3*g.arrivalGap)) }
+// waitTimeConstant returns the time constant with which waits decay, at least three arrivals.
+func (g *Gateway) waitTimeConstant() time.Duration {
+	return max(waitDecay, seconds(3*g.arrivalInterval))
+}
--- a/logic/readers.go
+++ b/logic/readers.go
@@ -1,109 +1,114 @@
 package logic
 
-// This file: the choice of a reader.
-
 import (
 	"math"
 	"slices"
 )
 
 const (
-	overlapWeight = 1.0  // cost of a missing prompt token, in tokens of load (ours)
-	homeTrust     = 0.95 // part of a prefix expected at its homes
-	leastHomes    = 2    // readers that share the prompts of one prefix
-	mostHomes     = 8
-	tieTokens     = 150 // readers that differ by so little are alike to one of many gateways
-	mixedWeight   = 3.0 // of a mixed server's memory share against the writers'
+	overlapWeight       = 1.0  // cost of an uncached prompt token, in tokens of load
+	expectedPrefixShare = 0.95 // part of a prefix expected in the caches of its preferred readers
+	minPreferredReaders = 2    // readers that share the prompts of one prefix
+	maxPreferredReaders = 8
+	tieBreakTokens      = 150 // readers that differ by less look alike to one of many gateways
+	mixedMemoryWeight   = 3.0 // of a mixed server's memory share relative to the writers'
 )
 
-// home is where the prompts of a prefix meet when all gateways hash alike.
-type home struct {
-	servers []*server
-	seen    fading
+// affinityGroup holds the readers of an affinity key in the order that all gateways compute alike.
+type affinityGroup struct {
+	servers  []*server
+	arrivals decayingValue
 }
 
-// findHomes finds the homes of the request's prefix by rendezvous hashing: with many gateways hardly any
-// table holds what peers had read, but all of them hash alike. A frequent prefix has more homes; the
-// first of them is the one where the request's session meets. So do sessions that share nothing, where
-// little is seen.
-func (g *Gateway) findHomes(r *request) {
-	if g.surveyed == 0 {
-		g.survey()
+// findPreferredReaders determines the preferred readers of the request's prefix by rendezvous
+// hashing. With many gateways, hardly any table holds what peers had read, but all gateways compute
+// the same hash. A frequent prefix has more preferred readers; the request's session determines the
+// first of them. Where this gateway sees little, sessions that share no prefix are hashed by their
+// own key.
+func (g *Gateway) findPreferredReaders(r *request) {
+	if g.meansUpdatedAt == 0 {
+		g.updateMeans()
 	}
 	key := r.Prefix
 	if r.PrefixTokens <= 0 {
 		key = 0
-		if g.unseenShare > mostUnseen {
+		if g.unseenShare > maxUnseenShare {
 			key = r.Session
 		}
 	}
-	if r.affinityKey = key; key == 0 || g.peers == 0 {
+	if r.affinityKey = key; key == 0 || g.peerCount == 0 {
 		return
 	}
-	h := g.homes[key]
-	if h == nil {
-		if len(g.homes) >= keysPerServer {
-			clear(g.homes)
+	group := g.affinityGroups[key]
+	if group == nil {
+		if len(g.affinityGroups) >= maxKeysPerServer {
+			clear(g.affinityGroups)
 		}
-		h = &home{}
-		g.homes[key] = h
+		group = &affinityGroup{}
+		g.affinityGroups[key] = group
 	}
-	h.seen.add(g.now, keepFor, 1)
-	g.seen.add(g.now, keepFor, 1)
-	if h.servers == nil {
+	group.arrivals.add(g.now, entryTTL, 1)
+	g.keyedArrivals.add(g.now, entryTTL, 1)
+	if group.servers == nil {
 		for _, s := range g.servers {
 			if s.usable() && s.role != RoleWrite {
-				h.servers = append(h.servers, s)
+				group.servers = append(group.servers, s)
 			}
 		}
-		byHash(h.servers, func(s *server) float64 { return -math.Log(hash(key, s.Server)) / s.pull })
+		sortByKey(group.servers,
+			func(s *server) float64 { return -math.Log(rendezvousHash(key, s.Server)) / s.trafficWeight })
 	}
-	// What is seldom seen is no measure: gateways that count on other homes send a session's turns apart.
-	n := len(h.servers)
-	most := min(n, mostHomes, leastHomes+int((h.seen.v-1)/(g.seen.v+float64(n))*float64(n)))
-	r.homes = slices.Clone(h.servers[:most])
-	byHash(r.homes, func(s *server) float64 { return hash(r.Session, s.Server) })
-	r.renewed = math.Min(1, h.seen.v/2)
+	// Rare keys give no reliable count: gateways that assume different numbers of preferred readers
+	// would send the turns of a session to different ones.
+	n := len(group.servers)
+	count := min(n, maxPreferredReaders,
+		minPreferredReaders+int((group.arrivals.v-1)/(g.keyedArrivals.v+float64(n))*float64(n)))
+	r.preferredReaders = slices.Clone(group.servers[:count])
+	sortByKey(r.preferredReaders, func(s *server) float64 { return rendezvousHash(r.Session, s.Server) })
+	r.ownCacheShare = math.Min(1, group.arrivals.v/2)
 }
 
-// missing is the part of a prompt to be read at s: what the table does not hold there and, at the homes
-// of its prefix, peers will not have had read. Away from them a prefix stays kept only if own requests
-// alone come often enough.
-func (g *Gateway) missing(r *request, s *server) float64 {
-	e, own := s.holds(r)
-	promise, home := e.tokens, slices.Index(r.homes, s)
-	if after(e.used, g.now) >= keepFor {
-		promise = 0
-	} else if !own && home < 0 && r.homes != nil {
-		promise *= r.renewed
+// uncachedTokens returns the number of prompt tokens that s would have to read: those that the
+// table does not list there and, at the preferred readers of the prefix, that peers will not have
+// had read. At other readers a prefix stays cached only if own requests alone come often enough.
+func (g *Gateway) uncachedTokens(r *request, s *server) float64 {
+	e, own := s.lookupCached(r)
+	expected, rank := e.tokens, slices.Index(r.preferredReaders, s)
+	if between(e.used, g.now) >= entryTTL {
+		expected = 0
+	} else if !own && rank < 0 && r.preferredReaders != nil {
+		expected *= r.ownCacheShare
 	}
-	if home >= 0 {
-		promise = math.Max(promise, homeTrust*r.PrefixTokens)
+	if rank >= 0 {
+		expected = math.Max(expected, expectedPrefixShare*r.PrefixTokens)
 	}
-	if home == 0 {
-		promise = math.Max(promise, (r.PrefixTokens+r.PromptTokens)/2)
+	if rank == 0 {
+		expected = math.Max(expected, (r.PrefixTokens+r.PromptTokens)/2)
 	}
-	return r.PromptTokens - promise
+	return r.PromptTokens - expected
 }
 
-// pickReader is the design's rule: the lowest overlap weight x missing tokens + read load. Where most
-// traffic is peers', readers that look alike are told apart by chance, or all gateways take the same.
+// pickReader picks the reader with the lowest overlapWeight x uncached tokens + read load. Where
+// peers send most of the traffic, ties are broken at random; otherwise all gateways would pick the
+// same reader.
 func (g *Gateway) pickReader(r *request) *server {
-	answering := g.pools[RoleWrite].share
-	if g.pools[RoleWrite].n == 0 {
-		answering = roomShare
+	writerShare := g.pools[RoleWrite].meanShare
+	if g.pools[RoleWrite].count == 0 {
+		writerShare = maxMemoryShare
 	}
 	return g.pick(r, func(s *server) (class int, cost float64) {
-		if s.role == RoleWrite { // only when no reader is left
-			if class = 64; !g.set.WritersRead {
-				class = never
+		if s.role == RoleWrite { // only if no reader is left
+			if class = 64; !g.settings.WritersRead {
+				class = excluded
 			}
 		}
-		cost = (overlapWeight*g.missing(r, s) + baseTokens + g.pending(s) + g.reported(s)) * g.scale(s)
-		cost += tieTokens * g.unseenShare * g.rng.ExpFloat64() / s.pull
-		if s.role == RoleBoth { // answers that run there wait for the read, and are load as well
-			cost += math.Max(0, mixedWeight*g.share(s)-answering) * s.memory
-			if g.share(s) >= roomShare {
+		cost = (overlapWeight*g.uncachedTokens(r, s) + overheadTokens +
+			g.pendingLoad(s) + g.peerLoad(s)) * g.costScale(s)
+		cost += tieBreakTokens * g.unseenShare * g.rng.ExpFloat64() / s.trafficWeight
+		// Answers that run at a mixed server are delayed by the read, and are load as well.
+		if s.role == RoleBoth {
+			cost += math.Max(0, mixedMemoryWeight*g.memoryShare(s)-writerShare) * s.memory
+			if g.memoryShare(s) >= maxMemoryShare {
 				class = 8
 			}
 		}
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -28,10 +28,10 @@
 	}{
 		"nothing in the way":               {func(*request, *Gateway) {}, WhyNone},
 		"one attempt left":                 {func(r *request, _ *Gateway) { r.sends = attempts - 1 }, WhyNone},
-		"no attempt left":                  {func(r *request, _ *Gateway) { r.sends = attempts }, WhyTriesSpent},
+		"no attempt left":                  {func(r *request, _ *Gateway) { r.sends = attempts }, WhyAttemptsSpent},
 		"one of them never arrived":        {func(r *request, _ *Gateway) { r.sends, r.unreached = attempts, 1 }, WhyNone},
-		"no time left":                     {func(r *request, _ *Gateway) { r.deadline = now + Time(holdMargin) }, WhyTimeOver},
-		"a little time left":               {func(r *request, _ *Gateway) { r.deadline = now + Time(holdMargin) + 1 }, WhyNone},
+		"no time left":                     {func(r *request, _ *Gateway) { r.deadline = now + Time(deadlineMargin) }, WhyDeadlineExceeded},
+		"a little time left":               {func(r *request, _ *Gateway) { r.deadline = now + Time(deadlineMargin) + 1 }, WhyNone},
 		"may have run, without effect":     {mayRun(0, 0), WhyNone},
 		"may have run, once only":          {mayRun(1, 0), WhyMayHaveRun},
 		"may have run, within its window":  {mayRun(2, window-1), WhyNone},
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := New(set, 1)
 			g.now = now
-			r := &request{most: attempts, deadline: now + Time(time.Second)}
+			r := &request{maxAttempts: attempts, deadline: now + Time(time.Second)}
 			c.change(r, g)
 			if got := g.refusalReason(r); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
--- a/logic/request.go
+++ b/logic/request.go
@@ -1,66 +1,68 @@
 package logic
 
-// This file: a request from its arrival to its end, as the decisions remember it.
-
 import (
 	"math"
 	"time"
 )
 
-type phase uint8
+// attemptPhase is the progress of a request's current attempt.
+type attemptPhase uint8
 
 const (
-	held      phase = iota // no attempt out
-	reading                // attempt out at a reader
-	writing                // attempt out at a writer or mixed server, not started
-	streaming              // the answer has started
+	phaseIdle      attemptPhase = iota // no attempt in flight
+	phaseReading                       // attempt in flight at a reader
+	phaseWriting                       // attempt in flight at a server that answers, not started
+	phaseStreaming                     // the answer has started
 )
 
-// request is one request from its arrival until nothing of it is out.
+// request is one request from its arrival until it has ended and no attempt is in flight.
 type request struct {
 	Request
-	arrived, deadline   Time
-	most                int // attempts, by the settings at its arrival
-	aim                 time.Duration
-	worth               float64 // 0 to 1: points against the best class, next to nothing past a quota
-	phase               phase
-	out, closed         bool // an attempt is out; the final answer is given or the client gone
-	called              bool // the attempt has been called off
-	mayHaveRun          bool // some attempt at ranServer, sent at ranAt, may have had its effect
-	sends, failed       int
-	unreached           int // of the sends, those that never reached their server
-	server, ranServer   *server
-	tried               []*server // and failed there
-	reader              *server   // where the read state waits; nil: none
-	sentAt, ranAt       Time
-	check               Time      // when a timer has something to look at
-	idleSince           Time      // since when no attempt is out that has reached a server
-	heldSince           Time      // since when a state waits for which no server has answered
-	releaseArmed        Time      // when a timer looks whether the state is to be let go of
-	released            bool      // the state was let go of beside the attempt that is out
-	moveAt              Time      // when its running stream is to be moved; 0: not
-	homes               []*server // readers where its prefix meets
-	renewed             float64   // part of a prefix that own requests alone keep warm anywhere
-	affinityKey         Key       // requests with the same one go to the same servers
-	creditFreeServer    *server   // cold, and it may go there without a credit
-	countedAt           *stage    // that it is counted at, with its outcome open
-	countedShare        float64   // what it counts for there
-	charge, queuedAhead float64   // tokens charged to the server's read load, and the load found there
-	memory              float64   // tokens charged to a writer's memory
-	need                float64   // seconds that its reading and fetching take without a wait
+	arrived, deadline Time
+	maxAttempts       int // by the settings at its arrival
+	aim               time.Duration
+	relativeValue     float64 // 0 to 1: points relative to the best class, reduced past a quota
+	phase             attemptPhase
+	// inFlight: an attempt is in flight. closed: the final answer is given, or the client has left.
+	inFlight, closed      bool
+	cancelled             bool // cancellation of the attempt has been requested
+	mayHaveRun            bool // an attempt at ranServer, sent at ranAt, may have had its effect
+	sends, failedAttempts int
+	unreached             int // attempts that never reached their server
+	server, ranServer     *server
+	tried                 []*server // servers at which an attempt has failed
+	reader                *server   // where the read state is held; nil: none
+	sentAt, ranAt         Time
+	checkAt               Time      // when a timer has to check the request
+	idleSince             Time      // since when no attempt that has reached a server is in flight
+	heldSince             Time      // since when a read state is held that no server has answered for
+	releaseTimerAt        Time      // when a timer checks whether the read state is due for release
+	released              bool      // the read state was released while an attempt is in flight
+	moveDueAt             Time      // when its running stream is to be moved; 0: never
+	preferredReaders      []*server // readers of its affinity group, the one of its session first
+	ownCacheShare         float64   // part of a prefix that own requests alone keep cached anywhere
+	affinityKey           Key       // requests with the same key go to the same servers
+	creditFreeServer      *server   // cold server that may take the request without a credit
+	countedStage          *stage    // stage that counts the request while its outcome is open
+	countedAmount         float64   // amount counted there
+	// charge: tokens charged to the server's read load. queuedAhead: the load found there.
+	charge, queuedAhead float64
+	memory              float64 // tokens charged to a writer's memory
+	serviceSeconds      float64 // time to read and fetch it without any wait
 }
 
-// stage is the one that a request comes to next.
-func (r *request) stage() int {
+// stageIndex returns the stage that the request comes to next: 0 to be read, 1 to be answered.
+func (r *request) stageIndex() int {
 	if r.reader != nil {
 		return 1
 	}
 	return 0
 }
 
-// free takes the end of an attempt. One that never reached its server has left what is held as it was.
-func (r *request) free(now Time, unreached bool) {
-	r.out, r.phase = false, held
+// finishAttempt records the end of an attempt. One that never reached its server leaves the held
+// read state as it was.
+func (r *request) finishAttempt(now Time, unreached bool) {
+	r.inFlight, r.phase = false, phaseIdle
 	if unreached {
 		r.unreached++
 	} else {
@@ -68,14 +70,14 @@
 	}
 }
 
-// settle takes an attempt's charges back.
-func (r *request) settle() {
+// refundCharge removes the charge of an attempt from the load of its server.
+func (r *request) refundCharge() {
 	r.server.waiting--
 	r.server.pendingTokens = math.Max(0, r.server.pendingTokens-r.charge)
 }
 
-func (g *Gateway) class(r *request) *Class { return &g.set.Classes[r.Class] }
+func (g *Gateway) class(r *request) *Class { return &g.settings.Classes[r.Class] }
 
-func (g *Gateway) arm(r *request, d time.Duration) {
-	g.do(Action{Kind: SetTimer, After: d, Token: uint64(r.ID)})
+func (g *Gateway) setTimer(r *request, d time.Duration) {
+	g.emit(Action{Kind: SetTimer, After: d, Token: uint64(r.ID)})
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// world plays arbitrary legal outcomes against a gateway and checks every action against the rules.
-type world struct {
+// ruleChecker plays arbitrary legal outcomes against a gateway and checks every action against the rules.
+type ruleChecker struct {
 	t       *testing.T
 	set     Settings
 	size    int // servers
@@ -36,13 +36,13 @@
 	now     Time
 	members map[ServerID]Member
 	leftAt  map[ServerID]Time
-	reqs    map[RequestID]*worldRequest
+	reqs    map[RequestID]*checkedRequest
 	ids     []RequestID
-	timers  []worldTimer
+	timers  []checkedTimer
 	log     []Action
 }
 
-type worldRequest struct {
+type checkedRequest struct {
 	id                RequestID
 	class             int
 	deadline          Time
@@ -59,12 +59,12 @@
 	calledOff         bool
 }
 
-type worldTimer struct {
+type checkedTimer struct {
 	at    Time
 	token uint64
 }
 
-func (w *world) deliver(events ...Event) {
+func (w *ruleChecker) deliver(events ...Event) {
 	w.t.Helper()
 	acts := w.g.Handle(w.now, events, nil)
 	w.log = append(w.log, acts...)
@@ -73,13 +73,13 @@
 	}
 }
 
-func (w *world) apply(a Action) {
+func (w *ruleChecker) apply(a Action) {
 	w.t.Helper()
 	if a.Kind == SetTimer {
 		if a.After <= 0 {
 			w.t.Fatalf("timer after %v", a.After)
 		}
-		w.timers = append(w.timers, worldTimer{w.now + Time(a.After), a.Token})
+		w.timers = append(w.timers, checkedTimer{w.now + Time(a.After), a.Token})
 		return
 	}
 	r := w.reqs[a.ID]
@@ -97,7 +97,7 @@
 			w.t.Fatalf("two attempts of %d out", r.id)
 		case !ok:
 			w.t.Fatalf("send to unlisted server %d", a.Server)
-		case m.Health != Ready && after(w.leftAt[a.Server], w.now) > w.set.DrainGrace:
+		case m.Health != Ready && between(w.leftAt[a.Server], w.now) > w.set.DrainGrace:
 			w.t.Fatalf("send to leaving server %d", a.Server)
 		case r.sends >= w.set.MaxAttempts:
 			w.t.Fatalf("attempt %d of %d", r.sends, r.id)
@@ -106,7 +106,7 @@
 		case r.ambiguous && c.Effect == EffectOnce:
 			w.t.Fatalf("once request %d sent again", r.id)
 		case r.ambiguous && c.Effect == EffectByKey &&
-			(m.Zone != r.ambiguousZone || after(r.ambiguousAt, w.now) > c.RepeatWindow):
+			(m.Zone != r.ambiguousZone || between(r.ambiguousAt, w.now) > c.RepeatWindow):
 			w.t.Fatalf("by-key request %d sent outside its group or window", r.id)
 		}
 		r.out, r.server, r.sentAt, r.calledOff = true, a.Server, w.now, false
@@ -134,12 +134,12 @@
 }
 
 // end delivers the outcome of an attempt.
-func (w *world) end(r *worldRequest, st Status) {
+func (w *ruleChecker) end(r *checkedRequest, st Status) {
 	w.t.Helper()
 	m := w.members[r.server]
 	role := w.set.Kinds[m.Kind].Role
 	e := Event{Kind: AttemptEnded, ID: r.id, Attempt: r.sends - 1, Server: r.server, Status: st,
-		Latency: after(r.sentAt, w.now)}
+		Latency: between(r.sentAt, w.now)}
 	switch st {
 	case PromptRead:
 		r.state = true
@@ -168,30 +168,30 @@
 	w.deliver(e)
 }
 
-func (w *world) check() {
+func (w *ruleChecker) check() {
 	w.t.Helper()
 	for _, id := range w.ids {
 		r := w.reqs[id]
 		if !r.ended && !r.out && w.now >= r.deadline {
 			w.t.Fatalf("request %d lost at its deadline", id)
 		}
-		if r.state && (!r.out || r.lost) && after(r.freeSince, w.now) > w.set.ReleaseWithin {
+		if r.state && (!r.out || r.lost) && between(r.freeSince, w.now) > w.set.ReleaseWithin {
 			w.t.Fatalf("state of request %d pinned", id)
 		}
 	}
 }
 
-func (w *world) arrive() {
+func (w *ruleChecker) arrive() {
 	id := RequestID(len(w.ids) + 1)
 	q := Request{ID: id, Class: w.rng.IntN(3), Session: Key(w.rng.IntN(50)), Prefix: Key(w.rng.IntN(5)),
 		PromptTokens: 100 + 3000*w.rng.Float64(), PrefixTokens: 2000 * w.rng.Float64(), MaxTokens: 200,
 		Resumed: w.rng.IntN(20) == 0, Patience: time.Duration(200+w.rng.IntN(4000)) * time.Millisecond}
-	w.reqs[id] = &worldRequest{id: id, class: q.Class, deadline: w.now + Time(q.Patience)}
+	w.reqs[id] = &checkedRequest{id: id, class: q.Class, deadline: w.now + Time(q.Patience)}
 	w.ids = append(w.ids, id)
 	w.deliver(Event{Kind: Arrived, Request: q})
 }
 
-func (w *world) shuffleFleet() {
+func (w *ruleChecker) changeRandomServer() {
 	id := ServerID(1 + w.rng.IntN(w.size))
 	m := Member{Server: id, Weight: 1, Kind: int(id) % 3, Cell: int(id) % 2, Zone: int(id) % 2}
 	m.Health = []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]
@@ -207,11 +207,11 @@
 	w.deliver(Event{Kind: ServersChanged, Members: []Member{m}})
 }
 
-func playWorld(t *testing.T, seed uint64, gateways, servers, steps int) []Action {
+func playRandomEvents(t *testing.T, seed uint64, gateways, servers, steps int) []Action {
 	set := testSettings()
 	set.Gateways = gateways
-	w := &world{t: t, set: set, size: servers, rng: rand.New(rand.NewPCG(seed, 1)), now: Time(seed%7) * 1e12,
-		members: map[ServerID]Member{}, leftAt: map[ServerID]Time{}, reqs: map[RequestID]*worldRequest{}}
+	w := &ruleChecker{t: t, set: set, size: servers, rng: rand.New(rand.NewPCG(seed, 1)), now: Time(seed%7) * 1e12,
+		members: map[ServerID]Member{}, leftAt: map[ServerID]Time{}, reqs: map[RequestID]*checkedRequest{}}
 	w.g = New(w.set, seed)
 	var all []Member
 	for id := ServerID(1); id <= ServerID(servers); id++ {
@@ -228,7 +228,7 @@
 			w.arrive()
 		}
 		if w.rng.IntN(200) == 0 {
-			w.shuffleFleet()
+			w.changeRandomServer()
 		}
 		due := w.timers
 		w.timers = nil
@@ -251,7 +251,7 @@
 }
 
 // step moves one attempt on.
-func (w *world) step(r *worldRequest, bad float64) {
+func (w *ruleChecker) step(r *checkedRequest, bad float64) {
 	if !r.ended && !r.first && w.rng.IntN(3000) == 0 {
 		if r.ended = true; !r.lost {
 			r.freeSince = w.now
@@ -280,22 +280,22 @@
 	case !r.first:
 		r.first, r.state = true, false
 		w.deliver(Event{Kind: AnswerStarted, ID: r.id, Attempt: r.sends - 1, Server: r.server,
-			Latency: after(r.sentAt, w.now)})
+			Latency: between(r.sentAt, w.now)})
 	default:
 		w.end(r, Served)
 	}
 }
 
 // The rules hold whatever happens, and the same events give the same actions.
-func TestRulesUnderArbitraryTrouble(t *testing.T) {
+func TestRulesUnderRandomFailures(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
-		if a, b := playWorld(t, seed, 2, 9, 4000), playWorld(t, seed, 2, 9, 4000); !reflect.DeepEqual(a, b) {
+		if a, b := playRandomEvents(t, seed, 2, 9, 4000), playRandomEvents(t, seed, 2, 9, 4000); !reflect.DeepEqual(a, b) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
 	}
 	for seed, gateways := range []int{1, 8, 80, 300} { // one of so many before 100 servers
 		for again := range 3 {
-			playWorld(t, uint64(20+10*again+seed), gateways, 100, 3000)
+			playRandomEvents(t, uint64(20+10*again+seed), gateways, 100, 3000)
 		}
 	}
 }
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -1,7 +1,5 @@
 package logic
 
-// This file: the list of servers, and what is known of all of them together.
-
 import (
 	"cmp"
 	"math"
@@ -10,16 +8,23 @@
 )
 
 const (
-	pullLeast     = 0.5                   // of an average reader's part, in a cell without writers
-	pullMost      = 1.5                   // of an average reader's part in a cell of few readers
-	unknownMemory = 1e5                   // tokens; only shares against like servers count then
-	coldHomes     = 8.0                   // power of warmth in weights where little is seen of peers
-	shareSamples  = 60.0                  // stream seconds that the mean of own shares is taken over
-	surveyEvery   = 50 * time.Millisecond // age of the means over all servers
-	sweepEvery    = time.Second
+	// For a cell without writers, relative to an average reader.
+	minTrafficWeight = 0.5
+	// For a cell of few readers, relative to an average reader.
+	maxTrafficWeight = 1.5
+	// Assumed where the memory is unknown: only shares relative to servers of its kind count then.
+	defaultMemoryTokens = 1e5
+	// Exponent of warmth in traffic weights, where little is seen of peers.
+	coldWeightExponent = 8.0
+	// Number of stream seconds over which own memory shares are averaged.
+	shareStreamSeconds = 60.0
+	// Maximum age of the means over all servers.
+	meansInterval = 50 * time.Millisecond
+	sweepInterval = time.Second
 )
 
-func (g *Gateway) list(e *Event) {
+// updateServers applies a change of the server list.
+func (g *Gateway) updateServers(e *Event) {
 	if e.Whole {
 		for _, s := range g.servers {
 			s.listed = false
@@ -31,27 +36,30 @@
 			if m.Health == Gone {
 				continue
 			}
-			s = &server{Member: m, kept: map[Key]entry{}, began: g.began(m), creditsGivenAt: g.now}
+			s = &server{Member: m, cached: map[Key]cacheEntry{}, startedAt: g.startOf(m), creditsAccruedAt: g.now}
 			g.byID[m.Server] = s
 			g.servers = append(g.servers, s)
 		} else if m.Since != s.Since && m.Health != Gone {
-			// A restarted process keeps nothing, and what was held against the old one is void.
-			s.kept, s.residualTokens, s.fails, s.errors, s.suspectUntil = map[Key]entry{}, fading{}, 0, 0, 0
-			s.slow, s.load, s.began, s.creditsGivenAt, s.coldCredits = fading{}, Load{}, g.began(m), g.now, 0
+			// A restarted process has an empty cache, and the failures of the old one say nothing
+			// about it.
+			s.cached, s.residualTokens, s.failures, s.consecutiveErrors, s.suspectUntil =
+				map[Key]cacheEntry{}, decayingValue{}, 0, 0, 0
+			s.slowdown, s.load, s.startedAt, s.creditsAccruedAt, s.coldCredits =
+				decayingValue{}, Load{}, g.startOf(m), g.now, 0
 		}
-		m.Kind = min(m.Kind, len(g.set.Kinds)-1)
-		kind := g.set.Kinds[m.Kind]
+		m.Kind = min(m.Kind, len(g.settings.Kinds)-1)
+		kind := g.settings.Kinds[m.Kind]
 		s.Member, s.listed, s.role = m, m.Health != Gone, kind.Role
-		s.memory = cmp.Or(max(kind.MemoryTokens, 0), unknownMemory)
+		s.memory = cmp.Or(max(kind.MemoryTokens, 0), defaultMemoryTokens)
 	}
-	g.balance()
-	g.surveyed = 0
+	g.updateTrafficWeights()
+	g.meansUpdatedAt = 0
 }
 
-// balance sets each reader's part of the traffic by the writers of its cell: their answers have to be
-// written there, and a reader's own load shows nothing of it. What a cell's writers would get above an
-// average writer's part all the same is their pressure.
-func (g *Gateway) balance() {
+// updateTrafficWeights sets the traffic weight of each reader by the writers of its cell: answers
+// have to be written there, and the load of a reader does not show that. The load above the average
+// that the writers of a cell would still get is their pressure.
+func (g *Gateway) updateTrafficWeights() {
 	cells, all := map[int]*[3]float64{}, [3]float64{}
 	g.warming = false
 	for _, s := range g.servers {
@@ -65,88 +73,90 @@
 			g.warming = g.warming || w < 1
 		}
 	}
-	pulls, sum := map[int]float64{}, 0.0
+	cellWeights, sum := map[int]float64{}, 0.0
 	for _, s := range g.servers {
-		s.pull = 1
+		s.trafficWeight = 1
 		if cell := cells[s.Cell]; s.role == RoleRead && s.usable() {
-			s.pull = finite(cell[RoleWrite]/all[RoleWrite]*all[RoleRead]/cell[RoleRead], pullLeast, pullMost)
+			s.trafficWeight = clamp(cell[RoleWrite]/all[RoleWrite]*all[RoleRead]/cell[RoleRead],
+				minTrafficWeight, maxTrafficWeight)
 		}
-		s.pull *= math.Pow(g.warmth(s), 1+coldHomes*g.unseenShare)
+		s.trafficWeight *= math.Pow(g.warmth(s), 1+coldWeightExponent*g.unseenShare)
 		if s.role == RoleRead && s.usable() {
-			pulls[s.Cell] += s.pull
-			sum += s.pull
+			cellWeights[s.Cell] += s.trafficWeight
+			sum += s.trafficWeight
 		}
 	}
 	for _, s := range g.servers {
-		s.writerPressure = finite(pulls[s.Cell]/sum*all[RoleWrite]/cells[s.Cell][RoleWrite], 1, 1e3)
+		s.writerPressure = clamp(cellWeights[s.Cell]/sum*all[RoleWrite]/cells[s.Cell][RoleWrite], 1, 1e3)
 	}
-	for _, h := range g.homes {
+	for _, h := range g.affinityGroups {
 		h.servers = nil
 	}
 }
 
-// survey renews the means over all servers, the base of what is thought of peers.
-func (g *Gateway) survey() {
-	if g.surveyed != 0 && after(g.surveyed, g.now) < surveyEvery {
+// updateMeans refreshes the means over all servers, from which the load by peers is estimated.
+func (g *Gateway) updateMeans() {
+	if g.meansUpdatedAt != 0 && between(g.meansUpdatedAt, g.now) < meansInterval {
 		return
 	}
 	var tokens, memory [3]float64
 	streams, servers := 1.0, 1.0
 	for i := range g.pools {
-		g.pools[i].n, g.pools[i].roomiest = 0, nil
+		g.pools[i].count, g.pools[i].leastLoaded = 0, nil
 	}
 	for i := range g.stages {
-		g.stages[i].n, g.stages[i].units, g.stages[i].cold = 0, 0, g.stages[i].cold[:0]
+		g.stages[i].count, g.stages[i].warmthSum, g.stages[i].cold = 0, 0, g.stages[i].cold[:0]
 	}
 	for _, s := range g.servers {
 		if p := &g.pools[s.role]; s.usable() {
-			p.n++
+			p.count++
 			g.addToStages(s, g.assumedWarmth(s))
-			if g.reports && (p.roomiest == nil || g.share(s) < g.share(p.roomiest)) {
-				p.roomiest = s
+			if g.memoryReported && (p.leastLoaded == nil || g.memoryShare(s) < g.memoryShare(p.leastLoaded)) {
+				p.leastLoaded = s
 			}
-			tokens[s.role] += s.tokens
+			tokens[s.role] += s.ownTokens
 			memory[s.role] += s.memory
 			streams += float64(s.streams)
 			servers++
 		}
 	}
-	// The fewer own streams there are, the longer they are averaged before they speak for the peers'.
-	a := 1 - math.Exp(-after(g.surveyed, g.now).Seconds()*streams/shareSamples)
+	// The fewer own streams there are, the longer they are averaged before they serve as an
+	// estimate of the peers' streams.
+	a := 1 - math.Exp(-between(g.meansUpdatedAt, g.now).Seconds()*streams/shareStreamSeconds)
 	for i := range g.pools {
-		if p := &g.pools[i]; p.n > 0 && !g.reports {
-			p.share += a * (tokens[i]/memory[i]*float64(g.set.Gateways) - p.share)
+		if p := &g.pools[i]; p.count > 0 && !g.memoryReported {
+			p.meanShare += a * (tokens[i]/memory[i]*float64(g.settings.Gateways) - p.meanShare)
 		}
 	}
 	g.unseenShare = g.peerShare / (1 + streams/servers)
-	g.surveyed = g.now
+	g.meansUpdatedAt = g.now
 }
 
-// sweep purges aged entries and servers that are gone with nothing out.
+// sweep removes expired entries, and servers that have left the list with nothing in flight.
 func (g *Gateway) sweep() {
-	if after(g.swept, g.now) < sweepEvery {
+	if between(g.sweptAt, g.now) < sweepInterval {
 		return
 	}
-	g.swept = g.now
+	g.sweptAt = g.now
 	if g.warming {
-		g.balance()
+		g.updateTrafficWeights()
 	}
-	old := func(used Time) bool { return after(used, g.now) >= keepFor }
-	for k, h := range g.homes {
-		if old(h.seen.at) {
-			delete(g.homes, k)
+	expired := func(used Time) bool { return between(used, g.now) >= entryTTL }
+	for k, h := range g.affinityGroups {
+		if expired(h.arrivals.at) {
+			delete(g.affinityGroups, k)
 		}
 	}
 	g.servers = slices.DeleteFunc(g.servers, func(s *server) bool {
-		for k, e := range s.kept {
-			if old(e.used) {
-				delete(s.kept, k)
+		for k, e := range s.cached {
+			if expired(e.used) {
+				delete(s.cached, k)
 			}
 		}
-		gone := !s.listed && s.waiting == 0 && s.streams == 0
-		if gone {
+		removable := !s.listed && s.waiting == 0 && s.streams == 0
+		if removable {
 			delete(g.byID, s.Server)
 		}
-		return gone
+		return removable
 	})
 }
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -1,7 +1,5 @@
 package logic
 
-// This file: slow start: what may be sent to servers that are not warm yet.
-
 import (
 	"cmp"
 	"math"
@@ -9,154 +7,168 @@
 )
 
 const (
-	coldCaution = 0.6              // part of the cold budget used; the rest is for chance
-	creditPart  = 0.4              // the same by credits alone, where little is seen of peers
-	homePart    = 0.4              // and the other, where requests meet
-	creditSpan  = 4                // times the settings' time for a fall: credits accrue for so long at most
-	rateMemory  = 10 * time.Second // time constant of the rates that cold budgets go by
-	toldWithin  = 6 * time.Second  // what discovery has to tell counts as told by then (protocol)
+	// Part of the cold budget that is used; the rest allows for random variation.
+	coldBudgetShare = 0.6
+	// The same for credits alone, where little is seen of peers.
+	creditBudgetShare = 0.4
+	// The same for sends without a credit, which go by affinity key.
+	affinityBudgetShare = 0.4
+	// Credits accrue for at most this many times Settings.FallAfter.
+	maxCreditWindows = 4
+	// Time constant of the rates that determine the cold budgets.
+	rateTimeConstant = 10 * time.Second
+	// Discovery is taken to report a start within this time (protocol).
+	discoveryDelay = 6 * time.Second
 )
 
-// stage is what all servers that read, or that answer, do for this gateway.
+// stage is the work that all servers that read, or all that answer, do for this gateway.
 type stage struct {
-	n, units float64            // of the usable servers: how many, and the sum of their warmth
-	cold     []*server          // of those that requests meet at
-	served   fading             // own requests, by what a unit of warmth bore of them
-	offered  fading             // own requests that came to it
-	recent   [32]affinitySample // of the last ones
-	last     int
+	count, warmthSum float64            // number of usable servers, and the sum of their warmth
+	cold             []*server          // cold servers that affinity keys are mapped to
+	served           decayingValue      // own requests served per unit of warmth
+	offered          decayingValue      // own requests that came to the stage
+	recent           [32]affinitySample // ring buffer of the latest requests
+	last             int
 }
 
-// affinitySample is the affinity key of a request, and when it came.
+// affinitySample is the affinity key of a request and the time of its arrival at a stage.
 type affinitySample struct {
 	key Key
 	at  Time
 }
 
-// coldest is the cold server at which requests of a key meet: of all that read, or of the writers of a cell.
-func (st *stage) coldest(key Key) (at *server) {
-	least := 2.0
+// coldServerFor returns the cold server that a key maps to: of all that read, or of the writers of
+// a cell. It returns nil if there is none.
+func (st *stage) coldServerFor(key Key) (at *server) {
+	lowest := 2.0
 	for _, s := range st.cold {
 		if s.role == RoleWrite && Key(s.Cell+1) != key {
 			continue
 		}
-		if x := hash(key, s.Server); x < least {
-			at, least = s, x
+		if x := rendezvousHash(key, s.Server); x < lowest {
+			at, lowest = s, x
 		}
 	}
 	return at
 }
 
-// addToStages adds a usable server to the stages that it has a part in.
+// addToStages adds a usable server to the stages that it serves.
 func (g *Gateway) addToStages(s *server, warmth float64) {
 	for i := range g.stages {
-		if st := &g.stages[i]; s.role == RoleBoth || s.role.stage() == i {
-			st.n++
-			st.units += warmth
-			if warmth < 1 && s.fails == 0 && (i == 0 || s.role == RoleWrite) {
+		if st := &g.stages[i]; s.role == RoleBoth || s.role.stageIndex() == i {
+			st.count++
+			st.warmthSum += warmth
+			if warmth < 1 && s.failures == 0 && (i == 0 || s.role == RoleWrite) {
 				st.cold = append(st.cold, s)
 			}
 		}
 	}
 }
 
-// perWarmth is what own requests had done a second by each unit of warmth there. Memory of a gateway that
-// has begun just now reaches back to that, not further.
-func (st *stage) perWarmth(now, born Time) float64 {
-	known := 1 - math.Exp(-math.Max(after(born, now).Seconds(), 1)/rateMemory.Seconds())
-	return math.Max(0, st.served.value(now, rateMemory)) / rateMemory.Seconds() / known
+// ratePerWarmth returns the own requests per second that each unit of warmth has served. The
+// average covers at most the time since the gateway started.
+func (st *stage) ratePerWarmth(now, startedAt Time) float64 {
+	known := 1 - math.Exp(-math.Max(between(startedAt, now).Seconds(), 1)/rateTimeConstant.Seconds())
+	return math.Max(0, st.served.value(now, rateTimeConstant)) / rateTimeConstant.Seconds() / known
 }
 
-// settleStage takes how a request ended at the stage that it was counted at, if it is counted still.
-func (g *Gateway) settleStage(r *request, done bool) {
-	if r.countedAt == nil {
+// settleStageCount replaces the provisional count of a request at its stage by its outcome.
+func (g *Gateway) settleStageCount(r *request, done bool) {
+	if r.countedStage == nil {
 		return
 	}
-	r.countedAt.served.add(g.now, rateMemory, -r.countedShare)
+	r.countedStage.served.add(g.now, rateTimeConstant, -r.countedAmount)
 	if done {
-		r.countedAt.served.add(g.now, rateMemory, 1/r.countedAt.units)
+		r.countedStage.served.add(g.now, rateTimeConstant, 1/r.countedStage.warmthSum)
 	}
-	r.countedAt = nil
+	r.countedStage = nil
 }
 
-// stage is 0 where a server only reads, 1 where it answers.
-func (r Role) stage() int {
+// stageIndex returns 0 for a server that only reads and 1 for one that answers.
+func (r Role) stageIndex() int {
 	if r == RoleRead {
 		return 0
 	}
 	return 1
 }
 
-// assumedWarmth is the warmth that sends go by. A server that could not be reached twice may have started
-// anew: it is sent as to a cold one since, until discovery would have told of a start. Trials go on where
-// much is seen.
+// assumedWarmth returns the warmth by which sends are limited. A server that could not be reached
+// twice may have restarted, so it is treated as cold since then, until discovery would have
+// reported a start. Trials go on where this gateway sees much of the traffic.
 func (g *Gateway) assumedWarmth(s *server) float64 {
-	w, gone := g.warmth(s), after(s.unreachableAt, g.now)
-	trial := g.unseenShare <= mostUnseen && s.suspectUntil != 0 && g.now >= s.suspectUntil && s.waiting == 0
-	if s.unreachableAt == 0 || gone >= toldWithin || trial || g.set.FallMultiple <= 0 || g.set.FallAfter <= 0 {
+	w, sinceUnreachable := g.warmth(s), between(s.lastUnreachableAt, g.now)
+	trial := g.unseenShare <= maxUnseenShare &&
+		s.suspectUntil != 0 && g.now >= s.suspectUntil && s.waiting == 0
+	if s.lastUnreachableAt == 0 || sinceUnreachable >= discoveryDelay || trial ||
+		g.settings.FallMultiple <= 0 || g.settings.FallAfter <= 0 {
 		return w
 	}
-	return math.Min(w, g.set.ColdShare+(1-g.set.ColdShare)*gone.Seconds()/toldWithin.Seconds())
+	return math.Min(w, g.settings.ColdShare+
+		(1-g.settings.ColdShare)*sinceUnreachable.Seconds()/discoveryDelay.Seconds())
 }
 
-// coldRoom tells whether this gateway may send to s now. For a server in slow start it has credits, one
-// for each send, which accrue with time: its share of what the settings let the whole fleet send, by the
-// rate that a unit of warmth bears. That share is what its own requests had of the rate, so the shares of
-// all gateways make up the fleet's rate, however uneven. Fractions of a credit are drawn for. Credits
-// lapse: saved up, they would be used at once.
-func (g *Gateway) coldRoom(s *server) bool {
+// mayUseCold reports whether this gateway may send to s now. For a server in slow start each send
+// takes a credit. Credits accrue with time: this gateway's share of what the settings let the whole
+// fleet send, by the rate that a unit of warmth serves. The share is what its own requests had of
+// that rate, so the shares of all gateways add up to the fleet's rate, however uneven they are.
+// Fractions of a credit are granted at random. Credits expire: saved up, they would be used all at
+// once.
+func (g *Gateway) mayUseCold(s *server) bool {
 	w := g.assumedWarmth(s)
 	if w >= 1 {
 		return true
 	}
-	least := 1 / float64(g.set.Gateways) / g.set.FallAfter.Seconds() // one a window of all: warming has to begin
-	part := coldCaution
-	if g.unseenShare > mostUnseen {
-		part = creditPart // where requests meet, cold servers have another
+	// One send per FallAfter over all gateways, so that warming can begin.
+	minRate := 1 / float64(g.settings.Gateways) / g.settings.FallAfter.Seconds()
+	budgetShare := coldBudgetShare
+	if g.unseenShare > maxUnseenShare {
+		budgetShare = creditBudgetShare // the other part is for sends without a credit
 	}
-	rate := math.Max(part*g.set.FallMultiple*w*g.stages[s.role.stage()].perWarmth(g.now, g.startedAt), least)
-	if g.now >= s.creditsLapseAt {
+	rate := math.Max(budgetShare*g.settings.FallMultiple*w*
+		g.stages[s.role.stageIndex()].ratePerWarmth(g.now, g.startedAt), minRate)
+	if g.now >= s.creditsExpireAt {
 		s.coldCredits = 0
 	}
-	accrued := rate * min(after(s.creditsGivenAt, g.now), creditSpan*g.set.FallAfter).Seconds()
+	accrued := rate *
+		min(between(s.creditsAccruedAt, g.now), maxCreditWindows*g.settings.FallAfter).Seconds()
 	if n := int(accrued + g.rng.Float64()); n > 0 {
-		s.coldCredits, s.creditsLapseAt = s.coldCredits+n, g.now+Time(g.set.FallAfter)
+		s.coldCredits, s.creditsExpireAt = s.coldCredits+n, g.now+Time(g.settings.FallAfter)
 	}
-	s.creditsGivenAt = g.now
+	s.creditsAccruedAt = g.now
 	return s.coldCredits > 0
 }
 
-// countAtStage counts a request at the stage that it comes to. Until it ends it stands for what servers
-// bear however warm; done, for what their warmth did; failed, for nothing.
+// countAtStage counts a request at the stage that it comes to. Until it ends it counts per server,
+// whatever the warmth; once done, per unit of warmth; if it failed, not at all.
 func (g *Gateway) countAtStage(r *request) {
-	st := &g.stages[r.stage()]
-	if r.countedAt == st || st.n == 0 {
+	st := &g.stages[r.stageIndex()]
+	if r.countedStage == st || st.count == 0 {
 		return
 	}
-	g.settleStage(r, false)
-	r.countedAt, r.countedShare = st, (1-g.unseenShare/2)/st.n
-	st.served.add(g.now, rateMemory, r.countedShare)
-	st.offered.add(g.now, rateMemory, 1)
-	if r.creditFreeServer = nil; g.unseenShare > mostUnseen {
+	g.settleStageCount(r, false)
+	r.countedStage, r.countedAmount = st, (1-g.unseenShare/2)/st.count
+	st.served.add(g.now, rateTimeConstant, r.countedAmount)
+	st.offered.add(g.now, rateTimeConstant, 1)
+	if r.creditFreeServer = nil; g.unseenShare > maxUnseenShare {
 		g.allowCreditFree(r, st)
 	}
 }
 
-// allowCreditFree lets a part of the requests go without a credit to the cold server at which a request meets
-// others of its kind, by its beginning or near its reader: the less, the more of this gateway's last ones
-// met there. It bounds the mean of what all let go to one server, however requests fall on servers: where
-// k of m met there, each with the chance h, E[h(m+1)/(k+1)] < 1, and that k = 0 counts twice adds 1/e at
-// most.
+// allowCreditFree lets a part of the requests go without a credit to the cold server that their
+// affinity key (the prefix, or the cell of the reader) maps to: the more of this gateway's latest
+// requests mapped there, the smaller the part. This bounds the mean of what all gateways send to
+// one server, however the keys are distributed over servers: where k of m mapped there, each with
+// the probability h, E[h(m+1)/(k+1)] < 1, and counting k = 0 twice adds 1/e at most.
 func (g *Gateway) allowCreditFree(r *request, st *stage) {
 	key := cmp.Or(r.affinityKey, Key(r.ID))
 	if r.reader != nil {
 		key = Key(r.reader.Cell + 1)
 	}
-	at, k, m := st.coldest(key), 0.0, 1.0
+	at, k, m := st.coldServerFor(key), 0.0, 1.0
 	for _, p := range st.recent {
-		if p.key != 0 && after(p.at, g.now) < keepFor {
+		if p.key != 0 && between(p.at, g.now) < entryTTL {
 			m++
-			if at != nil && (p.key == key || st.coldest(p.key) == at) {
+			if at != nil && (p.key == key || st.coldServerFor(p.key) == at) {
 				k++
 			}
 		}
@@ -169,8 +181,9 @@
 	if at == nil {
 		return
 	}
-	bears := homePart * g.set.FallMultiple * g.assumedWarmth(at) * st.served.v / st.offered.v
-	if g.rng.Float64()*(k+1)/m < bears {
+	probability := affinityBudgetShare * g.settings.FallMultiple * g.assumedWarmth(at) *
+		st.served.v / st.offered.v
+	if g.rng.Float64()*(k+1)/m < probability {
 		r.creditFreeServer = at
 	}
 }
--- a/logic/zones.go
+++ b/logic/zones.go
@@ -1,31 +1,29 @@
 package logic
 
-// This file: what distance costs.
-
 import (
 	"math"
 	"slices"
 )
 
-// farScale is the cost scale of a server in another zone.
-const farScale = 1.15
+// remoteZoneCost is the cost factor of a server in another zone.
+const remoteZoneCost = 1.15
 
-// mostFigure is what a figure counts for at most: a server of a zone that gets nothing is the last one to
-// be used.
-const mostFigure = 1e6
+// maxZoneCost limits the cost factor of a zone. A server of a zone that gets no traffic is used
+// only as a last resort.
+const maxZoneCost = 1e6
 
-// SetZones takes a figure for each zone, by its index, which stands for the usual cost of distance from
-// now on: what a server there counts for against one of figure 1. A zone past the list, or whose figure
-// makes no sense, counts as without one; nil ends them all.
-func (g *Gateway) SetZones(figures []float64) { g.figures = slices.Clone(figures) }
+// SetZones sets a cost factor for each zone, by index, that replaces the usual cost of distance:
+// the cost of a server there relative to one with factor 1. A zone past the end of the list, or
+// with a factor that is not positive, keeps the usual cost. A nil list removes all factors.
+func (g *Gateway) SetZones(costs []float64) { g.zoneCosts = slices.Clone(costs) }
 
-// distance is what a server counts for by its zone alone.
-func (g *Gateway) distance(s *server) float64 {
-	if s.Zone >= 0 && s.Zone < len(g.figures) && g.figures[s.Zone] > 0 {
-		return math.Min(g.figures[s.Zone], mostFigure)
+// distanceCost returns the cost factor of a server for its zone alone.
+func (g *Gateway) distanceCost(s *server) float64 {
+	if s.Zone >= 0 && s.Zone < len(g.zoneCosts) && g.zoneCosts[s.Zone] > 0 {
+		return math.Min(g.zoneCosts[s.Zone], maxZoneCost)
 	}
-	if s.Zone != g.set.Zone {
-		return farScale
+	if s.Zone != g.settings.Zone {
+		return remoteZoneCost
 	}
 	return 1
 }
--- a/logic/zones_test.go
+++ b/logic/zones_test.go
@@ -7,7 +7,7 @@
 
 // A map's figures stand for the usual cost of distance: without one, or with what makes no sense, a server of the own zone is
 // preferred by little; a cheaper zone draws, and one without a share is used only where no other is left.
-func TestFiguresOfZones(t *testing.T) {
+func TestZoneCosts(t *testing.T) {
 	far := func(id ServerID, zone int) Member { m := reader(id, 0); m.Zone = zone; return m }
 	for name, c := range map[string]struct {
 		figures []float64
@@ -21,7 +21,7 @@
 		"a list that is short": {[]float64{3}, 2},
 		"nothing has a share":  {[]float64{math.Inf(1), math.Inf(1), math.Inf(1)}, 1},
 	} {
-		r := newRig(t, far(1, 0), far(2, 1), far(4, 2), writer(3, 0))
+		r := newTestGateway(t, far(1, 0), far(2, 1), far(4, 2), writer(3, 0))
 		r.g.SetZones(c.figures)
 		_, acts := r.arrive(Request{})
 		if s := find(acts, Send); s == nil || s.Server != c.want {
