--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -8,48 +8,48 @@
 	"time"
 )
 
-// coldScenario is a day on which servers come back cold, under many gateways.
+// coldScenario is a load on many gateways during which servers restart and come back cold.
 type coldScenario struct {
 	gateways      int
 	cold          string  // "one" reader, a "zone", a "role", "all"
-	sharedPrefix  float64 // part of the requests with one common beginning
-	newGateways   bool    // the gateways have just started, and know nothing
-	uneven        bool    // some of them see many times what others see
-	repeats       int     // clients come again so often
-	load          float64 // reads that are asked for, against what warm readers can do
+	sharedPrefix  float64 // part of the requests that share one prefix
+	newGateways   bool    // the gateways have just started, without any observations
+	uneven        bool    // some gateways get many times the traffic of others
+	repeats       int     // times that clients repeat a refused request
+	load          float64 // requested reads relative to the capacity of warm readers
 	seed          uint64
-	restarts      bool    // each gateway is started anew while they are cold
-	returns       bool    // they come back cold once more meanwhile
-	burst         float64 // what is asked for grows by this part as they return
-	wrongMultiple float64 // times the fall multiple that the gateways are told wrongly; 0: they are not
+	restarts      bool    // each gateway is restarted while the servers are cold
+	returns       bool    // the servers restart once more meanwhile
+	burst         float64 // relative increase of the load when the servers come back
+	wrongMultiple float64 // factor on the gateways' fall multiple, to make them wrong; 0: none
 }
 
 func (d coldScenario) String() string {
-	return fmt.Sprintf("%d gateways, cold %s, hot %.1f, fresh %v, uneven %v, repeats %d, load %.2f, seed %d, restarts %v, returns %v, burst %.1f",
+	return fmt.Sprintf("%d gateways, cold %s, shared prefix %.1f, new %v, uneven %v, repeats %d, load %.2f, seed %d, restarts %v, returns %v, burst %.1f",
 		d.gateways, d.cold, d.sharedPrefix, d.newGateways, d.uneven, d.repeats, d.load, d.seed, d.restarts, d.returns, d.burst)
 }
 
 const (
 	coldReaders  = 12
-	warmRate     = 5.0 // requests a second that a warm server can do
+	warmRate     = 5.0 // requests per second that a warm server can do
 	maxQueueWait = 1500 * time.Millisecond
 )
 
-// coldResult is what the servers of a day saw.
+// coldResult is the load that the servers of a scenario got.
 type coldResult struct {
-	worst         float64 // the most that a cold server got in a window, against what makes it fall
+	worstLoad     float64 // highest load of a cold server, relative to what makes it fail
 	worstAt       string
-	maxExcess     float64 // the k of the most, told as n + k x root of n
+	maxExcess     float64 // highest load of a cold server, as k in n + k x root of n
 	used, allowed float64 // sends to cold servers, and the mean that settings and capacity allow
-	cold, warm    float64 // sends to a cold and to a warm reader, on average
+	cold, warm    float64 // mean number of sends to a cold and to a warm reader
 }
 
-// maxPlausible is how many requests a cold server gets at most, where the settings allow it n: what is beyond
-// twice the root and two is not put down to chance.
+// maxPlausible returns how many requests a cold server may get where the settings allow n on
+// average. More than twice the root of n plus two is not explained by random variation.
 func maxPlausible(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// simulate lets the day pass. A server does warmRate requests a second, a cold one by its warmth; past a queue it
-// turns away, and what it turns away counts as well.
+// simulate runs the scenario. A server does warmRate requests per second, a cold one in proportion
+// to its warmth. Past a maximum queue it rejects requests, and these count as sends as well.
 func (d coldScenario) simulate() coldResult {
 	set := testSettings()
 	now := Time(time.Hour)
@@ -129,7 +129,7 @@
 	comeBack()
 	again := set
 	again.Gateways = d.gateways
-	const parts = 20 // of the time looked at, in each of which some gateways are started anew
+	const parts = 20 // of the observed time; in each of them some gateways are restarted
 	for part := range parts {
 		if d.returns && part == parts/4 {
 			start = c.now
@@ -168,8 +168,8 @@
 				b++
 			}
 			n := set.FallMultiple * warmth(m.Server, sent[a]) * warmRate * set.FallAfter.Seconds()
-			if part := float64(b-a) / maxPlausible(n); part > out.worst {
-				out.worst, out.worstAt = part, fmt.Sprintf("server %d got %d in a window after %v, %.1f allowed", m.Server, b-a,
+			if part := float64(b-a) / maxPlausible(n); part > out.worstLoad {
+				out.worstLoad, out.worstAt = part, fmt.Sprintf("server %d got %d in a window after %v, %.1f allowed", m.Server, b-a,
 					between(start, sent[a]), n)
 			}
 			out.maxExcess = math.Max(out.maxExcess, (float64(b-a)-n)/math.Sqrt(n))
@@ -182,9 +182,10 @@
 	return out
 }
 
-// What all gateways together send a cold server stays under what makes it fall over, in any window: however
-// many they are, whether they know much or nothing, however their prompts' homes fall, however uneven their
-// traffic is and however often clients come again. And cold servers are put to use.
+// All gateways together send a cold server less than what makes it fail, in any window: however
+// many they are, whether or not they have observed anything, whichever readers their prefixes map
+// to, however uneven their traffic is and however often clients retry. Cold servers are used
+// nevertheless.
 func TestColdServersOfManyGateways(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 3, 8, 20, 30, 80, 300, 350} {
@@ -195,42 +196,43 @@
 					load: 0.5 + 0.7*rng.Float64(), seed: rng.Uint64N(1000), restarts: rng.IntN(3) == 0, returns: rng.IntN(3) == 0,
 					burst: 0.5 * float64(rng.IntN(2))}
 				s := d.simulate()
-				if s.worst > worst.worst {
-					worst.worst, worst.worstAt = s.worst, d.String()
+				if s.worstLoad > worst.worstLoad {
+					worst.worstLoad, worst.worstAt = s.worstLoad, d.String()
 				}
 				worst.maxExcess = math.Max(worst.maxExcess, s.maxExcess)
-				if s.worst > 1 {
+				if s.worstLoad > 1 {
 					t.Errorf("%v: %s", d, s.worstAt)
 				}
 				if n >= 8 && !d.restarts && s.used/s.allowed < minUse {
-					t.Errorf("%v: of what settings and capacity allow, cold servers got %.2f", d, s.used/s.allowed)
+					t.Errorf("%v: cold servers got only %.2f of what settings and capacity allow", d, s.used/s.allowed)
 				}
 			}
 		}
-		t.Logf("%3d gateways: n %+.1f x root of n at most, %.2f of a fall, on %s", n, worst.maxExcess, worst.worst, worst.worstAt)
+		t.Logf("%3d gateways: at most n %+.1f x root of n, %.2f of the failing load, with %s", n, worst.maxExcess, worst.worstLoad, worst.worstAt)
 	}
 }
 
-// minUse is the part of what settings and capacity allow that cold servers must get at least.
+// minUse is the minimum fraction that cold servers must get of what settings and capacity allow.
 const minUse = 0.05
 
-// The check above fails for gateways that send too much, and for those that leave cold servers idle.
+// The check above fails for gateways that send too much, and for those that leave cold servers
+// idle.
 func TestColdServerCheckDetectsFaults(t *testing.T) {
 	d := coldScenario{gateways: 300, cold: "one", sharedPrefix: 1, uneven: true, repeats: 2, load: 1, seed: 1, wrongMultiple: 12}
-	if s := d.simulate(); s.worst <= 1 {
-		t.Errorf("%v, told twelve times the multiple: %.2f of a fall", d, s.worst)
+	if s := d.simulate(); s.worstLoad <= 1 {
+		t.Errorf("%v, with twelve times the fall multiple: only %.2f of the failing load", d, s.worstLoad)
 	}
 	d.cold, d.wrongMultiple = "role", 0.01
 	if s := d.simulate(); s.used/s.allowed >= minUse {
-		t.Errorf("%v, told a hundredth of the multiple: cold servers count as used, by %.2f", d, s.used/s.allowed)
+		t.Errorf("%v, with a hundredth of the fall multiple: cold servers still count as used, with %.2f", d, s.used/s.allowed)
 	}
 }
 
-// Of the readers none could be reached; one comes back, started anew, before any gateway has been told. All that
-// waits for a reader must not push it over in its first moments.
+// No reader could be reached. One restarts and is back before discovery has reported it to any
+// gateway. The requests that wait for a reader must not overload it in its first moments.
 func TestServerReturnsBeforeDiscoveryReportsIt(t *testing.T) {
 	set := testSettings()
-	for _, n := range []int{1, 3, 8} { // of more, few have met the failure
+	for _, n := range []int{1, 3, 8} { // of more gateways, few have observed the failure
 		c := newGatewaySim(n, fleet(2*coldReaders, 0), Time(time.Hour))
 		c.run(10*time.Second, 40)
 		back := c.now + Time(4*time.Second)
@@ -250,7 +252,7 @@
 			t.Errorf("%d gateways: %d sends in the first moments, %.1f allowed", n, got, budget)
 		}
 		if got == 0 {
-			t.Errorf("%d gateways: nobody tries the server that is back", n)
+			t.Errorf("%d gateways: no sends to the server that is back", n)
 		}
 	}
 }
--- a/logic/cost_test.go
+++ b/logic/cost_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// serve takes one request through a gateway of 200 before 100 servers, from its arrival to its end.
+// serve takes one request through a gateway of 200 in front of 100 servers, from its arrival to its
+// end.
 func serve(g *Gateway, now Time, id RequestID, actions []Action) []Action {
 	q := Request{ID: id, Session: Key(id), Prefix: Key(id%20 + 1), PrefixTokens: 1500, PromptTokens: 2000,
 		MaxTokens: 100, Patience: 4 * time.Second}
@@ -31,18 +32,19 @@
 		now += Time(time.Second)
 		actions = serve(g, now, id, actions)
 	}
-	for range 100 { // tables and homes grow at first
+	for range 100 { // tables and affinity groups grow at first
 		step()
 	}
 	if n := testing.AllocsPerRun(200, step); n > 30 {
 		t.Errorf("%.0f allocations a request", n)
 	}
 	if len(g.requests) != 0 {
-		t.Errorf("%d requests are kept after their end", len(g.requests))
+		t.Errorf("%d requests remain after their end", len(g.requests))
 	}
 }
 
-// What an instance keeps is bounded by its settings, its list and its tables, not by its traffic.
+// The memory of an instance is bounded by its settings, its server list and its tables, not by its
+// traffic.
 func TestMemoryOfAnInstanceIsBounded(t *testing.T) {
 	g, now := gateways(200, fleet(100, 0), Time(time.Hour))[0], Time(time.Hour)
 	for id := RequestID(1); id <= 3000; id++ {
@@ -55,7 +57,7 @@
 		entries += len(s.cached)
 	}
 	if len(g.requests)+len(g.affinityGroups)+len(g.servers)+len(g.byID)+entries != 0 {
-		t.Errorf("%d requests, %d homes, %d servers, %d entries after all have aged out",
+		t.Errorf("%d requests, %d affinity groups, %d servers, %d entries after all have expired",
 			len(g.requests), len(g.affinityGroups), len(g.servers), entries)
 	}
 }
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// gatewaySim is a fleet under many gateways: each decides alone, and what they send is counted together.
+// gatewaySim is a fleet behind many gateways: each decides alone, and their sends are counted
+// together.
 type gatewaySim struct {
 	gateways []*Gateway
 	rng      *rand.Rand
@@ -15,19 +16,19 @@
 	ids      RequestID
 	sent     map[ServerID][]Time
 	refused  int
-	// answer says how an attempt at a server ends and after how long.
+	// answer returns how an attempt at a server ends and after how long.
 	answer func(c *gatewaySim, s ServerID) (Status, time.Duration)
-	// draw gives the next request and the gateway that it comes by.
+	// draw returns the next request and the gateway that receives it.
 	draw func(c *gatewaySim) (gateway int, q Request)
-	// onRefused is told of a request that was refused or failed.
+	// onRefused is called for a request that was refused or failed.
 	onRefused func(c *gatewaySim, gateway int, id RequestID)
 	requests  map[RequestID]Request
-	current   Action // the send that answer is asked about
+	current   Action // the send that answer is called for
 }
 
 type simEvent struct {
 	gateway  int
-	instance *Gateway // one that has been restarted since hears no more of it
+	instance *Gateway // events of an instance that has been restarted since are discarded
 	Event
 }
 
@@ -45,7 +46,7 @@
 	c.queue[at] = append(c.queue[at], simEvent{gateway, c.gateways[gateway], e})
 }
 
-// handle delivers an event and acts out what the gateway does.
+// handle delivers an event and executes the actions of the gateway.
 func (c *gatewaySim) handle(gateway int, e Event) {
 	g := c.gateways[gateway]
 	for _, a := range g.Handle(c.now, []Event{e}, nil) {
@@ -72,8 +73,7 @@
 	}
 }
 
-// run lets requests arrive at so many a second, at a gateway drawn for each, half of them with one of some
-// prefixes, the first of which is the most frequent.
+// run simulates a period in which requests arrive at the given rate.
 func (c *gatewaySim) run(d time.Duration, perSecond float64) {
 	for end := c.now + Time(d); c.now < end; c.now += Time(simTick) {
 		for _, e := range c.queue[c.now] {
@@ -90,7 +90,7 @@
 	}
 }
 
-// ask has a request arrive, under a new number.
+// ask delivers a request under a new number.
 func (c *gatewaySim) ask(gateway int, q Request) {
 	c.ids++
 	q.ID = c.ids
@@ -98,6 +98,8 @@
 	c.handle(gateway, Event{Kind: Arrived, Request: q})
 }
 
+// drawUsualRequest draws a gateway and a request. Half of the requests have one of several
+// prefixes, the first of which is the most frequent.
 func drawUsualRequest(c *gatewaySim) (int, Request) {
 	q := Request{Session: Key(c.rng.Uint64()), PromptTokens: 2000, MaxTokens: 100, Patience: 4 * time.Second}
 	if c.rng.Float64() < 0.5 {
@@ -106,16 +108,17 @@
 	return c.rng.IntN(len(c.gateways)), q
 }
 
-// The next turn of a session mostly comes by another gateway, which has seen other requests, and few. It must
-// meet the session's reader all the same, whether it shares its beginning with other sessions or not.
+// The next turn of a session mostly arrives at another gateway, which has seen few and other
+// requests. It must reach the session's reader all the same, whether or not the session shares its
+// prefix with others.
 func TestSessionTurnsReachTheSameReaderThroughAnyGateway(t *testing.T) {
 	for _, n := range []int{8, 80, 200} {
 		for _, shared := range []bool{true, false} {
-			if n < 80 && !shared { // they see enough of load to go by it
+			if n < 80 && !shared { // few gateways see enough of the load to decide by it
 				continue
 			}
 			c := newGatewaySim(n, fleet(24, 0), Time(time.Hour))
-			c.run(2*time.Second, 40) // what each has seen differs
+			c.run(2*time.Second, 40) // gives each gateway different observations
 			same, turns := 0, 300
 			for i := range turns {
 				q := Request{Session: Key(1e6 + i), PromptTokens: 3000, MaxTokens: 100, Patience: 4 * time.Second}
@@ -135,7 +138,7 @@
 				}
 			}
 			if part := float64(same) / float64(turns); part < 0.88 {
-				t.Errorf("%d gateways, shared %v: %.2f of the turns met where the session's first was read", n, shared, part)
+				t.Errorf("%d gateways, shared %v: %.2f of the turns reached the reader of the first turn", n, shared, part)
 			}
 		}
 	}
--- a/logic/deployments_test.go
+++ b/logic/deployments_test.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// shapes are the classes of deployments that differ in whose first token is wanted soonest: that of the
-// class worth least, that of a class in between, and that of the class worth most.
+// shapes are the classes of deployments that differ in which class has the shortest aim: that of
+// the lowest value, one in between, or that of the highest value.
 var shapes = []struct {
 	name    string
 	classes []Class
 }{
-	{"the least worthy first", []Class{{Aim: 1500 * time.Millisecond, Points: 1}, {Aim: 2 * time.Second, Points: 3},
+	{"lowest value, shortest aim", []Class{{Aim: 1500 * time.Millisecond, Points: 1}, {Aim: 2 * time.Second, Points: 3},
 		{Aim: 3 * time.Second, Points: 3, Effect: EffectOnce}}},
-	{"one in between first", []Class{{Aim: time.Second, Points: 2}, {Aim: 3 * time.Second, Points: 1},
+	{"medium value, shortest aim", []Class{{Aim: time.Second, Points: 2}, {Aim: 3 * time.Second, Points: 1},
 		{Aim: 1500 * time.Millisecond, Points: 3, Effect: EffectOnce}}},
-	{"the worthiest first", []Class{{Aim: 500 * time.Millisecond, Points: 5}, {Aim: 4 * time.Second, Points: 1},
+	{"highest value, shortest aim", []Class{{Aim: 500 * time.Millisecond, Points: 5}, {Aim: 4 * time.Second, Points: 1},
 		{Aim: 2 * time.Second}}},
 	{"all alike", []Class{{Aim: time.Second, Points: 1}, {Aim: time.Second, Points: 1}}},
-	{"nothing worth anything", []Class{{Aim: time.Second}, {Aim: 2 * time.Second}}},
+	{"no class with a value", []Class{{Aim: time.Second}, {Aim: 2 * time.Second}}},
 }
 
-// A queue that all classes share grows until it refuses. Nothing is let in while what is worth more is refused
-// for that queue: a class with a long aim would fill it past the aims of the others.
+// All classes share a queue, which grows until it causes refusals. No class is admitted while one
+// of higher value is refused because of that queue: a class with a long aim would fill it past the
+// aims of the others.
 func TestNoClassIsRefusedBeforeALowerValueOne(t *testing.T) {
 	for _, shape := range shapes {
 		for i := range shape.classes {
@@ -31,7 +32,8 @@
 		for _, report := range []bool{false, true} {
 			set := testSettings()
 			set.Classes = shape.classes
-			refused := make([]float64, len(set.Classes)) // backlog at which the class is refused first
+			// Backlog at which the class is refused first.
+			refused := make([]float64, len(set.Classes))
 			for class := range set.Classes {
 				for load := 0.0; load <= 4e5 && refused[class] == 0; load += 1000 {
 					r := newTestGateway(t, reader(1, 0), writer(3, 0))
@@ -63,15 +65,15 @@
 	}
 }
 
-// The pace of a reader is its own: what peers have waiting there, by its reports, is load that was found and
-// not slowness. Taken for slowness it would make every queue look as many times longer.
+// Load of peers that a reader reports is queued ahead of a request and is not slowness of the
+// reader. Counted as slowness it would multiply the apparent length of every queue.
 func TestPeerLoadIsNotCountedAsSlowness(t *testing.T) {
 	const perToken = 50 * time.Microsecond
 	for _, peers := range []float64{0, 2000, 6000} {
 		r := newTestGateway(t, reader(1, 0), writer(3, 0))
 		for range 200 {
 			r.wait(200 * time.Millisecond)
-			// Half of what a reader of two gateways reports is this gateway's.
+			// Half of what a reader of two gateways reports belongs to this gateway.
 			r.g.applyReport(r.g.byID[1], Load{HasUnread: true, UnreadToken: 2 * peers})
 			id, acts := r.arrive(Request{PromptTokens: 2000, Patience: 30 * time.Second})
 			r.wantSend(acts, 1)
@@ -82,14 +84,15 @@
 			r.end(id, 3, Served, 0)
 		}
 		if got := r.g.readSpeeds[0].seconds(1000); got > 1.4*perToken.Seconds()*1000 {
-			t.Errorf("beside %.0f reported tokens of peers the reader seems to take %.3f s for 1,000 tokens, not %.3f",
+			t.Errorf("with %.0f reported tokens of peers the estimate is %.3f s for 1,000 tokens, want %.3f",
 				peers, got, perToken.Seconds()*1000)
 		}
 	}
 }
 
-// A jam at the writers is over as soon as one reports room. What was waited for before it would keep all
-// requests out for seconds more, and with no sends nothing new would be learnt; without reports it must count.
+// A jam at the writers is over as soon as one reports room. Remembered waits would refuse all
+// requests for seconds more, and without sends nothing new would be observed. Without reports they
+// must count.
 func TestReportedRoomOverridesRememberedWait(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -98,7 +101,7 @@
 	}{
 		{"no reports", Load{}, true},
 		{"full", Load{HasMemory: true, MemoryShare: 0.97}, true},
-		{"room, but not for this one", Load{HasMemory: true, MemoryShare: maxMemoryShare - 0.01}, true},
+		{"room, but not for this request", Load{HasMemory: true, MemoryShare: maxMemoryShare - 0.01}, true},
 		{"room", Load{HasMemory: true, MemoryShare: 0.4}, false},
 	} {
 		r := newTestGateway(t, reader(1, 0), writer(3, 0))
@@ -122,7 +125,7 @@
 	}
 }
 
-// Waits for room, which are told from a writer's report, do not pass for the pace of fetching.
+// Waits for room, which show in a writer's report, do not change the fetch speed.
 func TestWaitForRoomIsNotCountedAsFetchTime(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	fetch := func(share float64, took time.Duration) {
@@ -144,50 +147,51 @@
 		fetch(1, 3*time.Second)
 	}
 	if got := r.g.fetchSpeed.seconds(2000); got > 1.1*usual {
-		t.Errorf("after waits for room a fetch seems to take %.3f s, before them %.3f", got, usual)
+		t.Errorf("estimated fetch time of %.3f s after waits for room, %.3f s before them", got, usual)
 	}
 }
 
-// A server whose clock is ahead is cold from when it was heard of, and warm in time; hearing the same start
-// again is no restart.
+// A server whose clock is ahead is cold from when it was first listed, and becomes warm in time.
+// Listing it again with the same start is no restart.
 func TestStartInTheFuture(t *testing.T) {
 	for _, ahead := range []time.Duration{time.Second, 24 * time.Hour, 1 << 62} {
 		r := newTestGateway(t, reader(1, 0), writer(3, 0))
 		m := reader(2, 0)
 		m.Since = r.now + min(Time(ahead), 1<<62)
-		tell := func() {
+		listServer := func() {
 			r.g.Handle(r.now, []Event{{Kind: ServersChanged, Members: []Member{m}}}, nil)
 		}
-		tell()
+		listServer()
 		if w := r.g.warmth(r.g.byID[2]); w != r.g.settings.ColdShare {
 			t.Errorf("%v ahead: warmth %.2f at first, want %.2f", ahead, w, r.g.settings.ColdShare)
 		}
 		r.g.byID[2].cached[7] = cacheEntry{1000, r.now}
 		r.wait(r.g.settings.WarmWithin)
-		tell()
+		listServer()
 		r.g.now = r.now
 		if w := r.g.warmth(r.g.byID[2]); w != 1 || len(r.g.byID[2].cached) == 0 {
-			t.Errorf("%v ahead: warmth %.2f once it must be warm, %d texts kept", ahead, w, len(r.g.byID[2].cached))
+			t.Errorf("%v ahead: warmth %.2f after WarmWithin, %d cache entries", ahead, w, len(r.g.byID[2].cached))
 		}
 	}
 }
 
-// What others tell of a server's load counts as its own report does; of a server that is not listed it counts for nothing.
+// A load report that other routers pass on counts as the server's own. For a server that is not
+// listed it is ignored.
 func TestLoadReportedByOtherRouters(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), reader(2, 0), writer(3, 0))
 	r.g.Handle(r.now, []Event{{Kind: LoadTold, Server: 1, Load: Load{HasUnread: true, UnreadToken: 9000}},
 		{Kind: LoadTold, Server: 77, Load: Load{HasUnread: true, UnreadToken: 9000}}}, nil)
 	_, acts := r.arrive(Request{})
 	r.wantSend(acts, 2)
-	// Of memory nothing was told, so what is thought of it stays.
+	// The report held no memory share, so the mean of the memory shares stays.
 	share := r.g.pools[RoleWrite].meanShare
 	r.g.Handle(r.now, []Event{{Kind: LoadTold, Server: 3, Load: Load{HasMemory: true, MemoryShare: 0.5}}}, nil)
 	if got := r.g.pools[RoleWrite].meanShare; got <= share {
-		t.Errorf("the writers' mean is %.2f after a report of 0.5", got)
+		t.Errorf("the writers' mean memory share is %.2f after a report of 0.5", got)
 	}
 	share = r.g.pools[RoleWrite].meanShare
 	r.g.Handle(r.now, []Event{{Kind: LoadTold, Server: 3, Load: Load{HasUnread: true}}}, nil)
 	if got := r.g.pools[RoleWrite].meanShare; got != share {
-		t.Errorf("the writers' mean went from %.2f to %.2f by a report that holds none", share, got)
+		t.Errorf("the writers' mean memory share went from %.2f to %.2f by a report without one", share, got)
 	}
 }
--- a/logic/errors_test.go
+++ b/logic/errors_test.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	arrivalPeriod = 100 * time.Millisecond // a request comes
-	maxStreams    = 20                     // answers that run at a time: each as long as so many requests come
+	arrivalPeriod = 100 * time.Millisecond // time between two requests
+	maxStreams    = 20                     // concurrent answers: each lasts for this many arrivals
 )
 
-// runErringWriters is a rig whose writers answer errors at once where they are told to, and serve else. It returns how often each writer
-// was asked, and how many requests were refused.
+// runErringWriters plays requests against writers that answer errors at once where errs says so,
+// and serve otherwise. It returns how many attempts each server got, and how many requests were
+// refused.
 func runErringWriters(t *testing.T, requests int, errs func(s ServerID, n int) bool) (asked map[ServerID]int, refused int) {
 	type stream struct {
 		id RequestID
@@ -52,16 +53,16 @@
 	return asked, refused
 }
 
-// A writer that answers errors at once always looks the emptiest. It is asked again by single trials, ever later, and comes back
-// with the first answer that it serves.
+// A writer that answers errors at once always looks the least loaded. It gets single trials at
+// increasing intervals only, until it serves one.
 func TestErringServerIsTriedSeldom(t *testing.T) {
-	const requests, heals = 300, 200
+	const requests, recoversAt = 300, 200
 	early, late := 0, 0
 	_, refused := runErringWriters(t, requests, func(s ServerID, n int) bool {
 		if s != 2 {
 			return false
 		}
-		if n < heals {
+		if n < recoversAt {
 			early++
 			return true
 		}
@@ -69,17 +70,18 @@
 		return false
 	})
 	if early > 10 {
-		t.Errorf("asked %d times in 20 s in which it answers errors alone", early)
+		t.Errorf("%d attempts in 20 s in which it answers errors only", early)
 	}
 	if late < 10 {
-		t.Errorf("asked %d times in the 10 s after it has healed", late)
+		t.Errorf("%d attempts in the 10 s after it has recovered", late)
 	}
 	if refused > 0 {
-		t.Errorf("%d requests refused beside two writers that serve", refused)
+		t.Errorf("%d requests refused with two writers that serve", refused)
 	}
 }
 
-// Where all err, none is left out: each request is tried as often as the settings let it.
+// When all servers answer errors, none is left out: each request gets as many attempts as the
+// settings allow.
 func TestNothingIsShedWhenAllServersErr(t *testing.T) {
 	const requests = 50
 	asked, refused := runErringWriters(t, requests, func(ServerID, int) bool { return true })
@@ -89,12 +91,13 @@
 	}
 	for s, n := range asked {
 		if n < requests/5 {
-			t.Errorf("server %d was asked %d times", s, n)
+			t.Errorf("server %d got %d attempts", s, n)
 		}
 	}
 }
 
-// What may run once only goes elsewhere after a single error; others do not mind one, which may be the request's fault.
+// Requests that may run only once avoid a server after a single error. Others do not, as the error
+// may be the fault of the request.
 func TestOnceRequestsAvoidAServerAfterAnError(t *testing.T) {
 	for class, elsewhere := range []bool{false, true, true} {
 		r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0))
@@ -105,13 +108,13 @@
 		id, first := read(0)
 		r.g.Handle(r.now, []Event{{Kind: AttemptEnded, ID: id, Server: first.Server, Status: ServerError, Closed: true}}, nil)
 		other := r.g.byID[5-first.Server]
-		other.ownTokens, other.streams = 0.5*other.memory, 20 // it looks the worse by far
+		other.ownTokens, other.streams = 0.5*other.memory, 20 // it looks much worse
 		if _, next := read(class); (next.Server == other.Server) != elsewhere {
-			t.Errorf("class %d goes to %d after an error of %d", class, next.Server, first.Server)
+			t.Errorf("class %d goes to server %d after an error of server %d", class, next.Server, first.Server)
 		}
 		r.wait(maxBackoff)
 		if _, next := read(class); next.Server != first.Server {
-			t.Errorf("class %d still avoids %d after %v", class, first.Server, maxBackoff)
+			t.Errorf("class %d still avoids server %d after %v", class, first.Server, maxBackoff)
 		}
 	}
 }
--- a/logic/fairness_test.go
+++ b/logic/fairness_test.go
@@ -8,21 +8,25 @@
 	"time"
 )
 
-// answeredShares of what was asked for that was answered, by how it is asked for.
+// answeredShares are the fractions of the requests that were answered.
 type answeredShares struct {
-	all, long     float64 // of all, and of the tenth with the longest prompts
-	alwaysRefused float64 // sessions of which every turn was refused, beyond what chance gives
+	all, long     float64 // of all requests, and of the tenth with the longest prompts
+	alwaysRefused float64 // sessions with every turn refused, beyond random variation
 }
 
 const (
-	maxAlwaysRefused  = 0.12     // the operators' bounds: of a quiet day's sessions,
-	minQuietLongShare = 2.0 / 3  // of the class's share, for the longest prompts on a quiet day,
-	minBusyLongShare  = 0.5      // and on others
-	readRate          = 20_000.0 // tokens a second of one reader
+	// Operators' bound on the sessions with every turn refused on a quiet day.
+	maxAlwaysRefused = 0.12
+	// Operators' bounds for the longest prompts, relative to the share of their class: on a quiet
+	// day, and on other days.
+	minQuietLongShare = 2.0 / 3
+	minBusyLongShare  = 0.5
+	readRate          = 20_000.0 // tokens per second of one reader
 )
 
-// fairness plays sessions whose turns come by any gateway, one of ten sessions with prompts ten times as long, at readers that
-// work on one prompt after the other; load is the part of what they can read that is asked for.
+// fairness simulates sessions whose turns arrive at any gateway, one in ten sessions with prompts
+// ten times as long. The readers process one prompt after the other; load is the requested part of
+// their capacity.
 func fairness(n int, load float64, seed uint64) answeredShares {
 	const turns, spread = 3, 4 * time.Second
 	members := fleet(24, 0)
@@ -41,7 +45,7 @@
 		was := free[s]
 		free[s] = max(was, c.now) + Time(seconds(c.requests[c.current.ID].PromptTokens/readRate))
 		took := time.Duration(free[s] - c.now)
-		if took > c.current.After { // called off while it waits
+		if took > c.current.After { // cancelled while it waits
 			free[s] = was
 			return TimedOut, c.current.After
 		}
@@ -99,13 +103,13 @@
 	return answeredShares{(answered[0] + answered[1]) / (asked[0] + asked[1]), answered[1] / asked[1], all - math.Pow(refused, turns)}
 }
 
-// With any number of gateways the longest prompts get their part of what their class gets, and on a quiet day no set of sessions
-// is refused throughout.
+// With any number of gateways the longest prompts get their part of what their class gets, and on a
+// quiet day no group of sessions has all its turns refused.
 func TestLongPromptsAndSessionsAreServedFairly(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 300} {
 		for seed := range uint64(2) {
 			quiet, busy := fairness(n, 0.6, seed), fairness(n, 1.4, seed)
-			t.Logf("%3d gateways, seed %d: quiet %.2f, long %.2f, shunned %+.2f; busy %.2f, long %.2f", n, seed, quiet.all, quiet.long,
+			t.Logf("%3d gateways, seed %d: quiet %.2f, long %.2f, always refused %+.2f; busy %.2f, long %.2f", n, seed, quiet.all, quiet.long,
 				quiet.alwaysRefused, busy.all, busy.long)
 			if quiet.long < minQuietLongShare*quiet.all || quiet.alwaysRefused > maxAlwaysRefused {
 				t.Errorf("%d gateways, seed %d, quiet: %s", n, seed, fmt.Sprint(quiet))
--- a/logic/fleet_bench_test.go
+++ b/logic/fleet_bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Taking over a whole list, and a read and its pick of a writer, of one of 80 gateways.
+// BenchmarkFleet measures how one of 80 gateways applies a whole server list, and how it decides on
+// a read and its writer.
 func BenchmarkFleet(b *testing.B) {
 	for _, servers := range []int{60, 1000} {
 		now := Time(time.Hour)
--- a/logic/guards_test.go
+++ b/logic/guards_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// bench of one gateway: each helper delivers one event and returns the actions.
+// testGateway drives a single gateway: each helper delivers one event and returns the actions.
 type testGateway struct {
 	t   *testing.T
 	g   *Gateway
@@ -71,14 +71,14 @@
 	r := newTestGateway(t, reader(1, 0), reader(2, 0), writer(3, 0))
 	id, acts := r.arrive(Request{Session: 5})
 	r.wantSend(acts, 1)
-	_, acts = r.arrive(Request{Session: 6}) // the load at 1 weighs
+	_, acts = r.arrive(Request{Session: 6}) // the load at 1 counts
 	r.wantSend(acts, 2)
 	r.wantSend(r.end(id, 1, PromptRead, 0), 3)
 	r.end(2, 2, PromptRead, 0)
-	_, acts = r.arrive(Request{Session: 6, PromptTokens: 2500}) // the table at 2 weighs
+	_, acts = r.arrive(Request{Session: 6, PromptTokens: 2500}) // the cache table of 2 counts
 	r.wantSend(acts, 2)
 	r.wait(entryTTL)
-	_, acts = r.arrive(Request{Session: 6, PromptTokens: 2500}) // aged out: the load left at 2 decides
+	_, acts = r.arrive(Request{Session: 6, PromptTokens: 2500}) // expired: the load at 2 decides
 	r.wantSend(acts, 1)
 }
 
@@ -89,7 +89,7 @@
 	}
 	report(1, 8000)
 	report(2, 100)
-	_, acts := r.arrive(Request{}) // 4 is unheard and counts as average, so 2 is cheapest
+	_, acts := r.arrive(Request{}) // 4 has no report and counts as average, so 2 is cheapest
 	r.wantSend(acts, 2)
 }
 
@@ -100,7 +100,7 @@
 		tokens [3]float64 // own tokens at 2, 3, 4
 		want   ServerID
 	}{
-		{"lowest share in the cell", [3]float64{0, 20000, 10000}, 4},
+		{"lowest memory share in the cell", [3]float64{0, 20000, 10000}, 4},
 		{"elsewhere when the cell has no room", [3]float64{0, 70000, 70000}, 2},
 		{"near with fewest streams when none has room", [3]float64{70000, 70000, 65000}, 4},
 	} {
@@ -117,20 +117,21 @@
 	}
 }
 
-// Silence through the attempt is called off; a server at work on others keeps its read.
+// An attempt at a server that stays silent throughout is cancelled. A server that answers other
+// requests meanwhile keeps its read.
 func TestOnlySilentAttemptsAreCancelled(t *testing.T) {
-	for _, busy := range []bool{false, true} {
+	for _, active := range []bool{false, true} {
 		r := newTestGateway(t, reader(1, 0), writer(3, 0))
 		other, _ := r.arrive(Request{})
 		id, acts := r.arrive(Request{})
 		timer := find(acts, SetTimer)
 		r.wait(timer.After)
-		if busy {
+		if active {
 			r.end(other, 1, PromptRead, 0)
 		}
 		acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(id)}}, nil)
-		if got := find(acts, CallOff) != nil; got == busy {
-			t.Errorf("busy %v: called off %v", busy, got)
+		if got := find(acts, CallOff) != nil; got == active {
+			t.Errorf("active %v: cancelled %v", active, got)
 		}
 	}
 }
@@ -142,7 +143,7 @@
 	r.wait(find(acts, SetTimer).After)
 	acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(id)}}, nil)
 	if find(acts, CallOff) == nil {
-		t.Fatal("not called off")
+		t.Fatal("not cancelled")
 	}
 	r.wantSend(r.end(id, 1, Cancelled, 0), 2)
 	if g := r.g.pendingLoad(r.g.byID[1]); g < 1000 {
@@ -150,14 +151,15 @@
 	}
 }
 
-// A 'full' with note 1 lets go of what a cut reader may still hold, and reads anew.
+// A writer that answers Full with Kept 1 found no read state. The state, which an unreachable
+// reader may still hold, is released, and the prompt is read again.
 func TestLostStateIsReleasedAndReadAnew(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	id, _ := r.arrive(Request{})
 	r.end(id, 1, PromptRead, 0)
 	acts := r.end(id, 3, Full, 1)
 	if find(acts, Release) == nil {
-		t.Error("state not let go")
+		t.Error("read state not released")
 	}
 	r.wantSend(acts, 1)
 }
@@ -171,10 +173,8 @@
 	}
 }
 
-// Backlog refuses at intake, the less worthy first, with advice; without it a jam never ends.
-// Nothing has been read yet, as after a restart, so the aims' growth stands in for the pace.
-// A writer that has just turned a request away has no own streams and looks the emptiest of all: it is not asked again
-// while another one has room, and is once some time has gone by.
+// A writer that has just rejected a request as full has no own streams and looks the least loaded
+// of all. It gets no requests while another one has room, and gets them again after some time.
 func TestFullWriterIsAvoidedWhileAnotherHasRoom(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0))
 	read := func() (RequestID, []Action) {
@@ -197,6 +197,9 @@
 	r.wantSend(acts, full)
 }
 
+// A backlog refuses requests at their arrival, those of lower value first, with retry advice;
+// otherwise a jam never ends. Nothing has been read yet, as after a restart, so the growth of the
+// aim with the prompt serves as the speed.
 func TestBacklogRefusesLowValueRequestsFirst(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	refusedAt := [2]int{}
@@ -206,20 +209,20 @@
 			if a := find(acts, Refuse); a != nil && refusedAt[class] == 0 {
 				refusedAt[class] = i + 1
 				if a.After <= 0 || a.After > time.Second {
-					t.Errorf("come-back advice %v", a.After)
+					t.Errorf("retry advice %v", a.After)
 				}
 			}
 		}
 	}
 	if refusedAt[1] == 0 || refusedAt[0] <= refusedAt[1] {
-		t.Errorf("first refusals at %v: the class of less worth must come first, and both in the end", refusedAt)
+		t.Errorf("first refusals at %v: both classes must be refused, the one of lower value first", refusedAt)
 	}
 }
 
 func TestColdBudgetHoldsInEveryWindow(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), Member{Server: 2, Kind: 0, Since: Time(time.Hour) - 1}, writer(3, 0))
 	cold := 0
-	for range 100 { // one a 20 ms; the window is 2 s
+	for range 100 { // one per 20 ms; the window is 2 s
 		id, acts := r.arrive(Request{PromptTokens: 200})
 		s := find(acts, Send).Server
 		if s == 2 {
@@ -236,27 +239,27 @@
 	}
 }
 
-// A suspect writer gets its trial although every request there was sent to a reader before.
+// A suspect writer gets its trial although each request at it was sent to a reader before.
 func TestSuspectWriterGetsTrial(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0), writer(4, 0))
 	s := r.g.byID[3]
 	r.g.suspect(s)
 	r.g.suspect(s)
 	id, _ := r.arrive(Request{})
-	r.wantSend(r.end(id, 1, PromptRead, 0), 4) // out for now
+	r.wantSend(r.end(id, 1, PromptRead, 0), 4) // suspect for now
 	r.g.byID[4].ownTokens = 40000
 	r.wait(maxBackoff)
 	id, _ = r.arrive(Request{})
 	r.wantSend(r.end(id, 1, PromptRead, 0), 3) // the trial
 	next, _ := r.arrive(Request{})
-	r.wantSend(r.end(next, 1, PromptRead, 0), 4) // one at a time
+	r.wantSend(r.end(next, 1, PromptRead, 0), 4) // one trial at a time
 	r.start(id, 3)
 	if s.suspectUntil != 0 {
-		t.Error("a good trial must clear the suspicion")
+		t.Error("a successful trial must end the suspicion")
 	}
 }
 
-// Two troubles at once, most servers suspect, and a restart: never an empty choice, and recovery by itself.
+// With all servers suspect, one is still picked, and the fleet recovers by itself.
 func TestAllSuspectDegradesAndRecovers(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), reader(2, 1), writer(3, 0), writer(4, 1))
 	for _, s := range r.g.servers {
@@ -266,7 +269,7 @@
 	}
 	id, acts := r.arrive(Request{})
 	if find(acts, Send) == nil {
-		t.Fatal("all suspect: the least bad must still be chosen")
+		t.Fatal("all suspect: the least bad server must still be picked")
 	}
 	for range 4 {
 		s := find(acts, Send).Server
@@ -278,11 +281,11 @@
 		id, acts = r.arrive(Request{})
 	}
 	if r.g.byID[1].suspectUntil != 0 && r.g.byID[2].suspectUntil != 0 {
-		t.Error("no reader came back")
+		t.Error("no reader has recovered")
 	}
 }
 
-// Reads at a mixed server stop the answers that run there.
+// Reads at a mixed server delay the answers that run there.
 func TestAnswersAreLoadAtMixedServers(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), Member{Server: 2, Kind: 2}, writer(3, 0))
 	r.g.byID[1].pendingTokens = 3000
@@ -309,13 +312,14 @@
 	r.wantSend(acts, 1)
 }
 
-// Traffic past a tenant's quota goes first, and a stream that comes again goes last.
+// Under a backlog, traffic past a tenant's quota is refused first and resumed streams last.
 func TestQuotaAndResumedUnderBacklog(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0))
-	for range 40 { // 20 a second over two gateways, two seconds of burst and chance: the level is spent
+	// 20 per second over two gateways, two seconds of burst plus variation: the level is used up.
+	for range 40 {
 		r.g.inQuota(0)
 	}
-	r.g.byID[1].pendingTokens = 10000 // half a second by the aims' growth
+	r.g.byID[1].pendingTokens = 10000 // half a second by the growth of the aim
 	for _, tc := range []struct {
 		name    string
 		q       Request
@@ -332,7 +336,7 @@
 	}
 }
 
-// A server that restarts keeps nothing of its table, and nothing is held against it.
+// A server that restarts has an empty cache, and earlier failures no longer count.
 func TestRestartClearsServerState(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	r.arrive(Request{Session: 5})
@@ -340,11 +344,11 @@
 	r.g.suspect(s)
 	r.g.Handle(r.now, []Event{{Kind: ServersChanged, Members: []Member{{Server: 1, Weight: 1, Since: r.now}}}}, nil)
 	if len(s.cached) != 0 || s.suspectUntil != 0 || r.g.warmth(s) >= 1 {
-		t.Errorf("kept %d, suspect %v, warmth %v", len(s.cached), s.suspectUntil != 0, r.g.warmth(s))
+		t.Errorf("%d cache entries, suspect %v, warmth %v", len(s.cached), s.suspectUntil != 0, r.g.warmth(s))
 	}
 }
 
-// fleet is n servers, every second one a writer, in cells of six and two zones.
+// fleet returns n servers, every second one a writer, in cells of six and two zones.
 func fleet(n int, since Time) []Member {
 	m := make([]Member, n)
 	for i := range m {
@@ -353,7 +357,7 @@
 	return m
 }
 
-// gateways are n instances of different seeds that were told the same list.
+// gateways returns n instances with different seeds that have received the same server list.
 func gateways(n int, members []Member, now Time) []*Gateway {
 	set := testSettings()
 	set.Gateways = n
@@ -365,8 +369,8 @@
 	return all
 }
 
-// Even traffic within a tenant's quota is judged so however small the part of one gateway is, and traffic
-// far past it is not.
+// Even traffic within a tenant's quota counts as within it however small the part of one gateway
+// is, and traffic far past it does not.
 func TestQuotaOfManyGateways(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 300} {
 		for _, tc := range []struct{ times, least, most float64 }{{0.7, 0.9, 1}, {5, 0, 0.45}} {
@@ -388,7 +392,8 @@
 	}
 }
 
-// Gateways that know nothing spread their first sends over the readers of their zone, and those of one prefix meet at few readers.
+// Gateways without any observations spread their first sends over the readers of their zone, and
+// the prompts of one prefix go to few readers.
 func TestFirstSendsSpreadAndPrefixesShareReaders(t *testing.T) {
 	for _, prefix := range []Key{0, 77} {
 		count := map[ServerID]int{}
@@ -410,7 +415,7 @@
 	}
 }
 
-// Answers lost now and then at most servers leave the fleet in use: suspicion of one fades by itself.
+// Answers lost occasionally at most servers leave the fleet in use: suspicion ends by itself.
 func TestLostAnswersKeepAllServersInUse(t *testing.T) {
 	r := &testGateway{t: t, g: gateways(100, fleet(24, 0), Time(time.Hour))[0], now: Time(time.Hour)}
 	rng, used := rand.New(rand.NewPCG(3, 4)), map[ServerID]int{}
@@ -438,7 +443,7 @@
 	}
 }
 
-// What cannot be read in the time its client has left is refused at once, not read for nobody.
+// A prompt that cannot be read in the time left to its client is refused at once.
 func TestShortPatienceIsRefusedBeforeReading(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	if _, acts := r.arrive(Request{PromptTokens: 8000, Patience: 300 * time.Millisecond}); find(acts, Refuse) == nil {
@@ -449,12 +454,12 @@
 	}
 }
 
-// Beside many answers that come at once, a lost one is not a backlog: it must not have the rest refused.
+// Beside many fast answers a lost one is no backlog, and must not cause refusals.
 func TestLostAnswerIsNotTakenForBacklog(t *testing.T) {
 	for _, tc := range []struct {
 		unseen      float64
 		least, most float64
-	}{{0.1, 0, 0.2}, {0.9, 0.2, 2}} { // many own streams a server; few, where one sign must do
+	}{{0.1, 0, 0.2}, {0.9, 0.2, 2}} { // many own streams per server; few, where one sign must do
 		g := newTestGateway(t, reader(1, 0), writer(3, 0)).g
 		s := g.byID[1]
 		for i := range 200 {
@@ -469,12 +474,13 @@
 		}
 		g.now += Time(time.Millisecond)
 		if w := g.recentWait(RoleRead); w < tc.least || w > tc.most {
-			t.Errorf("unseen %.1f: a wait of %.2f s is seen at readers that answer in 50 ms", tc.unseen, w)
+			t.Errorf("unseen share %.1f: observed wait of %.2f s at readers that answer in 50 ms", tc.unseen, w)
 		}
 	}
 }
 
-// Where the settings allow many attempts, each server is tried once before one is tried again, also the one that keeps the text.
+// Where the settings allow many attempts, each server is tried once before any is tried again,
+// including the one that has the prompt cached.
 func TestEachServerIsTriedOnceBeforeAnyIsRetried(t *testing.T) {
 	const n = 8
 	var members []Member
@@ -501,7 +507,7 @@
 	}
 }
 
-// A writer that has what must not run twice is waited for: nothing could be tried after it.
+// A write that must not run twice is never cancelled: no other attempt could follow.
 func TestOnceRequestIsNotCancelledOnceItMayRun(t *testing.T) {
 	for _, c := range []struct {
 		class  int
@@ -511,19 +517,19 @@
 		id, _ := r.arrive(Request{Class: c.class})
 		r.end(id, 1, PromptRead, 0)
 		called := false
-		for range 30 { // a timer may be due for what is held as well: what it brings about counts
+		for range 30 { // a timer may also be due for the held state: its effects count as well
 			r.wait(100 * time.Millisecond)
 			acts := r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(id)}}, nil)
 			called = called || find(acts, CallOff) != nil
 		}
 		if called != c.called {
-			t.Errorf("class %d: called off: %v, want %v", c.class, called, c.called)
+			t.Errorf("class %d: cancelled: %v, want %v", c.class, called, c.called)
 		}
 	}
 }
 
-// Past the window in which its workers discard repeats, a request by key can't be sent on any more: it is answered at once,
-// and not when its client's patience ends.
+// Past the window in which its group discards repeats, a by-key request cannot be sent again. It
+// fails at once, not when its client's patience ends.
 func TestRequestPastItsRepeatWindowFailsAtOnce(t *testing.T) {
 	for _, past := range []bool{false, true} {
 		r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0))
@@ -535,35 +541,36 @@
 		}
 		acts := r.end(id, first, ConnectionReset, 0)
 		if got := find(acts, Fail) != nil; got != past {
-			t.Errorf("past its window %v: failed %v", past, got)
+			t.Errorf("past its repeat window %v: failed %v", past, got)
 		}
 		if got := find(acts, Send) != nil; got == past {
-			t.Errorf("past its window %v: sent %v", past, got)
+			t.Errorf("past its repeat window %v: sent %v", past, got)
 		}
 	}
 }
 
-// A timer set for the read has nothing to say of the write that follows it: a writer that has been silent for
-// a moment has not had its time yet.
+// A timer set for the read does not apply to the write that follows: a writer that has been silent
+// for a moment only must not be cancelled.
 func TestReadTimerDoesNotCancelTheWrite(t *testing.T) {
 	for class := range 2 {
 		r := newTestGateway(t, reader(1, 0), writer(3, 0))
 		id, acts := r.arrive(Request{Class: class})
 		read := find(acts, SetTimer)
 		if read == nil {
-			t.Fatalf("class %d: the read is not looked at again", class)
+			t.Fatalf("class %d: no timer for the read", class)
 		}
 		r.wait(read.After - time.Millisecond)
 		r.wantSend(r.end(id, 1, PromptRead, 0), 3)
 		r.wait(time.Millisecond)
 		acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: read.Token}}, nil)
 		if find(acts, CallOff) != nil {
-			t.Errorf("class %d: the write is called off 1 ms after it was sent", class)
+			t.Errorf("class %d: the write is cancelled 1 ms after it was sent", class)
 		}
 	}
 }
 
-// What waits at two readers goes with their weights, where weights count.
+// The load of two readers follows their weights where Settings.Weights is set, and is even
+// otherwise.
 func TestWeightsShareTheTraffic(t *testing.T) {
 	for weights, want := range map[bool]float64{false: 0.5, true: 0.75} {
 		set := testSettings()
@@ -579,28 +586,28 @@
 				sent[a.Server]++
 			}
 		}
-		all := sent[1] + sent[2] // what finds no room yet waits with the module
-		if share := float64(sent[1]) / float64(all); all < 20 || share < want-0.07 || share > want+0.07 {
-			t.Errorf("weights %v: %v, want a share of about %v at the first", weights, sent, want)
+		total := sent[1] + sent[2] // requests without room yet are held by the gateway
+		if share := float64(sent[1]) / float64(total); total < 20 || share < want-0.07 || share > want+0.07 {
+			t.Errorf("weights %v: sends %v, want a share of about %v at the first reader", weights, sent, want)
 		}
 	}
 }
 
-// Before an instance ends, each request in hand gets its answer by the rules of its
-// class, and an answer that has begun moves only where its client comes again.
+// Before an instance ends, each open request gets its answer by the rules of its class, and an
+// answer that has begun moves only if its client reconnects.
 func TestClosingEndsOpenRequests(t *testing.T) {
 	const safe, once = 0, 1
 	for _, c := range []struct {
 		name   string
 		class  int
-		until  string // what it waits for
+		until  string // what the request waits for
 		resume bool
-		want   []ActionKind // at Closing, then at the end of what was called off
+		want   []ActionKind // at Closing, then at the end of the cancelled attempt
 	}{
 		{"a read has no effect", once, "read", true, []ActionKind{CallOff, Release, Refuse}},
 		{"may be repeated", safe, "write", true, []ActionKind{CallOff, Refuse, Release}},
 		{"must not run twice", once, "write", true, []ActionKind{CallOff, Fail, Release}},
-		{"its client comes again", safe, "stream", true, []ActionKind{Move}},
+		{"its client reconnects", safe, "stream", true, []ActionKind{Move}},
 		{"its client does not", safe, "stream", false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -631,7 +638,7 @@
 			}
 			soon := r.g.Handle(r.now, []Event{{Kind: Closing, Latency: time.Second}}, nil)
 			if c.until != "stream" && len(soon) > 0 {
-				t.Fatalf("actions %v before the time", soon)
+				t.Fatalf("actions %v before they are due", soon)
 			}
 			fire(soon)
 			if c.want == nil || c.want[0] != Move {
@@ -645,14 +652,14 @@
 			}
 			r.g.Handle(r.now, []Event{{Kind: Closing}}, nil)
 			if _, acts = r.arrive(Request{}); find(acts, Refuse) == nil {
-				t.Fatalf("actions %+v for what still comes, want a refusal", acts)
+				t.Fatalf("actions %+v for a new request while closing, want a refusal", acts)
 			}
 		})
 	}
 }
 
-// A worker that restarts while it is out by hand is listed as draining with its new
-// start. Put back, it keeps nothing of what the old process had.
+// A worker that restarts while an operator has taken it out is listed as draining with its new
+// start. When it returns, nothing of the old process's cache counts.
 func TestRestartWhileDrainingClearsTheCache(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(2, 0))
 	id, _ := r.arrive(Request{Session: 5})
@@ -663,18 +670,18 @@
 		r.g.Handle(r.now, []Event{{Kind: ServersChanged, Members: []Member{m}}}, nil)
 	}
 	if kept := r.g.byID[1].cached; len(kept) != 0 {
-		t.Fatalf("%d entries kept past the restart", len(kept))
+		t.Fatalf("%d cache entries kept past the restart", len(kept))
 	}
 }
 
-// What this gateway could not send is no sign of life of the server that it was meant for: an attempt there that nobody answers is
-// called off all the same.
+// An attempt that this gateway could not send is no sign of life of its server: another attempt
+// there that gets no answer is still cancelled.
 func TestUnreachedAttemptIsNoSignOfLife(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		unreached bool
 		called    bool
-	}{{"turned away by the server", false, false}, {"not sent for want of a connection", true, true}} {
+	}{{"rejected by the server", false, false}, {"not sent because no connection was available", true, true}} {
 		r := newTestGateway(t, reader(1, 0))
 		silent, _ := r.arrive(Request{})
 		r.wait(10 * time.Millisecond)
@@ -684,12 +691,13 @@
 		r.now = r.g.requests[silent].checkAt
 		acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(silent)}}, nil)
 		if called := find(acts, CallOff) != nil; called != c.called {
-			t.Errorf("%s: called off: %v, want %v", c.name, called, c.called)
+			t.Errorf("%s: cancelled: %v, want %v", c.name, called, c.called)
 		}
 	}
 }
 
-// A stream is moved when that is due and clients come again for the rest, by no timer that was set for something else.
+// A stream moves when its move is due and clients reconnect for the rest, and no other timer moves
+// it.
 func TestStreamsMoveAtTheirDueTime(t *testing.T) {
 	for _, resume := range []bool{false, true} {
 		r := newTestGateway(t, reader(1, 0), writer(3, 0))
@@ -713,14 +721,15 @@
 		}
 		const in = 400 * time.Millisecond
 		r.g.Handle(r.now, []Event{{Kind: Closing, Latency: in}}, nil)
-		want := []int{0, 0, 0} // what moves at once, after a quarter of the time, after all of it
+		// Streams that move at once, after a quarter of the time, after all of it.
+		want := []int{0, 0, 0}
 		if resume {
 			want = []int{1, 1, 2}
 		}
 		for i, at := range []time.Duration{0, in / 4, in - in/4} {
 			r.wait(at)
 			if moved := fire(); moved != want[i] {
-				t.Errorf("resume %v: %d streams move %v after the end was told, want %d", resume, moved, at, want[i])
+				t.Errorf("resume %v: %d streams move in the step of %v, want %d", resume, moved, at, want[i])
 			}
 		}
 	}
--- a/logic/health.go
+++ b/logic/health.go
@@ -60,8 +60,8 @@
 }
 
 // suspect takes a server out of the ordinary path. Single trials at increasing intervals bring it
-// back. Where this gateway seldom sends to any one server, a trial costs as much and reveals as
-// little: trials are later.
+// back. Where this gateway seldom sends to any one server, a trial costs as much but reveals little,
+// so trials are later.
 func (g *Gateway) suspect(s *server) {
 	unit := min(max(firstBackoff, seconds(g.arrivalInterval*float64(g.pools[s.role].count))), maxBackoff)
 	wait := min(unit<<min(s.failures, 6), max(maxBackoff, 2*unit))
--- a/logic/held.go
+++ b/logic/held.go
@@ -1,5 +1,12 @@
 package logic
 
+// Handling of the read state that a reader holds until a writer takes it, and of its release.
+//
+// Bytes sent prove nothing: a proxy, or the operating system of a server that is stopped or
+// unreachable, accepts them too. So the time limit of a held state runs until a server has answered
+// for it, and then the state is released whether an attempt is in flight or not. That does not harm
+// an attempt that a server has received: a release discards only a state that no attempt waits for.
+
 import (
 	"time"
 )
--- a/logic/limits_test.go
+++ b/logic/limits_test.go
@@ -8,10 +8,10 @@
 	"unicode/utf8"
 )
 
-// The decisions stand in modules that can be read one by one: 260 lines each that are not blank, 110 characters a line, and
-// the deploy file lists all of them but api.go, which is the interface.
+// The decision files can be read one by one: each has at most 260 lines that are not blank and 110
+// characters a line, and the deploy file lists all of them but api.go, which is the interface.
 //
-// Before there was one module, of 940 lines at most; the operators have withdrawn that bound on the whole.
+// The operators have withdrawn an earlier bound of 940 lines on a single file with all decisions.
 func TestFileSizeLimits(t *testing.T) {
 	const mostLines, mostCharacters = 260, 110
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -18,7 +18,7 @@
 	maxMemoryShare = 0.9
 	// Maximum number of table entries per reader: more than a reader itself can cache.
 	maxKeysPerServer = 4096
-	// Above it (more than four gateways), own streams tell too little about the fleet.
+	// Above it (more than four gateways), own streams say too little about the fleet.
 	maxUnseenShare = 0.75
 	// Fixed cost of one attempt, in prompt tokens.
 	overheadTokens = 500
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// What can be sent no more is told with its reason, of several the one that a person would look at first.
+// A request that cannot be sent any more ends with a reason. Of several reasons it gets the one
+// that an operator would check first.
 func TestRefusalReasons(t *testing.T) {
 	const (
 		attempts = 3
@@ -26,18 +27,18 @@
 		change func(*request, *Gateway)
 		want   Why
 	}{
-		"nothing in the way":               {func(*request, *Gateway) {}, WhyNone},
-		"one attempt left":                 {func(r *request, _ *Gateway) { r.sends = attempts - 1 }, WhyNone},
-		"no attempt left":                  {func(r *request, _ *Gateway) { r.sends = attempts }, WhyAttemptsSpent},
-		"one of them never arrived":        {func(r *request, _ *Gateway) { r.sends, r.unreached = attempts, 1 }, WhyNone},
-		"no time left":                     {func(r *request, _ *Gateway) { r.deadline = now + Time(deadlineMargin) }, WhyDeadlineExceeded},
-		"a little time left":               {func(r *request, _ *Gateway) { r.deadline = now + Time(deadlineMargin) + 1 }, WhyNone},
-		"may have run, without effect":     {mayRun(0, 0), WhyNone},
-		"may have run, once only":          {mayRun(1, 0), WhyMayHaveRun},
-		"may have run, within its window":  {mayRun(2, window-1), WhyNone},
-		"may have run, past its window":    {mayRun(2, window), WhyMayHaveRun},
-		"the router ends":                  {func(_ *request, g *Gateway) { g.closing = true }, WhyClosing},
-		"the router ends, no attempt left": {func(r *request, g *Gateway) { g.closing, r.sends = true, attempts }, WhyClosing},
+		"nothing prevents it":                    {func(*request, *Gateway) {}, WhyNone},
+		"one attempt left":                       {func(r *request, _ *Gateway) { r.sends = attempts - 1 }, WhyNone},
+		"no attempt left":                        {func(r *request, _ *Gateway) { r.sends = attempts }, WhyAttemptsSpent},
+		"one of them never arrived":              {func(r *request, _ *Gateway) { r.sends, r.unreached = attempts, 1 }, WhyNone},
+		"no time left":                           {func(r *request, _ *Gateway) { r.deadline = now + Time(deadlineMargin) }, WhyDeadlineExceeded},
+		"a little time left":                     {func(r *request, _ *Gateway) { r.deadline = now + Time(deadlineMargin) + 1 }, WhyNone},
+		"may have run, without effect":           {mayRun(0, 0), WhyNone},
+		"may have run, once only":                {mayRun(1, 0), WhyMayHaveRun},
+		"may have run, within its window":        {mayRun(2, window-1), WhyNone},
+		"may have run, past its window":          {mayRun(2, window), WhyMayHaveRun},
+		"the router is closing":                  {func(_ *request, g *Gateway) { g.closing = true }, WhyClosing},
+		"the router is closing, no attempt left": {func(r *request, g *Gateway) { g.closing, r.sends = true, attempts }, WhyClosing},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := New(set, 1)
--- a/logic/request.go
+++ b/logic/request.go
@@ -35,7 +35,7 @@
 	sentAt, ranAt         Time
 	checkAt               Time      // when a timer has to check the request
 	idleSince             Time      // since when no attempt that has reached a server is in flight
-	heldSince             Time      // since when a read state is held that no server has answered for
+	heldSince             Time      // since when a held read state has had no answer from a server
 	releaseTimerAt        Time      // when a timer checks whether the read state is due for release
 	released              bool      // the read state was released while an attempt is in flight
 	moveDueAt             Time      // when its running stream is to be moved; 0: never
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -25,31 +25,34 @@
 	}
 }
 
-// ruleChecker plays arbitrary legal outcomes against a gateway and checks every action against the rules.
+// ruleChecker plays arbitrary legal outcomes against a gateway and checks every action against the
+// rules.
 type ruleChecker struct {
-	t       *testing.T
-	set     Settings
-	size    int // servers
-	g       *Gateway
-	rng     *rand.Rand
-	lost    float64 // part of the attempts that never arrive
-	now     Time
-	members map[ServerID]Member
-	leftAt  map[ServerID]Time
-	reqs    map[RequestID]*checkedRequest
-	ids     []RequestID
-	timers  []checkedTimer
-	log     []Action
+	t           *testing.T
+	set         Settings
+	serverCount int // number of servers
+	g           *Gateway
+	rng         *rand.Rand
+	lost        float64 // part of the attempts that never arrive
+	now         Time
+	members     map[ServerID]Member
+	leftAt      map[ServerID]Time
+	reqs        map[RequestID]*checkedRequest
+	ids         []RequestID
+	timers      []checkedTimer
+	log         []Action
 }
 
 type checkedRequest struct {
-	id                RequestID
-	class             int
-	deadline          Time
-	out, ended, first bool
-	state             bool // a read state waits somewhere
-	freeSince         Time // since when no attempt is out that has arrived while a state waits
-	lost              bool // the attempt that is out never arrives, and nothing tells that
+	id                     RequestID
+	class                  int
+	deadline               Time
+	inFlight, ended, first bool
+	state                  bool // a read state is held somewhere
+	// Since when no attempt that has arrived is in flight while a state is held.
+	freeSince Time
+	// The attempt in flight never arrives, and nothing reports that.
+	lost              bool
 	server            ServerID
 	sentAt, timeoutAt Time
 	sends             int
@@ -84,7 +87,7 @@
 	}
 	r := w.reqs[a.ID]
 	if r == nil {
-		w.t.Fatalf("action %v for a request never given", a)
+		w.t.Fatalf("action %v for an unknown request", a)
 	}
 	c := w.set.Classes[r.class]
 	switch a.Kind {
@@ -93,8 +96,8 @@
 		switch {
 		case r.ended:
 			w.t.Fatalf("send after the end of %d", r.id)
-		case r.out:
-			w.t.Fatalf("two attempts of %d out", r.id)
+		case r.inFlight:
+			w.t.Fatalf("two attempts of %d in flight", r.id)
 		case !ok:
 			w.t.Fatalf("send to unlisted server %d", a.Server)
 		case m.Health != Ready && between(w.leftAt[a.Server], w.now) > w.set.DrainGrace:
@@ -109,27 +112,27 @@
 			(m.Zone != r.ambiguousZone || between(r.ambiguousAt, w.now) > c.RepeatWindow):
 			w.t.Fatalf("by-key request %d sent outside its group or window", r.id)
 		}
-		r.out, r.server, r.sentAt, r.calledOff = true, a.Server, w.now, false
+		r.inFlight, r.server, r.sentAt, r.calledOff = true, a.Server, w.now, false
 		r.timeoutAt = min(w.now+Time(a.After), r.deadline)
 		r.sends++
 		r.lost = w.rng.Float64() < w.lost
 	case Refuse, Fail:
-		if r.ended || r.out {
-			w.t.Fatalf("final answer for %d, ended %v, out %v", r.id, r.ended, r.out)
+		if r.ended || r.inFlight {
+			w.t.Fatalf("final answer for %d, ended %v, in flight %v", r.id, r.ended, r.inFlight)
 		}
 		if a.Kind == Refuse && r.ambiguous && c.Effect != EffectRepeatable {
 			w.t.Fatalf("refusal of %d that may have run", r.id)
 		}
 		r.ended = true
 	case Release:
-		if !r.out || r.lost {
+		if !r.inFlight || r.lost {
 			r.state = false
 		}
 	case CallOff:
 		if a.Attempt != r.sends-1 {
-			w.t.Fatalf("call-off of attempt %d of %d", a.Attempt, r.sends)
+			w.t.Fatalf("cancellation of attempt %d of %d", a.Attempt, r.sends)
 		}
-		r.calledOff = r.out
+		r.calledOff = r.inFlight
 	}
 }
 
@@ -148,7 +151,7 @@
 		r.state, r.ended = false, true
 	case Full:
 		if e.Kept = uint32(w.rng.IntN(2)); w.rng.IntN(3) > 0 {
-			break // a reader behind a cut may hold the state all the same
+			break // an unreachable reader may still hold the state
 		}
 		r.state = r.state && e.Kept == 0
 	case TimedOut, Cancelled:
@@ -161,7 +164,7 @@
 	if r.first {
 		r.ended = true
 	}
-	if r.out = false; !r.lost {
+	if r.inFlight = false; !r.lost {
 		r.freeSince = w.now
 	}
 	e.Closed = r.ended
@@ -172,11 +175,11 @@
 	w.t.Helper()
 	for _, id := range w.ids {
 		r := w.reqs[id]
-		if !r.ended && !r.out && w.now >= r.deadline {
+		if !r.ended && !r.inFlight && w.now >= r.deadline {
 			w.t.Fatalf("request %d lost at its deadline", id)
 		}
-		if r.state && (!r.out || r.lost) && between(r.freeSince, w.now) > w.set.ReleaseWithin {
-			w.t.Fatalf("state of request %d pinned", id)
+		if r.state && (!r.inFlight || r.lost) && between(r.freeSince, w.now) > w.set.ReleaseWithin {
+			w.t.Fatalf("read state of request %d held past ReleaseWithin", id)
 		}
 	}
 }
@@ -192,7 +195,7 @@
 }
 
 func (w *ruleChecker) changeRandomServer() {
-	id := ServerID(1 + w.rng.IntN(w.size))
+	id := ServerID(1 + w.rng.IntN(w.serverCount))
 	m := Member{Server: id, Weight: 1, Kind: int(id) % 3, Cell: int(id) % 2, Zone: int(id) % 2}
 	m.Health = []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]
 	if w.rng.IntN(2) == 0 {
@@ -210,7 +213,7 @@
 func playRandomEvents(t *testing.T, seed uint64, gateways, servers, steps int) []Action {
 	set := testSettings()
 	set.Gateways = gateways
-	w := &ruleChecker{t: t, set: set, size: servers, rng: rand.New(rand.NewPCG(seed, 1)), now: Time(seed%7) * 1e12,
+	w := &ruleChecker{t: t, set: set, serverCount: servers, rng: rand.New(rand.NewPCG(seed, 1)), now: Time(seed%7) * 1e12,
 		members: map[ServerID]Member{}, leftAt: map[ServerID]Time{}, reqs: map[RequestID]*checkedRequest{}}
 	w.g = New(w.set, seed)
 	var all []Member
@@ -245,12 +248,12 @@
 		w.check()
 	}
 	if len(w.g.requests) != 0 {
-		t.Fatalf("%d requests are kept after all have ended", len(w.g.requests))
+		t.Fatalf("%d requests remain after all have ended", len(w.g.requests))
 	}
 	return w.log
 }
 
-// step moves one attempt on.
+// step advances one attempt.
 func (w *ruleChecker) step(r *checkedRequest, bad float64) {
 	if !r.ended && !r.first && w.rng.IntN(3000) == 0 {
 		if r.ended = true; !r.lost {
@@ -258,7 +261,7 @@
 		}
 		w.deliver(Event{Kind: ClientLeft, ID: r.id})
 	}
-	if !r.out {
+	if !r.inFlight {
 		return
 	}
 	role := w.set.Kinds[w.members[r.server].Kind].Role
@@ -268,7 +271,7 @@
 	case r.calledOff:
 		w.end(r, Cancelled)
 	case w.rng.IntN(20) > 0:
-	case r.lost && w.rng.IntN(20) == 0: // the connection breaks at last
+	case r.lost && w.rng.IntN(20) == 0: // the connection finally breaks
 		w.end(r, ConnectionReset)
 	case r.lost:
 	case w.rng.Float64() < bad && !r.first:
@@ -286,14 +289,14 @@
 	}
 }
 
-// The rules hold whatever happens, and the same events give the same actions.
+// The rules hold under random failures, and the same events give the same actions.
 func TestRulesUnderRandomFailures(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		if a, b := playRandomEvents(t, seed, 2, 9, 4000), playRandomEvents(t, seed, 2, 9, 4000); !reflect.DeepEqual(a, b) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: the same events gave different actions", seed)
 		}
 	}
-	for seed, gateways := range []int{1, 8, 80, 300} { // one of so many before 100 servers
+	for seed, gateways := range []int{1, 8, 80, 300} { // one of this many, with 100 servers
 		for again := range 3 {
 			playRandomEvents(t, uint64(20+10*again+seed), gateways, 100, 3000)
 		}
--- a/logic/writers.go
+++ b/logic/writers.go
@@ -8,8 +8,8 @@
 // otherwise the best one of another cell; if none has room, the server of the same cell with the
 // fewest own streams.
 func (g *Gateway) pickWriter(r *request) *server {
-	// Where own streams tell little, the pressure on the cell's writers goes to the writer with
-	// most room in any cell.
+	// Where own streams say little about the fleet, the excess load of the cell's writers goes to
+	// the writer with most room in any cell.
 	roam := g.rng.Float64() < g.unseenShare*(1-1/r.reader.writerPressure)
 	return g.pick(r, func(s *server) (class int, cost float64) {
 		near, scale := s.Cell == r.reader.Cell, g.costScale(s)
