--- a/lab/virtual/exchange.go
+++ b/lab/virtual/exchange.go
@@ -74,7 +74,7 @@
 	switch a.Kind {
 	case logic.Send:
 		r.send(ex, a.Server, a.After)
-	case logic.CallOff:
+	case logic.CancelAttempt:
 		if at := ex.attempt; at != nil && at.number == a.Attempt && !ex.answered {
 			r.end(ex, at, logic.Cancelled, 0)
 		}
--- a/lab/virtual/router.go
+++ b/lab/virtual/router.go
@@ -91,7 +91,7 @@
 	r.gate(r.spread(parts))
 	if told != nil {
 		for _, t := range told[0] {
-			r.push(logic.Event{Kind: logic.LoadTold, Server: t.Server, Load: t.Load})
+			r.push(logic.Event{Kind: logic.LoadReported, Server: t.Server, Load: t.Load})
 		}
 	}
 	r.run()
--- a/logic/api.go
+++ b/logic/api.go
@@ -155,7 +155,7 @@
 	AttemptEnded                    // ID, Server, Latency, Status, Closed, Kept, Stale, Unreached, Load
 	ClientLeft                      // ID
 	TimerFired                      // Token
-	LoadTold                        // Server, Load: a load report that other routers passed on
+	LoadReported                    // Server, Load: a load report that other routers passed on
 	Closing                         // Latency: the instance ends open requests after this; 0: now
 )
 
@@ -209,14 +209,14 @@
 
 // The kinds of action.
 const (
-	Send     ActionKind = iota // ID, Server, After as time-out, SendWithin
-	CallOff                    // ID, Attempt
-	Refuse                     // ID, After as retry advice, Why
-	Fail                       // ID, Why
-	Release                    // ID
-	Move                       // ID
-	SetTimer                   // After, Token
-	Log                        // Text
+	Send          ActionKind = iota // ID, Server, After as time-out, SendWithin
+	CancelAttempt                   // ID, Attempt
+	Refuse                          // ID, After as retry advice, Why
+	Fail                            // ID, Why
+	Release                         // ID
+	Move                            // ID
+	SetTimer                        // After, Token
+	Log                             // Text
 )
 
 // Why is the reason for refusing or failing a request.
--- a/logic/deployments_test.go
+++ b/logic/deployments_test.go
@@ -179,18 +179,18 @@
 // listed it is ignored.
 func TestLoadReportedByOtherRouters(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), reader(2, 0), writer(3, 0))
-	r.g.Handle(r.now, []Event{{Kind: LoadTold, Server: 1, Load: Load{HasUnread: true, UnreadToken: 9000}},
-		{Kind: LoadTold, Server: 77, Load: Load{HasUnread: true, UnreadToken: 9000}}}, nil)
+	r.g.Handle(r.now, []Event{{Kind: LoadReported, Server: 1, Load: Load{HasUnread: true, UnreadToken: 9000}},
+		{Kind: LoadReported, Server: 77, Load: Load{HasUnread: true, UnreadToken: 9000}}}, nil)
 	_, acts := r.arrive(Request{})
 	r.wantSend(acts, 2)
 	// The report held no memory share, so the mean of the memory shares stays.
 	share := r.g.pools[RoleWrite].meanShare
-	r.g.Handle(r.now, []Event{{Kind: LoadTold, Server: 3, Load: Load{HasMemory: true, MemoryShare: 0.5}}}, nil)
+	r.g.Handle(r.now, []Event{{Kind: LoadReported, Server: 3, Load: Load{HasMemory: true, MemoryShare: 0.5}}}, nil)
 	if got := r.g.pools[RoleWrite].meanShare; got <= share {
 		t.Errorf("the writers' mean memory share is %.2f after a report of 0.5", got)
 	}
 	share = r.g.pools[RoleWrite].meanShare
-	r.g.Handle(r.now, []Event{{Kind: LoadTold, Server: 3, Load: Load{HasUnread: true}}}, nil)
+	r.g.Handle(r.now, []Event{{Kind: LoadReported, Server: 3, Load: Load{HasUnread: true}}}, nil)
 	if got := r.g.pools[RoleWrite].meanShare; got != share {
 		t.Errorf("the writers' mean memory share went from %.2f to %.2f by a report without one", share, got)
 	}
--- a/logic/endings.go
+++ b/logic/endings.go
@@ -37,7 +37,7 @@
 		g.proceed(r)
 	case r.server.lastActivityAt <= r.sentAt:
 		r.cancelled = true
-		g.emit(Action{Kind: CallOff, ID: r.ID, Attempt: r.sends - 1})
+		g.emit(Action{Kind: CancelAttempt, ID: r.ID, Attempt: r.sends - 1})
 	default:
 		r.checkAt = g.now + Time(attemptMargin)
 		g.setTimer(r, attemptMargin)
@@ -75,7 +75,7 @@
 		case r.phase == phaseStreaming || !g.closing:
 		case r.inFlight:
 			r.cancelled = true
-			g.emit(Action{Kind: CallOff, ID: id, Attempt: r.sends - 1})
+			g.emit(Action{Kind: CancelAttempt, ID: id, Attempt: r.sends - 1})
 		default:
 			g.refuseOrFail(r, WhyClosing)
 		}
--- a/logic/guards_test.go
+++ b/logic/guards_test.go
@@ -130,7 +130,7 @@
 			r.end(other, 1, PromptRead, 0)
 		}
 		acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(id)}}, nil)
-		if got := find(acts, CallOff) != nil; got == active {
+		if got := find(acts, CancelAttempt) != nil; got == active {
 			t.Errorf("active %v: cancelled %v", active, got)
 		}
 	}
@@ -142,7 +142,7 @@
 	r.wantSend(acts, 1)
 	r.wait(find(acts, SetTimer).After)
 	acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(id)}}, nil)
-	if find(acts, CallOff) == nil {
+	if find(acts, CancelAttempt) == nil {
 		t.Fatal("not cancelled")
 	}
 	r.wantSend(r.end(id, 1, Cancelled, 0), 2)
@@ -520,7 +520,7 @@
 		for range 30 { // a timer may also be due for the held state: its effects count as well
 			r.wait(100 * time.Millisecond)
 			acts := r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(id)}}, nil)
-			called = called || find(acts, CallOff) != nil
+			called = called || find(acts, CancelAttempt) != nil
 		}
 		if called != c.called {
 			t.Errorf("class %d: cancelled: %v, want %v", c.class, called, c.called)
@@ -563,7 +563,7 @@
 		r.wantSend(r.end(id, 1, PromptRead, 0), 3)
 		r.wait(time.Millisecond)
 		acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: read.Token}}, nil)
-		if find(acts, CallOff) != nil {
+		if find(acts, CancelAttempt) != nil {
 			t.Errorf("class %d: the write is cancelled 1 ms after it was sent", class)
 		}
 	}
@@ -604,9 +604,9 @@
 		resume bool
 		want   []ActionKind // at Closing, then at the end of the cancelled attempt
 	}{
-		{"a read has no effect", once, "read", true, []ActionKind{CallOff, Release, Refuse}},
-		{"may be repeated", safe, "write", true, []ActionKind{CallOff, Refuse, Release}},
-		{"must not run twice", once, "write", true, []ActionKind{CallOff, Fail, Release}},
+		{"a read has no effect", once, "read", true, []ActionKind{CancelAttempt, Release, Refuse}},
+		{"may be repeated", safe, "write", true, []ActionKind{CancelAttempt, Refuse, Release}},
+		{"must not run twice", once, "write", true, []ActionKind{CancelAttempt, Fail, Release}},
 		{"its client reconnects", safe, "stream", true, []ActionKind{Move}},
 		{"its client does not", safe, "stream", false, nil},
 	} {
@@ -644,7 +644,7 @@
 			if c.want == nil || c.want[0] != Move {
 				note(r.g.Handle(r.now, []Event{{Kind: Closing}}, nil))
 			}
-			if slices.Contains(got, CallOff) {
+			if slices.Contains(got, CancelAttempt) {
 				note(r.end(id, r.g.requests[id].server.Server, Cancelled, 0))
 			}
 			if !slices.Equal(got, c.want) {
@@ -690,7 +690,7 @@
 		r.g.Handle(r.now, []Event{{Kind: AttemptEnded, ID: other, Server: 1, Status: Full, Unreached: c.unreached}}, nil)
 		r.now = r.g.requests[silent].checkAt
 		acts = r.g.Handle(r.now, []Event{{Kind: TimerFired, Token: uint64(silent)}}, nil)
-		if called := find(acts, CallOff) != nil; called != c.called {
+		if called := find(acts, CancelAttempt) != nil; called != c.called {
 			t.Errorf("%s: cancelled: %v, want %v", c.name, called, c.called)
 		}
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -132,7 +132,7 @@
 			g.handleTimer(RequestID(e.Token))
 		case Closing:
 			g.shutDown(e.Latency)
-		case LoadTold:
+		case LoadReported:
 			g.applyReport(g.byID[e.Server], e.Load)
 		}
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -128,7 +128,7 @@
 		if !r.inFlight || r.lost {
 			r.state = false
 		}
-	case CallOff:
+	case CancelAttempt:
 		if a.Attempt != r.sends-1 {
 			w.t.Fatalf("cancellation of attempt %d of %d", a.Attempt, r.sends)
 		}
--- a/router/core.go
+++ b/router/core.go
@@ -180,7 +180,7 @@
 
 // ReportLoad passes a load report on a worker, received from another router, to the decider.
 func (c *Core) ReportLoad(server logic.ServerID, l logic.Load) {
-	c.post(func() { c.routing.push(logic.Event{Kind: logic.LoadTold, Server: server, Load: l}) })
+	c.post(func() { c.routing.push(logic.Event{Kind: logic.LoadReported, Server: server, Load: l}) })
 }
 
 // Close informs the decider that the process is about to end: open requests get their final answer
--- a/router/core_test.go
+++ b/router/core_test.go
@@ -537,7 +537,7 @@
 					return []logic.Action{{Kind: logic.Release, ID: e.Request.ID}, {Kind: logic.Send, ID: e.Request.ID, Server: 5, After: wait},
 						{Kind: logic.SetTimer, Token: uint64(e.Request.ID), After: time.Millisecond}}
 				case logic.TimerFired:
-					return []logic.Action{{Kind: logic.CallOff, ID: logic.RequestID(e.Token), Attempt: 0}}
+					return []logic.Action{{Kind: logic.CancelAttempt, ID: logic.RequestID(e.Token), Attempt: 0}}
 				case logic.AttemptEnded:
 					ended <- e
 					return []logic.Action{{Kind: logic.Refuse, ID: e.ID}}
--- a/router/route.go
+++ b/router/route.go
@@ -61,7 +61,7 @@
 		switch a.Kind {
 		case logic.Send:
 			r.core.sender.send(ex, a)
-		case logic.CallOff:
+		case logic.CancelAttempt:
 			r.core.sender.callOff(ex, a.Attempt)
 		case logic.Refuse:
 			r.core.completion.refuse(ex, a.After, a.Why)
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -253,7 +253,7 @@
 			id(codeSend, a)
 			b = be.AppendUint32(b, uint32(a.Server))
 			b = be.AppendUint64(b, uint64(a.After))
-		case logic.CallOff:
+		case logic.CancelAttempt:
 			id(codeCancelAttempt, a)
 			b = be.AppendUint16(b, uint16(a.Attempt))
 		case logic.Refuse:
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -121,7 +121,7 @@
 func TestServe(t *testing.T) {
 	s := &scriptedDecider{answer: []logic.Action{
 		{Kind: logic.Send, ID: 7, Server: 8, After: 9}, {Kind: logic.Refuse, ID: 7, After: 1},
-		{Kind: logic.SetTimer, After: 5, Token: 77}, {Kind: logic.Release, ID: 7}, {Kind: logic.CallOff, ID: 7, Attempt: 2}}}
+		{Kind: logic.SetTimer, After: 5, Token: 77}, {Kind: logic.Release, ID: 7}, {Kind: logic.CancelAttempt, ID: 7, Attempt: 2}}}
 	h := NewHost(func(logic.Settings, uint64) logic.Decider { return s })
 	var out bytes.Buffer
 	if err := h.Serve(bytes.NewReader(batch(eventInstance(3), openInstance(), requestRecord, attemptEndedRecord)), &out); err != nil {
