--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -39,15 +39,15 @@
 	mu     sync.Mutex
 	node   *node.Node
 	fronts []*Front // in the node's order
-	loans  func(budget.Move)
-	texts  func(node.Text)
+	onMove func(budget.Move)
+	onText func(node.Text)
 }
 
 // New returns an agent; Run and Serve start it. Loans, if it is not nil, is told of what is lent and borrowed, one after
 // the other and before the other end can know of it; it must return at once. The life is a number that grows with
 // each start, such as the wall clock's; if it does not, the fleet puts it right.
-func New(cfg *Config, life, seed uint64, loans func(budget.Move), count Counters, log logrus.FieldLogger) (*Agent, error) {
-	a := &Agent{cfg: cfg, count: count, log: log, start: time.Now(), loans: loans}
+func New(cfg *Config, life, seed uint64, onMove func(budget.Move), count Counters, log logrus.FieldLogger) (*Agent, error) {
+	a := &Agent{cfg: cfg, count: count, log: log, start: time.Now(), onMove: onMove}
 	zones := map[string]string{}
 	var peers []link.Peer
 	for _, r := range cfg.Routers {
@@ -59,8 +59,8 @@
 	var err error
 	if a.node, err = node.New(node.Config{Self: cfg.Self, Zones: zones, Life: life, Lease: cfg.Lease.Duration, Floor: cfg.Floor,
 		Burst: cfg.Burst.Duration, Drift: cfg.Drift, Period: cfg.Period.Duration, Counts: cfg.Counts.Duration, Fanout: cfg.Fanout, Digest: cfg.Digest,
-		Observers: cfg.Observe, Quorum: cfg.Quorum, MostOut: cfg.MostOut, Least: cfg.Least, Hold: cfg.Hold.Duration,
-		Return: cfg.Return.Duration, Repeats: cfg.Repeats, Cold: cfg.Cold, Tell: loans != nil}, rand.New(rand.NewPCG(seed, life)), a.now()); err != nil {
+		Observers: cfg.Observers, Quorum: cfg.Quorum, MostOut: cfg.MaxOut, Least: cfg.MinFailures, Hold: cfg.Hold.Duration,
+		Return: cfg.Return.Duration, Repeats: cfg.RepeatsPerSecond, Cold: cfg.ColdPerSecond, RecordMoves: onMove != nil}, rand.New(rand.NewPCG(seed, life)), a.now()); err != nil {
 		return nil, fmt.Errorf("router %s: %w", cfg.Self, err)
 	}
 	if z, ok := cfg.zones(); ok {
@@ -95,8 +95,8 @@
 func (a *Agent) WantText(part string, held uint64, take func(node.Text)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.texts = take
-	a.node.WantText(part, held)
+	a.onText = take
+	a.node.RequestText(part, held)
 }
 
 // Renew goes on under a new life: what was lent to this router before is over.
@@ -180,12 +180,12 @@
 	for _, e := range out {
 		a.link.Send(e)
 	}
-	a.confer()
+	a.updateWorkers()
 	a.mu.Lock()
 	notices := a.node.Notices()
 	a.mu.Unlock()
 	for _, n := range notices {
-		a.say(n)
+		a.logNotice(n)
 	}
 }
 
@@ -193,10 +193,10 @@
 	a.mu.Lock()
 	answers := a.node.Receive(e, a.now())
 	for _, m := range a.node.Moves() {
-		a.loans(m)
+		a.onMove(m)
 	}
 	for _, t := range a.node.Texts() {
-		a.texts(t)
+		a.onText(t)
 	}
 	a.mu.Unlock()
 	for _, answer := range answers {
@@ -204,14 +204,14 @@
 	}
 }
 
-// say logs a change.
-func (a *Agent) say(n node.Notice) {
+// logNotice logs a change.
+func (a *Agent) logNotice(n node.Notice) {
 	switch n.Kind {
 	case node.Fenced:
 		a.log.WithField("router", n.Name).Error("another process with this router's name has started later: this one spends nothing any more")
 		a.count.Add("fleet_fenced", 1)
-	case node.Deaf, node.Hears:
-		a.log.WithField("deaf", n.Kind == node.Deaf).Warn("fleet: hearing of the other routers has changed")
+	case node.Isolated, node.IsolationEnded:
+		a.log.WithField("deaf", n.Kind == node.Isolated).Warn("fleet: hearing of the other routers has changed")
 	case node.RouterChanged:
 		a.log.WithFields(logrus.Fields{"router": n.Name, "state": n.Is, "was": n.Was}).Info("fleet: router changed")
 	case node.WorkerOut:
@@ -310,9 +310,9 @@
 	a.mu.Lock()
 	v := a.node.Members(a.now())
 	a.mu.Unlock()
-	p := MembersPage{Fleet: a.cfg.Fleet, Self: a.cfg.Self, Life: v.Life, Fenced: v.Fenced, Deaf: v.Deaf, Routers: []MemberLine{}}
+	p := MembersPage{Fleet: a.cfg.Fleet, Self: a.cfg.Self, Life: v.Incarnation, Fenced: v.Fenced, Deaf: v.Isolated, Routers: []MemberLine{}}
 	for _, r := range v.Routers {
-		p.Routers = append(p.Routers, MemberLine{r.Name, r.State.String(), r.Life, r.Age.Seconds(), r.Doubt})
+		p.Routers = append(p.Routers, MemberLine{r.Name, r.State.String(), r.Incarnation, r.Age.Seconds(), r.Suspicions})
 	}
 	return p
 }
@@ -341,8 +341,8 @@
 func (a *Agent) links() []LinkLine {
 	out := []LinkLine{}
 	for _, s := range a.link.Statuses() {
-		out = append(out, LinkLine{s.Name, s.Addr, s.Connected, s.Sent, s.Dropped, s.Heard, seconds(s.SinceTaken),
-			seconds(s.SinceHeard), s.LastFault})
+		out = append(out, LinkLine{s.Name, s.Addr, s.Connected, s.Sent, s.Dropped, s.Received, seconds(s.SinceAcked),
+			seconds(s.SinceReceived), s.LastFault})
 	}
 	return out
 }
@@ -354,7 +354,7 @@
 		return a.worker(worker), true
 	}
 	if zone, ok := strings.CutPrefix(name, "zone/"); ok && zone != "" {
-		return a.dry(zone)
+		return a.planWithoutZone(zone)
 	}
 	switch name {
 	case "zones":
--- a/fleet/agent/config.go
+++ b/fleet/agent/config.go
@@ -15,53 +15,53 @@
 
 // Config is the operator's file, deploy/fleet.toml.
 type Config struct {
-	Fleet    string            `toml:"fleet"` // its name; empty: off
-	Self     string            `toml:"self"`
-	Listen   string            `toml:"listen"`   // empty: the own router's addr
-	Operator string            `toml:"operator"` // empty: nobody can look
-	Lease    conffile.Duration `toml:"lease"`
-	Floor    float64           `toml:"floor"`
-	Burst    conffile.Duration `toml:"burst"`
-	Drift    float64           `toml:"drift"`
-	Period   conffile.Duration `toml:"period"`
-	Counts   conffile.Duration `toml:"counts_every"`
-	Fanout   int               `toml:"fanout"`
-	Digest   int               `toml:"digest"`
-	Timeout  conffile.Duration `toml:"timeout"`
-	Observe  int               `toml:"observers"`
-	Quorum   int               `toml:"quorum"`
-	MostOut  float64           `toml:"most_out"`
-	Least    float64           `toml:"least"`
-	Hold     conffile.Duration `toml:"hold"`
-	Return   conffile.Duration `toml:"return"`
-	Repeats  float64           `toml:"repeats_per_s"`
-	Cold     float64           `toml:"cold_per_s"`
-	Straggle Straggle          `toml:"straggler"`
-	Trail    string            `toml:"trail"` // directory; empty: no trail is kept
-	TrailMax int64             `toml:"trail_bytes"`
-	Routers  []Router          `toml:"router"`
-	Shift    Shift             `toml:"shift"`
-	Zones    []Zone            `toml:"zone"`
-	ZoneLink []ZoneLink        `toml:"zone_link"`
+	Fleet            string            `toml:"fleet"` // its name; empty: off
+	Self             string            `toml:"self"`
+	Listen           string            `toml:"listen"`   // empty: the own router's addr
+	Operator         string            `toml:"operator"` // empty: nobody can look
+	Lease            conffile.Duration `toml:"lease"`
+	Floor            float64           `toml:"floor"`
+	Burst            conffile.Duration `toml:"burst"`
+	Drift            float64           `toml:"drift"`
+	Period           conffile.Duration `toml:"period"`
+	Counts           conffile.Duration `toml:"counts_every"`
+	Fanout           int               `toml:"fanout"`
+	Digest           int               `toml:"digest"`
+	Timeout          conffile.Duration `toml:"timeout"`
+	Observers        int               `toml:"observers"`
+	Quorum           int               `toml:"quorum"`
+	MaxOut           float64           `toml:"most_out"`
+	MinFailures      float64           `toml:"least"`
+	Hold             conffile.Duration `toml:"hold"`
+	Return           conffile.Duration `toml:"return"`
+	RepeatsPerSecond float64           `toml:"repeats_per_s"`
+	ColdPerSecond    float64           `toml:"cold_per_s"`
+	Straggle         Straggle          `toml:"straggler"`
+	Trail            string            `toml:"trail"` // directory; empty: no trail is kept
+	TrailMax         int64             `toml:"trail_bytes"`
+	Routers          []Router          `toml:"router"`
+	Shift            Shift             `toml:"shift"`
+	Zones            []Zone            `toml:"zone"`
+	ZoneLink         []ZoneLink        `toml:"zone_link"`
 }
 
 // Shift says how traffic is moved between zones; it is off without zones.
 type Shift struct {
-	Least   float64           `toml:"least"`   // attempts of late, of one zone's routers at another, that say something
-	Failing float64           `toml:"failing"` // part of them that goes wrong
-	Lost    float64           `toml:"lost"`
-	Confirm conffile.Duration `toml:"confirm"`
-	Hold    conffile.Duration `toml:"hold"`
-	Return  conffile.Duration `toml:"return"`
-	Trial   float64           `toml:"trial"`
-	Safe    float64           `toml:"safe"`
-	Up      float64           `toml:"up"`
-	Back    float64           `toml:"back"`
-	Every   conffile.Duration `toml:"every"`
-	PerMin  float64           `toml:"maps_per_min"`
-	Spill   float64           `toml:"spill"`
-	Fresh   conffile.Duration `toml:"fresh"`
-	Fade    conffile.Duration `toml:"fade"`
+	MinAttempts float64           `toml:"least"`   // attempts of late, of one zone's routers at another, that say something
+	Failing     float64           `toml:"failing"` // part of them that goes wrong
+	Lost        float64           `toml:"lost"`
+	Confirm     conffile.Duration `toml:"confirm"`
+	Hold        conffile.Duration `toml:"hold"`
+	Return      conffile.Duration `toml:"return"`
+	Trial       float64           `toml:"trial"`
+	Safe        float64           `toml:"safe"`
+	Up          float64           `toml:"up"`
+	Back        float64           `toml:"back"`
+	Every       conffile.Duration `toml:"every"`
+	PerMin      float64           `toml:"maps_per_min"`
+	Spill       float64           `toml:"spill"`
+	Fresh       conffile.Duration `toml:"fresh"`
+	Fade        conffile.Duration `toml:"fade"`
 }
 
 // Zone is what a zone takes with all of its workers warm, in requests a second.
@@ -80,18 +80,18 @@
 }
 
 const (
-	usualFar  = 0.5 // between zones whose link is not listed
-	mapsBurst = 12
-	reserve   = 4 // of them, for zones that are lost
-	band      = 0.02
+	defaultFar = 0.5 // between zones whose link is not listed
+	mapBurst   = 12
+	mapReserve = 4 // of them, for zones that are lost
+	mapBand    = 0.02
 )
 
 // zones is the node's part of the file; false where no zones are listed.
 func (c *Config) zones() (node.ZoneConfig, bool) {
 	n, s := len(c.Zones), &c.Shift
 	z := node.ZoneConfig{Safe: s.Safe, Capacity: map[string]solver.Zone{}, Terms: traffic.Terms{Fresh: s.Fresh.Duration, Fade: s.Fade.Duration, Spill: s.Spill},
-		Pace: traffic.Pace{Every: s.Every.Duration, Up: s.Up, Back: s.Back, Band: band, Burst: mapsBurst, PerMin: s.PerMin, Reserve: reserve},
-		Judge: zone.Config{Least: s.Least, Failing: s.Failing, Lost: s.Lost, Strain: s.Safe, Confirm: s.Confirm.Duration, Hold: s.Hold.Duration,
+		Pace: traffic.Pace{Every: s.Every.Duration, Up: s.Up, Back: s.Back, Band: mapBand, Burst: mapBurst, PerMin: s.PerMin, Reserve: mapReserve},
+		Judge: zone.Config{Least: s.MinAttempts, Failing: s.Failing, Lost: s.Lost, Strain: s.Safe, Confirm: s.Confirm.Duration, Hold: s.Hold.Duration,
 			Return: s.Return.Duration, Trial: s.Trial}}
 	at := map[string]int{}
 	for i, l := range c.Zones {
@@ -100,7 +100,7 @@
 		far, room := make([]float64, n), make([]float64, n)
 		for j := range n {
 			if j != i {
-				far[j] = usualFar
+				far[j] = defaultFar
 			}
 			room[j] = -1
 		}
@@ -113,17 +113,17 @@
 	return z, n > 0
 }
 
-// badZones names what makes no sense in the zones' part of the file.
-func (c *Config) badZones(f *conffile.File) error {
+// checkZones names what makes no sense in the zones' part of the file.
+func (c *Config) checkZones(f *conffile.File) error {
 	names := map[string]bool{}
 	for i, z := range c.Zones {
 		at := func(key string) string { return "zone[" + strconv.Itoa(i) + "]." + key }
 		switch {
 		case z.Name == "" || names[z.Name]:
 			return f.Bad(at("name"), z.Name, "empty, or named twice")
-		case !(z.Read >= 0 && z.Read <= mostRate):
+		case !(z.Read >= 0 && z.Read <= maxRate):
 			return f.Bad(at("read"), z.Read, "not from 0 to 1000000")
-		case !(z.Write >= 0 && z.Write <= mostRate):
+		case !(z.Write >= 0 && z.Write <= maxRate):
 			return f.Bad(at("write"), z.Write, "not from 0 to 1000000")
 		}
 		names[z.Name] = true
@@ -137,7 +137,7 @@
 			return f.Bad(at("to"), l.To, "none of the zones listed, or the same")
 		case !(l.Far >= 0 && l.Far <= 1):
 			return f.Bad(at("far"), l.Far, "not from 0 to 1")
-		case !(l.Room <= mostRate):
+		case !(l.Room <= maxRate):
 			return f.Bad(at("room"), l.Room, "over 1000000")
 		}
 	}
@@ -153,7 +153,7 @@
 		bad   bool
 		why   string
 	}{
-		{"shift.least", s.Least, !(s.Least > 0 && s.Least <= 1e6), "not over 0 and up to 1000000"},
+		{"shift.least", s.MinAttempts, !(s.MinAttempts > 0 && s.MinAttempts <= 1e6), "not over 0 and up to 1000000"},
 		{"shift.failing", s.Failing, !(s.Failing > 0 && s.Failing < s.Lost), "not over 0 and under shift.lost"},
 		{"shift.lost", s.Lost, !(s.Lost <= 1), "over 1"},
 		{"shift.confirm", s.Confirm, s.Confirm.Duration > time.Minute, "over 1m"},
@@ -206,20 +206,20 @@
 const SelfEnv = "LICHENSHELF_FLEET_SELF"
 
 const (
-	mostRouters = 4096
-	mostRate    = 1e6
-	leastTrail  = 1 << 20
-	mostTrail   = 1 << 40
+	maxRouters    = 4096
+	maxRate       = 1e6
+	minTrailBytes = 1 << 20
+	maxTrailBytes = 1 << 40
 )
 
 // LoadConfig reads the file and checks it whole. One without a fleet's name is off.
 func LoadConfig(path string) (*Config, error) {
 	d := func(v time.Duration) conffile.Duration { return conffile.Duration{Duration: v} }
 	c := &Config{Lease: d(2 * time.Second), Floor: 0.1, Burst: d(time.Second), Drift: 0.01, Period: d(500 * time.Millisecond), Counts: d(100 * time.Millisecond),
-		Fanout: 2, Digest: 32, Timeout: d(time.Second), Observe: 2,
-		Quorum: 2, MostOut: 0.3, Least: 3, Hold: d(3 * time.Second), Return: d(10 * time.Second), TrailMax: 64 << 20,
+		Fanout: 2, Digest: 32, Timeout: d(time.Second), Observers: 2,
+		Quorum: 2, MaxOut: 0.3, MinFailures: 3, Hold: d(3 * time.Second), Return: d(10 * time.Second), TrailMax: 64 << 20,
 		Straggle: Straggle{MostShut: 0.25, Rate: 20, Steady: d(2 * time.Second)},
-		Shift: Shift{Least: 5, Failing: 0.2, Lost: 0.8, Confirm: d(time.Second), Hold: d(5 * time.Second), Return: d(20 * time.Second), Trial: 0.05,
+		Shift: Shift{MinAttempts: 5, Failing: 0.2, Lost: 0.8, Confirm: d(time.Second), Hold: d(5 * time.Second), Return: d(20 * time.Second), Trial: 0.05,
 			Safe: 0.8, Up: 0.2, Back: 0.05, Every: d(time.Second), PerMin: 20, Spill: 0.1, Fresh: d(5 * time.Second), Fade: d(30 * time.Second)}}
 	f, err := conffile.Read(path, c)
 	if err != nil || c.Fleet == "" {
@@ -248,7 +248,7 @@
 		bad   bool
 		why   string
 	}{
-		{"router", len(c.Routers), len(c.Routers) == 0 || len(c.Routers) > mostRouters, "1 to 4096 routers are needed, this one among them"},
+		{"router", len(c.Routers), len(c.Routers) == 0 || len(c.Routers) > maxRouters, "1 to 4096 routers are needed, this one among them"},
 		{"self", c.Self, !names[c.Self], "none of the routers listed"},
 		{"listen", c.Listen, badAddr(c.Listen), "not host:port"},
 		{"operator", c.Operator, c.Operator != "" && badAddr(c.Operator), "not host:port"},
@@ -262,25 +262,25 @@
 		{"digest", c.Digest, c.Digest < 1 || c.Digest > 512, "not from 1 to 512"},
 		{"timeout", c.Timeout, c.Timeout.Duration < 10*time.Millisecond || c.Timeout.Duration > time.Minute, "not from 10ms to 1m"},
 		{"quorum", c.Quorum, c.Quorum < 1, "not 1 or more"},
-		{"most_out", c.MostOut, !(c.MostOut >= 0 && c.MostOut <= 0.5), "not from 0 to 0.5"},
-		{"least", c.Least, !(c.Least > 0 && c.Least <= 1e6), "not over 0 and up to 1000000"},
+		{"most_out", c.MaxOut, !(c.MaxOut >= 0 && c.MaxOut <= 0.5), "not from 0 to 0.5"},
+		{"least", c.MinFailures, !(c.MinFailures > 0 && c.MinFailures <= 1e6), "not over 0 and up to 1000000"},
 		{"hold", c.Hold, c.Hold.Duration < 100*time.Millisecond || c.Hold.Duration > time.Minute, "not from 100ms to 1m"},
 		{"return", c.Return, c.Return.Duration > time.Hour, "over 1h"},
-		{"observers", c.Observe, c.Observe < 0, "negative"},
+		{"observers", c.Observers, c.Observers < 0, "negative"},
 		{"straggler.grace", c.Straggle.Grace, c.Straggle.Grace.Duration != 0 && c.Straggle.Grace.Duration < 100*time.Millisecond || c.Straggle.Grace.Duration > time.Hour, "not 0, nor from 100ms to 1h"},
 		{"straggler.most_age", c.Straggle.MostAge, c.Straggle.MostAge.Duration > 24*time.Hour, "over 24h"},
 		{"straggler.most_shut", c.Straggle.MostShut, !(c.Straggle.MostShut >= 0 && c.Straggle.MostShut <= 0.5), "not from 0 to 0.5"},
-		{"straggler.rate", c.Straggle.Rate, !(c.Straggle.Rate > 0 && c.Straggle.Rate <= mostRate), "not over 0 and up to 1000000"},
+		{"straggler.rate", c.Straggle.Rate, !(c.Straggle.Rate > 0 && c.Straggle.Rate <= maxRate), "not over 0 and up to 1000000"},
 		{"straggler.steady", c.Straggle.Steady, c.Straggle.Steady.Duration > time.Hour, "over 1h"},
-		{"trail_bytes", c.TrailMax, c.TrailMax < leastTrail || c.TrailMax > mostTrail, "not from 1048576 to 1099511627776"},
-		{"repeats_per_s", c.Repeats, !(c.Repeats >= 0 && c.Repeats <= mostRate), "not from 0 to 1000000"},
-		{"cold_per_s", c.Cold, !(c.Cold >= 0 && c.Cold <= mostRate), "not from 0 to 1000000"},
+		{"trail_bytes", c.TrailMax, c.TrailMax < minTrailBytes || c.TrailMax > maxTrailBytes, "not from 1048576 to 1099511627776"},
+		{"repeats_per_s", c.RepeatsPerSecond, !(c.RepeatsPerSecond >= 0 && c.RepeatsPerSecond <= maxRate), "not from 0 to 1000000"},
+		{"cold_per_s", c.ColdPerSecond, !(c.ColdPerSecond >= 0 && c.ColdPerSecond <= maxRate), "not from 0 to 1000000"},
 	} {
 		if k.bad {
 			return nil, f.Bad(k.key, k.value, k.why)
 		}
 	}
-	return c, c.badZones(f)
+	return c, c.checkZones(f)
 }
 
 func badAddr(addr string) bool {
--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -31,7 +31,7 @@
 	gate  *cordon.Gate
 	core  Core
 	trail Recorder // nil: nothing is kept
-	zones spread
+	zones zoneTraffic
 }
 
 // Recorder keeps what a front does. Its methods must return at once.
@@ -56,7 +56,7 @@
 func (f *Front) Take(core Core) cordon.Taker {
 	f.core, f.gate = core, cordon.NewGate(core)
 	if f.trail != nil {
-		f.gate = cordon.NewGate(&noted{core: core, front: f, out: map[string]bool{}, known: map[string]int64{}})
+		f.gate = cordon.NewGate(&outRecorder{core: core, front: f, out: map[string]bool{}, known: map[string]int64{}})
 	}
 	a := f.agent
 	a.mu.Lock()
@@ -66,9 +66,9 @@
 	return f
 }
 
-// noted stands between the gate and the core, and keeps who is out. The gate calls it one at a
+// outRecorder stands between the gate and the core, and keeps who is out. The gate calls it one at a
 // time.
-type noted struct {
+type outRecorder struct {
 	core  Core
 	front *Front
 	out   map[string]bool  // that are out, and still listed
@@ -77,7 +77,7 @@
 
 // Discovered implements cordon.Taker. What is taken out is noted once the core's senders know;
 // what comes back, before they do.
-func (n *noted) Discovered(members []router.Member, whole bool) {
+func (n *outRecorder) Discovered(members []router.Member, whole bool) {
 	grace, listed := n.front.cfg.Settings.DrainGrace, map[string]bool{}
 	for _, m := range members {
 		listed[m.Name] = true
@@ -129,7 +129,7 @@
 	a := f.agent
 	a.mu.Lock()
 	f.part.Listed(lines(members), whole, time.Now().UnixNano(), a.now())
-	f.zones.listed(f.cfg.Zones, members, whole, time.Now())
+	f.zones.update(f.cfg.Zones, members, whole, time.Now())
 	a.mu.Unlock()
 	f.gate.Discovered(members, whole)
 }
@@ -150,16 +150,16 @@
 }
 
 // Watch returns a transport that sends by t and notes what becomes of each attempt.
-func (f *Front) Watch(t router.Transport) router.Transport { return &observer{t, f} }
+func (f *Front) Watch(t router.Transport) router.Transport { return &observingTransport{t, f} }
 
-type observer struct {
+type observingTransport struct {
 	router.Transport
 	front *Front
 }
 
 // Send implements router.Transport.
-func (w *observer) Send(at router.Attempt, sink router.Sink) func() <-chan struct{} {
-	s := &watched{Sink: sink, agent: w.front.agent, front: w.front, prompt: at.Request.PromptTokens, worker: at.Worker.Name, since: at.Worker.Since()}
+func (w *observingTransport) Send(at router.Attempt, sink router.Sink) func() <-chan struct{} {
+	s := &observedAttempt{Sink: sink, agent: w.front.agent, front: w.front, prompt: at.Request.PromptTokens, worker: at.Worker.Name, since: at.Worker.Since()}
 	s.agent.mu.Lock()
 	s.work = w.front.part.Work(s.worker, &at.Request.Request)
 	s.agent.node.Charge(s.worker, s.work)
@@ -169,15 +169,15 @@
 		s.request = at.Request.Name
 		w.front.trail.Sent(s.worker, int64(s.since))
 	}
-	giveUp := w.Transport.Send(at, s)
+	cancel := w.Transport.Send(at, s)
 	return func() <-chan struct{} {
-		s.over()
-		return giveUp()
+		s.finished()
+		return cancel()
 	}
 }
 
-// watched is the sink of an attempt that is looked at on its way.
-type watched struct {
+// observedAttempt is the sink of an attempt that is looked at on its way.
+type observedAttempt struct {
 	router.Sink
 	agent  *Agent
 	front  *Front
@@ -191,8 +191,8 @@
 	work counts.Work // that is still out
 }
 
-// less notes that work is no longer out.
-func (s *watched) less(take func(*counts.Work) counts.Work) {
+// finish notes that work is no longer out.
+func (s *observedAttempt) finish(take func(*counts.Work) counts.Work) {
 	s.mu.Lock()
 	done := take(&s.work)
 	s.mu.Unlock()
@@ -201,18 +201,18 @@
 	s.agent.mu.Unlock()
 }
 
-// read notes that the prompt waits there no longer.
-func (s *watched) read() {
-	s.less(func(w *counts.Work) counts.Work {
+// promptRead notes that the prompt waits there no longer.
+func (s *observedAttempt) promptRead() {
+	s.finish(func(w *counts.Work) counts.Work {
 		done := counts.Work{Unread: w.Unread}
 		w.Unread = 0
 		return done
 	})
 }
 
-// over notes that nothing of it is there any more.
-func (s *watched) over() {
-	s.less(func(w *counts.Work) counts.Work {
+// finished notes that nothing of it is there any more.
+func (s *observedAttempt) finished() {
+	s.finish(func(w *counts.Work) counts.Work {
 		done := *w
 		*w = counts.Work{}
 		return done
@@ -220,27 +220,27 @@
 }
 
 // Started implements router.Sink.
-func (s *watched) Started(a router.Answer) {
-	s.read()
+func (s *observedAttempt) Started(a router.Answer) {
+	s.promptRead()
 	s.observe(logic.Served)
-	s.Sink.Started(&answer{a, s})
+	s.Sink.Started(&observedAnswer{a, s})
 }
 
-// answer is one that has begun; its worker holds it until it is closed.
-type answer struct {
+// observedAnswer is one that has begun; its worker holds it until it is closed.
+type observedAnswer struct {
 	router.Answer
-	of *watched
+	attempt *observedAttempt
 }
 
 // Close implements io.Closer.
-func (a *answer) Close() error {
-	a.of.over()
+func (a *observedAnswer) Close() error {
+	a.attempt.finished()
 	return a.Answer.Close()
 }
 
 // Ended implements router.Sink. A stale connection says nothing of its worker.
-func (s *watched) Ended(o router.Outcome) {
-	s.over()
+func (s *observedAttempt) Ended(o router.Outcome) {
+	s.finished()
 	if o.Status == logic.PromptRead {
 		s.kept(float64(o.Kept))
 	}
@@ -251,13 +251,13 @@
 }
 
 // kept notes how much of the prompt was there already.
-func (s *watched) kept(tokens float64) {
+func (s *observedAttempt) kept(tokens float64) {
 	s.agent.mu.Lock()
 	s.front.part.Kept(s.prompt, tokens)
 	s.agent.mu.Unlock()
 }
 
-func (s *watched) observe(status logic.Status) {
+func (s *observedAttempt) observe(status logic.Status) {
 	fault, says := node.FaultOf(status)
 	if !says {
 		return
@@ -267,12 +267,12 @@
 	}
 	s.agent.mu.Lock()
 	s.agent.node.Observe(s.worker, int64(s.since), fault, s.agent.now())
-	s.agent.node.ZoneTried(s.front.zones.of[s.worker].zone, fault != outlier.None, s.agent.now())
+	s.agent.node.ZoneTried(s.front.zones.places[s.worker].zone, fault != outlier.None, s.agent.now())
 	s.agent.mu.Unlock()
 }
 
-// confer judges anew, and tells the cores what has come of it and of others' work.
-func (a *Agent) confer() {
+// updateWorkers judges anew, and tells the cores what has come of it and of others' work.
+func (a *Agent) updateWorkers() {
 	a.mu.Lock()
 	fronts := a.fronts
 	a.mu.Unlock()
@@ -284,16 +284,16 @@
 		lists[i] = lines(f.gate.Lines())
 	}
 	a.mu.Lock()
-	parts, told := a.node.Confer(lists, a.now())
-	parts, figures := a.spread(parts)
+	parts, loads := a.node.Confer(lists, a.now())
+	parts, figures := a.applyZones(parts)
 	a.mu.Unlock()
 	for i, f := range fronts {
 		f.gate.Set(parts)
 		if figures != nil {
 			f.core.SetZones(figures[i])
 		}
-		if told != nil {
-			for _, t := range told[i] {
+		if loads != nil {
+			for _, t := range loads[i] {
 				f.core.Told(t.Server, t.Load)
 			}
 		}
--- a/fleet/agent/zones.go
+++ b/fleet/agent/zones.go
@@ -15,13 +15,13 @@
 	"lichenshelf/router"
 )
 
-// spread is a front's part in the traffic between zones: where its workers are, and where its requests were sent. It is
+// zoneTraffic is a front's part in the traffic between zones: where its workers are, and where its requests were sent. It is
 // behind the agent's lock.
-type spread struct {
-	of      map[string]place // by worker
-	starts  router.Starts
-	usual   map[string]int // the most workers that each zone ever had
-	balance traffic.Balance
+type zoneTraffic struct {
+	places     map[string]place // by worker
+	starts     router.Starts
+	maxWorkers map[string]int // the most workers that each zone ever had
+	balance    traffic.Balance
 }
 
 type place struct {
@@ -32,47 +32,47 @@
 	ready bool
 }
 
-func (s *spread) listed(names []string, members []router.Member, whole bool, now time.Time) {
-	if s.of == nil || whole {
-		s.of = map[string]place{}
+func (s *zoneTraffic) update(names []string, members []router.Member, whole bool, now time.Time) {
+	if s.places == nil || whole {
+		s.places = map[string]place{}
 	}
 	for _, m := range members {
 		if m.Health == logic.Gone || m.Zone < 0 || m.Zone >= len(names) {
-			delete(s.of, m.Name)
+			delete(s.places, m.Name)
 			continue
 		}
-		s.of[m.Name] = place{names[m.Zone], m.Zone, m.Kind, s.starts.Began(m.Name, m.Since, m.News, now), m.Health == logic.Ready}
+		s.places[m.Name] = place{names[m.Zone], m.Zone, m.Kind, s.starts.Began(m.Name, m.Since, m.News, now), m.Health == logic.Ready}
 	}
-	if s.usual == nil {
-		s.usual = map[string]int{}
+	if s.maxWorkers == nil {
+		s.maxWorkers = map[string]int{}
 	}
 	for zone, n := range s.count() {
-		s.usual[zone] = max(s.usual[zone], n)
+		s.maxWorkers[zone] = max(s.maxWorkers[zone], n)
 	}
 }
 
-func (s *spread) count() map[string]int {
+func (s *zoneTraffic) count() map[string]int {
 	out := map[string]int{}
-	for _, p := range s.of {
+	for _, p := range s.places {
 		out[p.zone]++
 	}
 	return out
 }
 
 // sent notes where a request is read.
-func (s *spread) sent(worker string, kinds []logic.Kind, now time.Duration) {
-	if p, ok := s.of[worker]; ok && (p.kind >= len(kinds) || kinds[p.kind].Role != logic.RoleWrite) {
+func (s *zoneTraffic) sent(worker string, kinds []logic.Kind, now time.Duration) {
+	if p, ok := s.places[worker]; ok && (p.kind >= len(kinds) || kinds[p.kind].Role != logic.RoleWrite) {
 		s.balance.Sent(p.index, p.index+1, traffic.Time(now))
 	}
 }
 
-// up is the part of each zone's workers that serve, as warm as they are by the settings.
-func (s *spread) up(set logic.Settings, now time.Time) map[string]float64 {
+// serving is the part of each zone's workers that serve, as warm as they are by the settings.
+func (s *zoneTraffic) serving(set logic.Settings, now time.Time) map[string]float64 {
 	out := map[string]float64{}
-	for zone := range s.usual {
+	for zone := range s.maxWorkers {
 		out[zone] = 0
 	}
-	for _, p := range s.of {
+	for _, p := range s.places {
 		if !p.ready {
 			continue
 		}
@@ -80,14 +80,14 @@
 		if age := now.Sub(p.began); !p.began.IsZero() && set.WarmWithin > 0 && age < set.WarmWithin {
 			warm = set.ColdShare + (1-set.ColdShare)*math.Max(float64(age), 0)/float64(set.WarmWithin)
 		}
-		out[p.zone] += warm / float64(s.usual[p.zone])
+		out[p.zone] += warm / float64(s.maxWorkers[p.zone])
 	}
 	return out
 }
 
-// spread tells the node of the zones' workers, takes those of barred zones out, and gives the figures by front; nil where no
+// applyZones tells the node of the zones' workers, takes those of barred zones out, and gives the figures by front; nil where no
 // zones were set. The lock is held.
-func (a *Agent) spread(parts map[string]float64) (map[string]float64, [][]float64) {
+func (a *Agent) applyZones(parts map[string]float64) (map[string]float64, [][]float64) {
 	way, ok := a.node.ZoneWay(a.now())
 	names := way.Names
 	if !ok {
@@ -99,12 +99,12 @@
 	}
 	up, figures := map[string]float64{}, make([][]float64, len(a.fronts))
 	for i, f := range a.fronts {
-		for zone, part := range f.zones.up(f.cfg.Settings, time.Now()) {
+		for zone, part := range f.zones.serving(f.cfg.Settings, time.Now()) {
 			if was, ok := up[zone]; !ok || part < was { // a request needs all that its front needs
 				up[zone] = part
 			}
 		}
-		for worker, p := range f.zones.of {
+		for worker, p := range f.zones.places {
 			if z := slices.Index(names, p.zone); z >= 0 && way.Barred[z] {
 				parts[worker] = 0
 			}
@@ -112,16 +112,16 @@
 		if len(f.cfg.Zones) == 0 {
 			continue
 		}
-		mine, may, home := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
+		mine, may, own := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
 		for j, name := range f.cfg.Zones {
 			if z := slices.Index(names, name); z >= 0 {
 				mine[j], may[j] = way.Shares[z], way.May[z]
 				if z == way.Own {
-					home = j
+					own = j
 				}
 			}
 		}
-		figures[i] = f.zones.balance.Figures(mine, may, home, traffic.Time(a.now()))
+		figures[i] = f.zones.balance.Figures(mine, may, own, traffic.Time(a.now()))
 		for j, name := range f.cfg.Zones {
 			if !slices.Contains(names, name) {
 				figures[i][j] = 0 // the map says nothing of it: the usual cost of distance
@@ -164,7 +164,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	v, ok := a.node.ZonePage(now)
+	v, ok := a.node.ZoneView(now)
 	p := ZonesPage{Self: a.cfg.Self, Decides: v.Decides, Zones: []ZoneLine{}, Map: v.Map, AgeS: v.Age.Seconds(), Shares: v.Shares, Best: v.Best}
 	for _, s := range v.States {
 		p.Zones = append(p.Zones, ZoneLine{s.Zone, s.State.String(), s.Level, (now - time.Duration(s.Since)).Seconds(), s.Why, s.Cut})
@@ -182,13 +182,13 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.node.ZoneOut(zone, verb != "return", verb == "force", a.now())
+	return a.node.SetZoneOut(zone, verb != "return", verb == "force", a.now())
 }
 
-// dry is where traffic would go without a zone.
-func (a *Agent) dry(zone string) (*solver.Plan, bool) {
+// planWithoutZone is where traffic would go without a zone.
+func (a *Agent) planWithoutZone(zone string) (*solver.Plan, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	p, err := a.node.ZoneDry(zone)
+	p, err := a.node.PlanWithoutZone(zone)
 	return p, err == nil
 }
--- a/fleet/eventlog/archive.go
+++ b/fleet/eventlog/archive.go
@@ -19,7 +19,7 @@
 		w.mu.Unlock()
 		return
 	}
-	w.flush()
+	w.flushSends()
 	w.mu.Unlock()
 	select {
 	case w.flushes <- done:
@@ -38,14 +38,14 @@
 	}
 	t := tar.NewWriter(to)
 	for _, name := range names {
-		if err := archive(t, name); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if err := archiveSegment(t, name); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("trail: archive %s: %w", filepath.Base(name), err)
 		}
 	}
 	return t.Close()
 }
 
-func archive(t *tar.Writer, name string) error {
+func archiveSegment(t *tar.Writer, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 
 // Unpack writes the segments of an archive into dir, which it makes, most bytes in all.
 // Segments that are there already are replaced. It returns how many there were.
-func Unpack(from io.Reader, dir string, most int64) (int, error) {
+func Unpack(from io.Reader, dir string, maxBytes int64) (int, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return 0, fmt.Errorf("trail: %w", err)
 	}
@@ -80,20 +80,20 @@
 		if err != nil {
 			return n, fmt.Errorf("%w: %w", ErrArchive, err)
 		}
-		if h.Typeflag != tar.TypeReg || h.Name != filepath.Base(h.Name) || !strings.HasSuffix(h.Name, suffix) {
+		if h.Typeflag != tar.TypeReg || h.Name != filepath.Base(h.Name) || !strings.HasSuffix(h.Name, segmentSuffix) {
 			return n, fmt.Errorf("%w: %q is no segment", ErrArchive, h.Name)
 		}
-		if most -= h.Size; most < 0 {
+		if maxBytes -= h.Size; maxBytes < 0 {
 			return n, fmt.Errorf("%w: %s goes past the bytes that are allowed", ErrArchive, h.Name)
 		}
-		if err := unpack(t, filepath.Join(dir, h.Name)); err != nil {
+		if err := unpackSegment(t, filepath.Join(dir, h.Name)); err != nil {
 			return n, err
 		}
 		n++
 	}
 }
 
-func unpack(from io.Reader, path string) error {
+func unpackSegment(from io.Reader, path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("trail: %w", err)
--- a/fleet/eventlog/archive_test.go
+++ b/fleet/eventlog/archive_test.go
@@ -15,7 +15,7 @@
 // A trail that is being written is copied as it stands; what was noted before the copy is in it.
 func TestArchiveOfALivingTrail(t *testing.T) {
 	dir, other := t.TempDir(), filepath.Join(t.TempDir(), "copy")
-	w, _ := open(t, dir, 1, segments*mostRecord)
+	w, _ := open(t, dir, 1, segmentCount*maxRecordBytes)
 	for i := range 400 { // over several segments
 		w.Note(audit.Record{Kind: audit.Taken, Part: "config", Version: uint64(i + 1), Number: uint64(i + 1)})
 		w.Sent("w", 5)
--- a/fleet/eventlog/eventlog.go
+++ b/fleet/eventlog/eventlog.go
@@ -27,14 +27,14 @@
 )
 
 const (
-	headSize   = 12      // length and checksum
-	mostRecord = 4 << 10 // bytes
-	mostQueue  = 4096    // records that wait for the disk
-	mostSent   = 4096    // workers and numbers of which sends are summed up at a time
-	segments   = 8       // that the bound is divided over
-	suffix     = ".trail"
-	flushEvery = 500 * time.Millisecond
-	closeWait  = time.Second // for a disk that may not answer
+	headerSize     = 12      // length and checksum
+	maxRecordBytes = 4 << 10 // bytes
+	maxQueued      = 4096    // records that wait for the disk
+	maxSummaries   = 4096    // workers and numbers of which sends are summed up at a time
+	segmentCount   = 8       // that the bound is divided over
+	segmentSuffix  = ".trail"
+	flushEvery     = 500 * time.Millisecond
+	closeTimeout   = time.Second // for a disk that may not answer
 )
 
 // ErrNotWritten says that the last records may not be on the disk, which does not answer.
@@ -63,7 +63,7 @@
 	mu     sync.Mutex
 	seq    uint64 // counts what is lost as well, so that it shows as a gap
 	number uint64
-	sums   map[sum]*audit.Record
+	sends  map[sendKey]*audit.Record
 	closed bool
 
 	// Of the writing goroutine.
@@ -72,7 +72,7 @@
 	size int64
 }
 
-type sum struct {
+type sendKey struct {
 	worker string
 	since  int64
 	number uint64
@@ -80,27 +80,27 @@
 
 // Open begins a router's part of a trail, in a segment of its own. The directory is made.
 func Open(cfg Config) (*Writer, error) {
-	if cfg.Bytes < segments*mostRecord {
-		return nil, fmt.Errorf("trail: %d bytes are too few, %d are the least", cfg.Bytes, segments*mostRecord)
+	if cfg.Bytes < segmentCount*maxRecordBytes {
+		return nil, fmt.Errorf("trail: %d bytes are too few, %d are the least", cfg.Bytes, segmentCount*maxRecordBytes)
 	}
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("trail: %w", err)
 	}
 	w := newWriter(cfg)
-	if err := w.segment(); err != nil {
+	if err := w.newSegment(); err != nil {
 		return nil, err
 	}
-	w.begin()
+	w.startWriting()
 	return w, nil
 }
 
 func newWriter(cfg Config) *Writer {
-	return &Writer{cfg: cfg, start: time.Now(), queue: make(chan audit.Record, mostQueue), sums: map[sum]*audit.Record{},
+	return &Writer{cfg: cfg, start: time.Now(), queue: make(chan audit.Record, maxQueued), sends: map[sendKey]*audit.Record{},
 		flushes: make(chan chan struct{}), stopped: make(chan struct{})}
 }
 
-// begin starts the writing.
-func (w *Writer) begin() {
+// startWriting starts the writing.
+func (w *Writer) startWriting() {
 	go w.run()
 	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Life: w.cfg.Life, Wall: w.start.UnixMilli()})
 }
@@ -117,13 +117,13 @@
 		r.At = w.Now()
 	}
 	if r.Kind == audit.Taken {
-		w.flush() // what was sent until now rests on what was held until now
+		w.flushSends() // what was sent until now rests on what was held until now
 		w.number = r.Number
 	}
 	if r.Kind == audit.Out || r.Kind == audit.ShutOut || r.Kind == audit.Back || r.Kind == audit.Acknowledged {
-		w.flush()
+		w.flushSends()
 	}
-	w.put(r)
+	w.enqueue(r)
 }
 
 // Sent notes an attempt that goes out now. Attempts to one worker under one number are summed
@@ -131,38 +131,38 @@
 func (w *Writer) Sent(worker string, since int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k := sum{worker, since, w.number}
-	s := w.sums[k]
+	k := sendKey{worker, since, w.number}
+	s := w.sends[k]
 	now := w.Now()
 	if s == nil {
-		if len(w.sums) >= mostSent {
-			w.flush()
+		if len(w.sends) >= maxSummaries {
+			w.flushSends()
 		}
 		s = &audit.Record{Kind: audit.Sent, Worker: worker, Since: since, Number: w.number, At: now}
-		w.sums[k] = s
+		w.sends[k] = s
 	}
 	s.Count++
 	s.Until = now
 }
 
-// flush hands on what was summed up, in the order of the workers' names. The lock is held.
-func (w *Writer) flush() {
-	if len(w.sums) == 0 {
+// flushSends hands on what was summed up, in the order of the workers' names. The lock is held.
+func (w *Writer) flushSends() {
+	if len(w.sends) == 0 {
 		return
 	}
-	all := make([]*audit.Record, 0, len(w.sums))
-	for _, s := range w.sums {
+	all := make([]*audit.Record, 0, len(w.sends))
+	for _, s := range w.sends {
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b *audit.Record) int { return strings.Compare(a.Worker, b.Worker) })
 	for _, s := range all {
-		w.put(*s)
+		w.enqueue(*s)
 	}
-	clear(w.sums)
+	clear(w.sends)
 }
 
-// put queues a record. The lock is held, so that records stand in the order of their times.
-func (w *Writer) put(r audit.Record) {
+// enqueue queues a record. The lock is held, so that records stand in the order of their times.
+func (w *Writer) enqueue(r audit.Record) {
 	if w.closed {
 		return
 	}
@@ -175,21 +175,21 @@
 	}
 }
 
-// Close writes what is left and ends the trail in good order. It waits for closeWait at most, and is ErrNotWritten then.
+// Close writes what is left and ends the trail in good order. It waits for closeTimeout at most, and is ErrNotWritten then.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
 		w.mu.Unlock()
 		return nil
 	}
-	w.flush()
-	w.put(audit.Record{Kind: audit.Ended, At: w.Now()})
+	w.flushSends()
+	w.enqueue(audit.Record{Kind: audit.Ended, At: w.Now()})
 	w.closed = true
 	close(w.queue)
 	w.mu.Unlock()
 	select {
 	case <-w.stopped:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 		return ErrNotWritten
 	}
 	if w.file == nil {
@@ -211,37 +211,37 @@
 					w.write(r)
 				}
 			}
-			w.sync()
+			w.flushBuffer()
 			close(done)
 		case r, ok := <-w.queue:
 			if !ok {
-				w.sync()
+				w.flushBuffer()
 				return
 			}
 			w.write(r)
 			if r.Kind != audit.Sent && r.Kind != audit.Failed && len(w.queue) == 0 {
-				w.sync() // these are few, and a process that is killed loses what it has not handed on
+				w.flushBuffer() // these are few, and a process that is killed loses what it has not handed on
 			}
 		case <-tick.C:
 			w.mu.Lock()
 			if !w.closed {
-				w.flush()
+				w.flushSends()
 			}
 			w.mu.Unlock()
-			w.sync()
+			w.flushBuffer()
 		}
 	}
 }
 
-func (w *Writer) sync() {
+func (w *Writer) flushBuffer() {
 	if w.buf != nil {
-		w.failed(w.buf.Flush())
+		w.handleError(w.buf.Flush())
 	}
 }
 
-// failed takes note of a disk that does not take what it is given: the segment is given up,
+// handleError takes note of a disk that does not take what it is given: the segment is given up,
 // and another one is tried with the next record.
-func (w *Writer) failed(err error) {
+func (w *Writer) handleError(err error) {
 	if err == nil {
 		return
 	}
@@ -259,9 +259,9 @@
 		w.cfg.Count.Add("trail_lost", 1)
 		return
 	}
-	if w.buf == nil || w.size+int64(len(frame)) > w.cfg.Bytes/segments {
-		if err := w.segment(); err != nil {
-			w.failed(err)
+	if w.buf == nil || w.size+int64(len(frame)) > w.cfg.Bytes/segmentCount {
+		if err := w.newSegment(); err != nil {
+			w.handleError(err)
 			w.cfg.Count.Add("trail_lost", 1)
 			return
 		}
@@ -269,15 +269,15 @@
 	n, err := w.buf.Write(frame)
 	w.size += int64(n)
 	if err != nil {
-		w.failed(err)
+		w.handleError(err)
 		w.cfg.Count.Add("trail_lost", 1)
 		return
 	}
 	w.cfg.Count.Add("trail_records", 1)
 }
 
-// segment begins a segment and removes the oldest ones.
-func (w *Writer) segment() error {
+// newSegment begins a segment and removes the oldest ones.
+func (w *Writer) newSegment() error {
 	if w.buf != nil {
 		if err := w.buf.Flush(); err != nil {
 			return fmt.Errorf("trail: %w", err)
@@ -294,13 +294,13 @@
 		_, _ = fmt.Sscanf(filepath.Base(names[n-1]), "%020d", &next)
 		next++
 	}
-	for len(names) >= segments {
+	for len(names) >= segmentCount {
 		if err := os.Remove(names[0]); err != nil {
 			return fmt.Errorf("trail: %w", err)
 		}
 		names = names[1:]
 	}
-	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%020d%s", next, suffix))
+	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%020d%s", next, segmentSuffix))
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("trail: %w", err)
@@ -317,7 +317,7 @@
 	}
 	var out []string
 	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), suffix) && e.Type().IsRegular() {
+		if strings.HasSuffix(e.Name(), segmentSuffix) && e.Type().IsRegular() {
 			out = append(out, filepath.Join(dir, e.Name()))
 		}
 	}
@@ -339,15 +339,15 @@
 // Encode makes a frame of a record. Texts that are too long are cut.
 func Encode(r audit.Record) ([]byte, error) {
 	for _, s := range []*string{&r.Text, &r.Request, &r.Worker, &r.Part, &r.Router} {
-		if len(*s) > mostRecord/16 {
-			*s = strings.ToValidUTF8((*s)[:mostRecord/16], "")
+		if len(*s) > maxRecordBytes/16 {
+			*s = strings.ToValidUTF8((*s)[:maxRecordBytes/16], "")
 		}
 	}
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
-	frame := make([]byte, headSize, headSize+len(body))
+	frame := make([]byte, headerSize, headerSize+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
 	binary.BigEndian.PutUint64(frame[4:], xxh3.Hash(body))
 	return append(frame, body...), nil
@@ -356,7 +356,7 @@
 // Decode reads the next record of a segment. io.EOF is its end, between two records.
 func Decode(r io.Reader) (audit.Record, error) {
 	var rec audit.Record
-	var head [headSize]byte
+	var head [headerSize]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
 			return rec, io.EOF
@@ -364,7 +364,7 @@
 		return rec, fmt.Errorf("%w: torn after %d bytes of its head", ErrRecord, n)
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > mostRecord {
+	if size == 0 || size > maxRecordBytes {
 		return rec, fmt.Errorf("%w: %d bytes long, which none is", ErrRecord, size)
 	}
 	body := make([]byte, size)
@@ -422,10 +422,10 @@
 		return fmt.Errorf("trail: %w", err)
 	}
 	defer f.Close()
-	counted := &counting{r: bufio.NewReader(f)}
+	reader := &countingReader{r: bufio.NewReader(f)}
 	for {
-		at := counted.n
-		rec, err := Decode(counted)
+		at := reader.n
+		rec, err := Decode(reader)
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
@@ -440,13 +440,13 @@
 	}
 }
 
-// counting knows how far it has been read.
-type counting struct {
+// countingReader knows how far it has been read.
+type countingReader struct {
 	r io.Reader
 	n int64
 }
 
-func (c *counting) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.n += int64(n)
 	return n, err
--- a/fleet/eventlog/eventlog_test.go
+++ b/fleet/eventlog/eventlog_test.go
@@ -259,7 +259,7 @@
 
 	w := newWriter(Config{Dir: t.TempDir(), Router: "r", Life: 1, Bytes: 1 << 20, Count: &metrics.Set{}})
 	w.file, w.buf = writer, bufio.NewWriter(writer)
-	w.begin()
+	w.startWriting()
 	closed := make(chan error, 1)
 	go func() { closed <- w.Close() }()
 	select {
--- a/fleet/link/link.go
+++ b/fleet/link/link.go
@@ -39,13 +39,13 @@
 const Version = 1
 
 const (
-	mostFrame  = 1 << 20 // bytes of a message: the work at 4,096 workers of long names
-	mostQueue  = 64      // messages that wait for one router
-	headSize   = 8       // length and checksum
-	ack        = 0x06
-	idleFor    = time.Minute // without a frame a connection that others opened is closed
-	againLeast = 100 * time.Millisecond
-	againMost  = 3 * time.Second
+	maxFrameBytes = 1 << 20 // bytes of a message: the work at 4,096 workers of long names
+	maxQueued     = 64      // messages that wait for one router
+	headerSize    = 8       // length and checksum
+	ack           = 0x06
+	idleTimeout   = time.Minute // without a frame a connection that others opened is closed
+	minBackoff    = 100 * time.Millisecond
+	maxBackoff    = 3 * time.Second
 )
 
 // Envelope is one message between two routers.
@@ -72,42 +72,42 @@
 	cfg   Config
 	peers map[string]*peer
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool // that others opened
+	mu       sync.Mutex
+	accepted map[net.Conn]bool // that others opened
 }
 
 // peer is the way to one other router.
 type peer struct {
 	Peer
-	queue chan waiting
+	queue chan queuedFrame
 
 	mu     sync.Mutex
 	status Status
 }
 
-type waiting struct {
-	frame []byte
-	at    time.Time
+type queuedFrame struct {
+	frame    []byte
+	queuedAt time.Time
 }
 
 // Status is what is known of a link, for people.
 type Status struct {
-	Name, Addr   string
-	Connected    bool
-	Sent         int64         // frames that the other end has taken
-	Dropped      int64         // that found no connection, no room, or were too old
-	Heard        int64         // frames that came from it
-	SinceTaken   time.Duration // since it took one; -1: never
-	SinceHeard   time.Duration // since one came; -1: never
-	LastFault    string
-	taken, heard time.Time
+	Name, Addr          string
+	Connected           bool
+	Sent                int64         // frames that the other end has taken
+	Dropped             int64         // that found no connection, no room, or were too old
+	Received            int64         // frames that came from it
+	SinceAcked          time.Duration // since it took one; -1: never
+	SinceReceived       time.Duration // since one came; -1: never
+	LastFault           string
+	ackedAt, receivedAt time.Time
 }
 
 // New returns a link; Run and Serve start it.
 func New(cfg Config) *Link {
-	l := &Link{cfg: cfg, peers: map[string]*peer{}, conns: map[net.Conn]bool{}}
+	l := &Link{cfg: cfg, peers: map[string]*peer{}, accepted: map[net.Conn]bool{}}
 	for _, p := range cfg.Peers {
-		l.peers[p.Name] = &peer{Peer: p, queue: make(chan waiting, mostQueue), status: Status{Name: p.Name, Addr: p.Addr}}
+		l.peers[p.Name] = &peer{Peer: p, queue: make(chan queuedFrame, maxQueued), status: Status{Name: p.Name, Addr: p.Addr}}
 	}
 	return l
 }
@@ -137,10 +137,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode a message: %w", err)
 	}
-	if len(body) > mostFrame {
+	if len(body) > maxFrameBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, len(body))
 	}
-	frame := make([]byte, headSize, headSize+len(body))
+	frame := make([]byte, headerSize, headerSize+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
 	binary.BigEndian.PutUint32(frame[4:], crc32.Checksum(body, castagnoli))
 	return append(frame, body...), nil
@@ -156,12 +156,12 @@
 // Decode reads the next message.
 func Decode(r io.Reader) (Envelope, error) {
 	var e Envelope
-	var head [headSize]byte
+	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return e, fmt.Errorf("read a frame: %w", err)
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > mostFrame {
+	if size == 0 || size > maxFrameBytes {
 		return e, fmt.Errorf("%w: %d bytes", ErrFrame, size)
 	}
 	// Memory is taken as bytes arrive, not as a head promises.
@@ -195,22 +195,22 @@
 	}
 	frame, err := Encode(e)
 	if err != nil {
-		p.note(func(s *Status) { s.Dropped++; s.LastFault = err.Error() })
+		p.update(func(s *Status) { s.Dropped++; s.LastFault = err.Error() })
 		return
 	}
 	select {
-	case p.queue <- waiting{frame, time.Now()}:
+	case p.queue <- queuedFrame{frame, time.Now()}:
 	default:
-		l.dropped(p, 1)
+		l.countDropped(p, 1)
 	}
 }
 
-func (l *Link) dropped(p *peer, n int64) {
-	p.note(func(s *Status) { s.Dropped += n })
+func (l *Link) countDropped(p *peer, n int64) {
+	p.update(func(s *Status) { s.Dropped += n })
 	l.cfg.Counters.Add("fleet_messages_dropped", n)
 }
 
-func (p *peer) note(f func(*Status)) {
+func (p *peer) update(f func(*Status)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.status)
@@ -220,17 +220,17 @@
 func (l *Link) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, p := range l.peers {
-		all.Go(func() { l.feed(ctx, p) })
+		all.Go(func() { l.sendLoop(ctx, p) })
 	}
 	all.Wait()
 }
 
-// feed keeps a connection to one router while there is something to send.
-func (l *Link) feed(ctx context.Context, p *peer) {
+// sendLoop keeps a connection to one router while there is something to send.
+func (l *Link) sendLoop(ctx context.Context, p *peer) {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, uint64(crc32.ChecksumIEEE([]byte(p.Name)))))
-	again := backoff.NewExponentialBackOff()
-	again.InitialInterval, again.MaxInterval, again.Multiplier, again.RandomizationFactor = againLeast, againMost, 2, 0
-	again.Reset()
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval, retry.Multiplier, retry.RandomizationFactor = minBackoff, maxBackoff, 2, 0
+	retry.Reset()
 	var conn net.Conn
 	defer func() {
 		if conn != nil {
@@ -239,14 +239,14 @@
 	}()
 	var notBefore time.Time
 	for {
-		var w waiting
+		var w queuedFrame
 		select {
 		case <-ctx.Done():
 			return
 		case w = <-p.queue:
 		}
-		if time.Since(w.at) > l.cfg.StaleAfter || conn == nil && time.Now().Before(notBefore) {
-			l.dropped(p, 1)
+		if time.Since(w.queuedAt) > l.cfg.StaleAfter || conn == nil && time.Now().Before(notBefore) {
+			l.countDropped(p, 1)
 			continue
 		}
 		var err error
@@ -255,11 +255,11 @@
 			conn, err = dialer.DialContext(ctx, "tcp4", p.Addr)
 		}
 		if err == nil {
-			err = l.hand(conn, w.frame)
+			err = l.sendFrame(conn, w.frame)
 		}
 		if err == nil {
-			again.Reset()
-			p.note(func(s *Status) { s.Connected, s.LastFault, s.taken = true, "", time.Now(); s.Sent++ })
+			retry.Reset()
+			p.update(func(s *Status) { s.Connected, s.LastFault, s.ackedAt = true, "", time.Now(); s.Sent++ })
 			l.cfg.Counters.Add("fleet_messages_sent", 1)
 			continue
 		}
@@ -267,17 +267,17 @@
 			_ = conn.Close()
 			conn = nil
 		}
-		wait := again.NextBackOff()
+		wait := retry.NextBackOff()
 		notBefore = time.Now().Add(wait/2 + time.Duration(rng.Int64N(int64(wait/2)+1)))
-		l.dropped(p, 1)
+		l.countDropped(p, 1)
 		if ctx.Err() == nil {
-			l.changed(p, err)
+			l.linkLost(p, err)
 		}
 	}
 }
 
-// changed logs a link that was lost, once.
-func (l *Link) changed(p *peer, err error) {
+// linkLost logs a link that was lost, once.
+func (l *Link) linkLost(p *peer, err error) {
 	p.mu.Lock()
 	first := p.status.Connected || p.status.LastFault == ""
 	p.status.Connected, p.status.LastFault = false, err.Error()
@@ -287,8 +287,8 @@
 	}
 }
 
-// hand writes a frame and waits until the other end has taken it.
-func (l *Link) hand(conn net.Conn, frame []byte) error {
+// sendFrame writes a frame and waits until the other end has taken it.
+func (l *Link) sendFrame(conn net.Conn, frame []byte) error {
 	if err := conn.SetDeadline(time.Now().Add(l.cfg.Timeout)); err != nil {
 		return fmt.Errorf("send a frame: %w", err)
 	}
@@ -307,10 +307,10 @@
 
 // Serve takes others' connections until the listener is closed.
 func (l *Link) Serve(listener net.Listener) error {
-	most := 2*len(l.peers) + 8
-	open := accepting.Resilient(listener, func(error) { l.cfg.Counters.Add("accepts_failed", 1) })
+	maxConns := 2*len(l.peers) + 8
+	accepter := accepting.Resilient(listener, func(error) { l.cfg.Counters.Add("accepts_failed", 1) })
 	for {
-		c, err := open.Accept()
+		c, err := accepter.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -318,9 +318,9 @@
 			return fmt.Errorf("accept a router: %w", err)
 		}
 		l.mu.Lock()
-		full := len(l.conns) >= most
+		full := len(l.accepted) >= maxConns
 		if !full {
-			l.conns[c] = true
+			l.accepted[c] = true
 		}
 		l.mu.Unlock()
 		if full {
@@ -328,7 +328,7 @@
 			_ = c.Close()
 			continue
 		}
-		go l.hear(c)
+		go l.receiveLoop(c)
 	}
 }
 
@@ -336,21 +336,21 @@
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.conns {
+	for c := range l.accepted {
 		_ = c.Close()
 	}
 }
 
-func (l *Link) hear(c net.Conn) {
+func (l *Link) receiveLoop(c net.Conn) {
 	defer func() {
 		_ = c.Close()
 		l.mu.Lock()
-		delete(l.conns, c)
+		delete(l.accepted, c)
 		l.mu.Unlock()
 	}()
 	br := bufio.NewReader(c)
 	for {
-		if err := c.SetReadDeadline(time.Now().Add(idleFor)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
 		if _, err := br.Peek(1); err != nil {
@@ -362,16 +362,16 @@
 		}
 		e, err := Decode(br)
 		if err != nil && !errors.Is(err, ErrMessage) {
-			l.refused(c, err)
+			l.logRefused(c, err)
 			return
 		}
 		if err == nil {
 			err = l.check(&e)
 		}
 		if err != nil {
-			l.refused(c, err)
+			l.logRefused(c, err)
 		} else {
-			l.peers[e.From].note(func(s *Status) { s.Heard++; s.heard = time.Now() })
+			l.peers[e.From].update(func(s *Status) { s.Received++; s.receivedAt = time.Now() })
 			l.cfg.Counters.Add("fleet_messages_heard", 1)
 			l.cfg.Receive(e)
 		}
@@ -394,11 +394,11 @@
 	case l.peers[e.From] == nil:
 		return fmt.Errorf("%w: from the unknown router %.40q", ErrMessage, e.From)
 	}
-	e.Spoken()
+	e.DropForged()
 	return nil
 }
 
-func (l *Link) refused(c net.Conn, err error) {
+func (l *Link) logRefused(c net.Conn, err error) {
 	l.cfg.Counters.Add("fleet_messages_refused", 1)
 	l.cfg.Log.WithError(err).WithField("from", c.RemoteAddr().String()).Debug("fleet message refused")
 }
@@ -410,7 +410,7 @@
 		p.mu.Lock()
 		s := p.status
 		p.mu.Unlock()
-		s.SinceTaken, s.SinceHeard = since(s.taken), since(s.heard)
+		s.SinceAcked, s.SinceReceived = since(s.ackedAt), since(s.receivedAt)
 		out = append(out, s)
 	}
 	slices.SortFunc(out, func(a, b Status) int { return strings.Compare(a.Name, b.Name) })
--- a/fleet/link/link_test.go
+++ b/fleet/link/link_test.go
@@ -56,7 +56,7 @@
 
 // framed puts any text into a frame whose head fits.
 func framed(t *testing.T, body []byte) []byte {
-	head := make([]byte, headSize)
+	head := make([]byte, headerSize)
 	binary.BigEndian.PutUint32(head, uint32(len(body)))
 	binary.BigEndian.PutUint32(head[4:], crc32.Checksum(body, castagnoli))
 	return append(head, body...)
@@ -82,7 +82,7 @@
 		"head cut":          {good[:5], io.ErrUnexpectedEOF},
 		"body cut":          {good[:len(good)-3], io.ErrUnexpectedEOF},
 		"one bit off":       {flip, ErrFrame},
-		"no size":           {make([]byte, headSize), ErrFrame},
+		"no size":           {make([]byte, headerSize), ErrFrame},
 		"3 GB announced":    {[]byte{0xc0, 0, 0, 0, 1, 2, 3, 4}, ErrFrame},
 		"no CBOR":           {framed(t, []byte("GET / HTTP/1.1")), ErrMessage},
 		"another shape":     {as([]int{1, 2}), ErrMessage},
@@ -99,7 +99,7 @@
 			require.ErrorIs(t, err, tc.want, name)
 		}
 	}
-	_, err = Encode(Envelope{Fleet: strings.Repeat("x", mostFrame)})
+	_, err = Encode(Envelope{Fleet: strings.Repeat("x", maxFrameBytes)})
 	require.ErrorIs(t, err, ErrFrame)
 }
 
--- a/fleet/members/members.go
+++ b/fleet/members/members.go
@@ -32,39 +32,39 @@
 
 // The states of a router.
 const (
-	Unheard  State = iota // nothing has come of it since this process started
-	Alive                 // a newer beat came lately
-	Doubtful              // none came for a while
-	Silent                // others agree
-	Gone                  // it said that it leaves
+	Unknown State = iota // nothing has come of it since this process started
+	Alive                // a newer beat came lately
+	Suspect              // none came for a while
+	Silent               // others agree
+	Left                 // it said that it leaves
 )
 
 // String implements fmt.Stringer.
 func (s State) String() string {
-	return [...]string{"unheard", "alive", "doubtful", "silent", "gone"}[min(s, Gone)]
+	return [...]string{"unheard", "alive", "doubtful", "silent", "gone"}[min(s, Left)]
 }
 
 // Config says who the routers are and how soon they are missed.
 type Config struct {
-	Self      string
-	Routers   []string // all, Self among them
-	Life      uint64   // incarnation: grows with each start under this name
-	Period    time.Duration
-	Fanout    int           // routers told in a period
-	Digest    int           // beats in a message, the sender's own among them
-	DoubtFor  time.Duration // without a newer beat a router is doubtful; Patience gives a value
-	Observers int           // others that must doubt a router before it is silent
+	Self         string
+	Routers      []string // all, Self among them
+	Incarnation  uint64   // incarnation: grows with each start under this name
+	Period       time.Duration
+	Fanout       int           // routers told in a period
+	Digest       int           // beats in a message, the sender's own among them
+	SuspectAfter time.Duration // without a newer beat a router is doubtful; Patience gives a value
+	Observers    int           // others that must doubt a router before it is silent
 }
 
-// mostCount bounds lives and beats: what is past it could not be refuted.
-const mostCount = 1 << 62
+// maxCount bounds lives and beats: what is past it could not be refuted.
+const maxCount = 1 << 62
 
 // ErrConfig is what a faulty Config wraps.
 var ErrConfig = errors.New("members")
 
-// Patience is a DoubtFor that fits: beats come by way of others, and each message
+// SuspicionTimeout is a SuspectAfter that fits: beats come by way of others, and each message
 // holds only so many of them, so news of one router takes the longer the more there are.
-func Patience(routers int, period time.Duration, fanout, digest int) time.Duration {
+func SuspicionTimeout(routers int, period time.Duration, fanout, digest int) time.Duration {
 	rounds := 8 + 12*float64(routers)/float64(max(1, fanout*digest))
 	return time.Duration(rounds * float64(period))
 }
@@ -80,8 +80,8 @@
 	switch {
 	case !seen[c.Self]:
 		return fmt.Errorf("%w: self is %q, none of the routers", ErrConfig, c.Self)
-	case c.Period <= 0 || c.DoubtFor < c.Period:
-		return fmt.Errorf("%w: period is %v and doubt_for %v, not over 0 and no shorter", ErrConfig, c.Period, c.DoubtFor)
+	case c.Period <= 0 || c.SuspectAfter < c.Period:
+		return fmt.Errorf("%w: period is %v and doubt_for %v, not over 0 and no shorter", ErrConfig, c.Period, c.SuspectAfter)
 	case c.Fanout < 1 || c.Digest < 1:
 		return fmt.Errorf("%w: fanout is %d and digest %d, not 1 or more", ErrConfig, c.Fanout, c.Digest)
 	case c.Observers < 0:
@@ -108,28 +108,28 @@
 
 // View is what one router thinks of the others.
 type View struct {
-	cfg    Config
-	rng    *rand.Rand
-	self   Beat
-	last   Time // when the own beat was counted last
-	began  Time
-	fenced bool
-	others []*other
-	byName map[string]*other
-	next   int // whose beat is told next
+	cfg          Config
+	rng          *rand.Rand
+	self         Beat
+	countedAt    Time // when the own beat was counted last
+	startedAt    Time
+	fenced       bool
+	peers        []*peer
+	byName       map[string]*peer
+	nextInDigest int // whose beat is told next
 }
 
-type other struct {
+type peer struct {
 	Beat
-	heard  bool
-	grew   Time // when its beat grew here
-	doubts []doubt
+	known      bool
+	updatedAt  Time // when its beat grew here
+	suspicions []suspicion
 }
 
-type doubt struct {
-	by          string
-	life, count uint64
-	at          Time
+type suspicion struct {
+	by                string
+	incarnation, beat uint64
+	at                Time
 }
 
 // New returns a view in which nobody has been heard.
@@ -137,12 +137,12 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	v := &View{cfg: cfg, rng: rng, began: now, last: now - Time(cfg.Period), byName: map[string]*other{},
-		self: Beat{Name: cfg.Self, Life: cfg.Life}}
+	v := &View{cfg: cfg, rng: rng, startedAt: now, countedAt: now - Time(cfg.Period), byName: map[string]*peer{},
+		self: Beat{Name: cfg.Self, Life: cfg.Incarnation}}
 	for _, name := range slices.Sorted(slices.Values(cfg.Routers)) {
 		if name != cfg.Self {
-			o := &other{Beat: Beat{Name: name}, grew: now}
-			v.others = append(v.others, o)
+			o := &peer{Beat: Beat{Name: name}, updatedAt: now}
+			v.peers = append(v.peers, o)
 			v.byName[name] = o
 		}
 	}
@@ -158,17 +158,17 @@
 // Tick returns the messages that are due: once a period, to routers drawn at random.
 // Silent ones are among them, or a healed link would never be noticed.
 func (v *View) Tick(now Time) []Message {
-	if v.fenced || now-v.last < Time(v.cfg.Period) {
+	if v.fenced || now-v.countedAt < Time(v.cfg.Period) {
 		return nil
 	}
-	v.last = now
+	v.countedAt = now
 	v.self.Count++
 	var out []Message
-	for _, i := range v.rng.Perm(len(v.others)) {
+	for _, i := range v.rng.Perm(len(v.peers)) {
 		if len(out) == v.cfg.Fanout {
 			break
 		}
-		out = append(out, Message{From: v.cfg.Self, To: v.others[i].Name, Beats: v.digest(now)})
+		out = append(out, Message{From: v.cfg.Self, To: v.peers[i].Name, Beats: v.digest(now)})
 	}
 	return out
 }
@@ -176,23 +176,23 @@
 // digest is the own beat and the next ones of the others in turn.
 func (v *View) digest(now Time) []Beat {
 	out := []Beat{v.self}
-	for range v.others {
+	for range v.peers {
 		if len(out) >= v.cfg.Digest {
 			break
 		}
-		o := v.others[v.next%len(v.others)]
-		v.next++
-		if o.heard {
+		o := v.peers[v.nextInDigest%len(v.peers)]
+		v.nextInDigest++
+		if o.known {
 			b := o.Beat
-			b.Doubt = v.doubted(o, now) && !v.Deaf(now)
+			b.Doubt = v.overdue(o, now) && !v.Isolated(now)
 			out = append(out, b)
 		}
 	}
 	return out
 }
 
-func (v *View) doubted(o *other, now Time) bool {
-	return !o.Left && now-o.grew >= Time(v.cfg.DoubtFor)
+func (v *View) overdue(o *peer, now Time) bool {
+	return !o.Left && now-o.updatedAt >= Time(v.cfg.SuspectAfter)
 }
 
 // Receive takes a message. Beats of strangers are passed over, and so is a message
@@ -203,37 +203,37 @@
 	}
 	for _, b := range m.Beats {
 		if b.Name == v.cfg.Self {
-			v.namesake(b, now)
+			v.receiveOwnName(b, now)
 			continue
 		}
 		o := v.byName[b.Name]
-		if o == nil || b.Life > mostCount || b.Count > mostCount {
+		if o == nil || b.Life > maxCount || b.Count > maxCount {
 			continue
 		}
 		newer := b.Life > o.Life || b.Life == o.Life && b.Count > o.Count
 		if newer || b.Life == o.Life && b.Left && !o.Left {
 			o.Life, o.Count, o.Left = b.Life, b.Count, b.Left
-			o.heard, o.grew = true, now
-			o.doubts = slices.DeleteFunc(o.doubts, func(d doubt) bool {
-				return d.life < o.Life || d.life == o.Life && d.count < o.Count
+			o.known, o.updatedAt = true, now
+			o.suspicions = slices.DeleteFunc(o.suspicions, func(d suspicion) bool {
+				return d.incarnation < o.Life || d.incarnation == o.Life && d.beat < o.Count
 			})
 		}
-		o.doubts = slices.DeleteFunc(o.doubts, func(d doubt) bool { return d.by == m.From })
+		o.suspicions = slices.DeleteFunc(o.suspicions, func(d suspicion) bool { return d.by == m.From })
 		// A doubt of an older beat than is known here is refuted already.
 		if b.Doubt && b.Name != m.From && b.Life == o.Life && b.Count == o.Count {
-			o.doubts = append(o.doubts, doubt{m.From, b.Life, b.Count, now})
+			o.suspicions = append(o.suspicions, suspicion{m.From, b.Life, b.Count, now})
 		}
 	}
 }
 
-// namesake looks at a beat under the own name that this process never had. One of its
+// receiveOwnName looks at a beat under the own name that this process never had. One of its
 // own life is nonsense of somebody's, and is refuted by a newer one. A newer life is
 // another process's, and the later started of the two goes on: a process that has only
 // just started, on a clock that is behind, takes a life past the one that it hears of.
-func (v *View) namesake(b Beat, now Time) {
+func (v *View) receiveOwnName(b Beat, now Time) {
 	switch {
-	case b.Life > mostCount || b.Count > mostCount:
-	case b.Life > v.self.Life && now-v.began < Time(v.cfg.DoubtFor):
+	case b.Life > maxCount || b.Count > maxCount:
+	case b.Life > v.self.Life && now-v.startedAt < Time(v.cfg.SuspectAfter):
 		v.self.Life = b.Life + 1
 	case b.Life > v.self.Life:
 		v.fenced = true
@@ -245,22 +245,22 @@
 // Renew goes on under the next life.
 func (v *View) Renew() { v.self.Life++ }
 
-// Life is the own incarnation. It can only grow, soon after the start and by Renew.
-func (v *View) Life() uint64 { return v.self.Life }
+// Incarnation is the own incarnation. It can only grow, soon after the start and by Renew.
+func (v *View) Incarnation() uint64 { return v.self.Life }
 
-// Deaf tells whether this router hears so few others that it must doubt itself first.
-func (v *View) Deaf(now Time) bool {
-	there, heard := 0, 0
-	for _, o := range v.others {
+// Isolated tells whether this router hears so few others that it must doubt itself first.
+func (v *View) Isolated(now Time) bool {
+	present, reachable := 0, 0
+	for _, o := range v.peers {
 		if o.Left {
 			continue
 		}
-		there++
-		if o.heard && !v.doubted(o, now) {
-			heard++
+		present++
+		if o.known && !v.overdue(o, now) {
+			reachable++
 		}
 	}
-	return 2*heard < there
+	return 2*reachable < present
 }
 
 // State is what is thought of a router by now.
@@ -270,49 +270,49 @@
 	case name == v.cfg.Self && !v.fenced:
 		return Alive
 	case o == nil || o.Left:
-		return Gone
-	case !o.heard:
-		return Unheard
-	case !v.doubted(o, now):
+		return Left
+	case !o.known:
+		return Unknown
+	case !v.overdue(o, now):
 		return Alive
-	case v.agreed(o, now) && !v.Deaf(now):
+	case v.confirmed(o, now) && !v.Isolated(now):
 		return Silent
 	}
-	return Doubtful
+	return Suspect
 }
 
-// agreed tells whether enough others doubt a router, all that are heard if there are
+// confirmed tells whether enough others doubt a router, all that are heard if there are
 // no more.
-func (v *View) agreed(o *other, now Time) bool {
-	n, heard := 0, 0
-	for _, d := range o.doubts {
-		if now-d.at < Time(2*v.cfg.DoubtFor) {
-			n++
+func (v *View) confirmed(o *peer, now Time) bool {
+	suspecting, reachable := 0, 0
+	for _, d := range o.suspicions {
+		if now-d.at < Time(2*v.cfg.SuspectAfter) {
+			suspecting++
 		}
 	}
-	for _, x := range v.others {
-		if x != o && x.heard && !x.Left && !v.doubted(x, now) {
-			heard++
+	for _, x := range v.peers {
+		if x != o && x.known && !x.Left && !v.overdue(x, now) {
+			reachable++
 		}
 	}
-	return n >= min(v.cfg.Observers, heard)
+	return suspecting >= min(v.cfg.Observers, reachable)
 }
 
 // Router is what is known of one, for people.
 type Router struct {
-	Name  string
-	State State
-	Life  uint64
-	Beats uint64
-	Age   time.Duration // since its beat grew here
-	Doubt int           // others that doubt it
+	Name        string
+	State       State
+	Incarnation uint64
+	Beats       uint64
+	Age         time.Duration // since its beat grew here
+	Suspicions  int           // others that doubt it
 }
 
 // Routers tells of all the others, by name.
 func (v *View) Routers(now Time) []Router {
-	out := make([]Router, 0, len(v.others))
-	for _, o := range v.others {
-		out = append(out, Router{o.Name, v.State(o.Name, now), o.Life, o.Count, time.Duration(now - o.grew), len(o.doubts)})
+	out := make([]Router, 0, len(v.peers))
+	for _, o := range v.peers {
+		out = append(out, Router{o.Name, v.State(o.Name, now), o.Life, o.Count, time.Duration(now - o.updatedAt), len(o.suspicions)})
 	}
 	return out
 }
--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -41,8 +41,8 @@
 	for j := range n {
 		all = append(all, name(j))
 	}
-	v, err := New(Config{Self: name(i), Routers: all, Life: life, Period: period, Fanout: 2, Digest: 32,
-		DoubtFor: Patience(n, period, 2, 32), Observers: 2}, rand.New(rand.NewPCG(uint64(i), life)), Time(f.now))
+	v, err := New(Config{Self: name(i), Routers: all, Incarnation: life, Period: period, Fanout: 2, Digest: 32,
+		SuspectAfter: SuspicionTimeout(n, period, 2, 32), Observers: 2}, rand.New(rand.NewPCG(uint64(i), life)), Time(f.now))
 	require.NoError(t, err)
 	return v
 }
@@ -90,7 +90,7 @@
 	for _, n := range []int{3, 8, 80, 200} {
 		f := newFleet(t, n, 1)
 		f.loss = 0.1
-		wait := Patience(n, period, 2, 32)
+		wait := SuspicionTimeout(n, period, 2, 32)
 		f.run(2 * wait)
 		f.sent, f.beats = 0, 0
 		f.run(20 * time.Second)
@@ -127,9 +127,9 @@
 	f.cut = func(from, to string) bool { return to == name(0) }
 	f.run(time.Minute)
 	deaf := f.views[0]
-	require.True(t, deaf.Deaf(Time(f.now)))
+	require.True(t, deaf.Isolated(Time(f.now)))
 	for i := 1; i < 5; i++ {
-		require.Equal(t, Doubtful, deaf.State(name(i), Time(f.now)))
+		require.Equal(t, Suspect, deaf.State(name(i), Time(f.now)))
 		require.Equal(t, map[State]int{Alive: 4}[Alive]-1, f.states(i)[Alive], "its doubts count for nobody")
 	}
 	require.Equal(t, map[State]int{Alive: 4}, f.states(0), "it is still heard")
@@ -155,9 +155,9 @@
 	}
 	f.cut = func(from, to string) bool { return side(from) != side(to) }
 	f.run(time.Minute)
-	require.True(t, f.views[0].Deaf(Time(f.now)))
-	require.False(t, f.views[4].Deaf(Time(f.now)))
-	require.Equal(t, Doubtful, f.views[0].State(name(4), Time(f.now)))
+	require.True(t, f.views[0].Isolated(Time(f.now)))
+	require.False(t, f.views[4].Isolated(Time(f.now)))
+	require.Equal(t, Suspect, f.views[0].State(name(4), Time(f.now)))
 	require.Equal(t, Silent, f.views[4].State(name(0), Time(f.now)))
 	f.cut = func(string, string) bool { return false }
 	f.run(10 * time.Second)
@@ -177,7 +177,7 @@
 	require.Equal(t, Alive, f.views[0].State(name(2), Time(f.now)))
 	f.views[4].Leave()
 	f.run(5 * time.Second)
-	require.Equal(t, Gone, f.views[0].State(name(2), Time(f.now)))
+	require.Equal(t, Left, f.views[0].State(name(2), Time(f.now)))
 }
 
 // A process that starts on a clock that is an hour behind goes past the life that it hears of, and the one it replaces
@@ -192,7 +192,7 @@
 	f.run(5 * time.Second)
 	require.True(t, f.views[2].Fenced())
 	require.False(t, f.views[4].Fenced())
-	require.EqualValues(t, 1001, f.views[4].Life())
+	require.EqualValues(t, 1001, f.views[4].Incarnation())
 }
 
 // Whatever comes, states follow: nobody is silent without the stated number of others, a newer beat always refutes, and a
@@ -218,10 +218,10 @@
 }
 
 func TestFaultyConfig(t *testing.T) {
-	good := Config{Self: "a", Routers: []string{"a", "b"}, Period: time.Second, DoubtFor: time.Second, Fanout: 1, Digest: 1}
+	good := Config{Self: "a", Routers: []string{"a", "b"}, Period: time.Second, SuspectAfter: time.Second, Fanout: 1, Digest: 1}
 	for want, spoil := range map[string]func(*Config){
 		`self is "x"`: func(c *Config) { c.Self = "x" }, `hold "a"`: func(c *Config) { c.Routers = []string{"a", "a"} },
-		"period is 0s": func(c *Config) { c.Period = 0 }, "doubt_for 1ms": func(c *Config) { c.DoubtFor = time.Millisecond },
+		"period is 0s": func(c *Config) { c.Period = 0 }, "doubt_for 1ms": func(c *Config) { c.SuspectAfter = time.Millisecond },
 		"fanout is 0": func(c *Config) { c.Fanout = 0 }, "digest 0": func(c *Config) { c.Digest = 0 },
 		"observers is -1": func(c *Config) { c.Observers = -1 },
 	} {
--- a/fleet/node/config_texts.go
+++ b/fleet/node/config_texts.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// A router that lies behind and can't ask the store has the text of a version, such as a published configuration, from
-// another router. Which text belongs to a version is the store's word: routers tell the checksums of those texts alone that
-// the store itself gave them, and a text is taken where as many of them say the same as it takes to call a version newest.
+// A router that lags and can't reach the store gets the text of a version, such as a published
+// configuration, from another router. Only the store decides which text belongs to a version:
+// routers send checksums only of texts that they read from the store, and a text is accepted
+// if as many routers report its checksum as are needed to call a version the newest.
 
-// Sum is the checksum of a version's text, as the store gave it to the sender.
-type Sum struct {
+// Checksum is the checksum of a version's text, as the sender read it from the store.
+type Checksum struct {
 	Version uint64 `cbor:"1,keyasint"`
 	SHA256  []byte `cbor:"2,keyasint"`
 }
 
-// Wanted asks for a version of a part's text.
-type Wanted struct {
+// TextRequest requests a version of a part's text.
+type TextRequest struct {
 	Part    string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
@@ -32,130 +33,136 @@
 }
 
 const (
-	// textEvery is how long a router that has given a text gives none, and one that has asked for one does not ask another:
-	// many that are behind at once must not take up those that are not.
-	textEvery = 250 * time.Millisecond
-	// mostText is as much as the store takes, in bytes.
-	mostText = 256 << 10
+	// textPeriod is the minimum time between two texts that a router sends, and between two
+	// requests for texts: many routers that lag at once must not overload those that don't.
+	textPeriod = 250 * time.Millisecond
+	// maxTextBytes is the store's limit on a text.
+	maxTextBytes = 256 << 10
 )
 
-// texts is a node's part in giving texts and having them.
+// texts is a node's state for sending and requesting texts.
 type texts struct {
-	own    map[string]Text            // of the store
-	sums   map[string]Sum             // of own
-	said   map[string]map[string]Sum  // by other router
-	wanted map[string]uint64          // by part: a version above this one
-	wrong  map[string]map[string]bool // by part and router: it gave what its sum does not fit
-	asked  Time
-	gave   Time
-	got    []Text
+	own           map[string]Text                // read from the store, by part
+	checksums     map[string]Checksum            // of own
+	peerChecksums map[string]map[string]Checksum // by router and part
+	wanted        map[string]uint64              // by part: a later version than this is wanted
+	// mismatched holds, by part, the routers whose text did not match the checksum.
+	mismatched  map[string]map[string]bool
+	requestedAt Time
+	answeredAt  Time
+	received    []Text
 }
 
 func newTexts() texts {
-	return texts{own: map[string]Text{}, sums: map[string]Sum{}, said: map[string]map[string]Sum{}, wanted: map[string]uint64{}, wrong: map[string]map[string]bool{}}
+	return texts{own: map[string]Text{}, checksums: map[string]Checksum{}, peerChecksums: map[string]map[string]Checksum{}, wanted: map[string]uint64{}, mismatched: map[string]map[string]bool{}}
 }
 
-// SetText takes a version's text as the store gave it. Others may have it from this router then.
+// SetText sets a version's text, as read from the store. Other routers may request it from then
+// on.
 func (n *Node) SetText(t Text) {
-	if t.Version > n.texts.own[t.Part].Version && len(t.Text) <= mostText {
+	if t.Version > n.texts.own[t.Part].Version && len(t.Text) <= maxTextBytes {
 		sum := sha256.Sum256([]byte(t.Text))
 		n.texts.own[t.Part] = t
-		n.texts.sums = maps.Clone(n.texts.sums) // the one before may be on its way
-		n.texts.sums[t.Part] = Sum{t.Version, sum[:]}
+		// A message that is not yet sent may hold the previous map.
+		n.texts.checksums = maps.Clone(n.texts.checksums)
+		n.texts.checksums[t.Part] = Checksum{t.Version, sum[:]}
 		if held, wanted := n.texts.wanted[t.Part]; wanted && t.Version > held {
 			delete(n.texts.wanted, t.Part)
 		}
 	}
 }
 
-// WantText has others asked for a part's text of a later version than this router has, until one has come.
-func (n *Node) WantText(part string, held uint64) { n.texts.wanted[part] = held }
+// RequestText requests a part's text of a later version than held from other routers, until one
+// is received.
+func (n *Node) RequestText(part string, held uint64) { n.texts.wanted[part] = held }
 
-// Texts returns the texts that have come since it was asked last.
+// Texts returns the texts received since the previous call.
 func (n *Node) Texts() []Text {
-	out := n.texts.got
-	n.texts.got = nil
+	out := n.texts.received
+	n.texts.received = nil
 	return out
 }
 
-func (x *texts) hear(from string, sums map[string]Sum) {
-	if len(sums) > mostParts {
+func (x *texts) receiveChecksums(from string, sums map[string]Checksum) {
+	if len(sums) > maxParts {
 		return
 	}
 	for part, s := range sums {
-		if len(part) > mostPart || len(s.SHA256) != sha256.Size {
+		if len(part) > maxPartName || len(s.SHA256) != sha256.Size {
 			return
 		}
 	}
-	x.said[from] = sums
+	x.peerChecksums[from] = sums
 }
 
-// vouched is the latest version of a part, above one, whose checksum so many routers say alike, and who they are.
-func (x *texts) vouched(part string, above uint64, need int) (sum Sum, by []string) {
-	names := slices.Sorted(maps.Keys(x.said))
+// agreed returns the latest version of a part, above the given one, for which at least need
+// routers report the same checksum, and those routers.
+func (x *texts) agreed(part string, above uint64, need int) (sum Checksum, by []string) {
+	names := slices.Sorted(maps.Keys(x.peerChecksums))
 	for _, name := range names {
-		s := x.said[name][part]
+		s := x.peerChecksums[name][part]
 		if s.Version <= max(above, sum.Version) {
 			continue
 		}
-		var alike []string
+		var matching []string
 		for _, other := range names {
-			if t := x.said[other][part]; t.Version == s.Version && bytes.Equal(t.SHA256, s.SHA256) {
-				alike = append(alike, other)
+			if t := x.peerChecksums[other][part]; t.Version == s.Version && bytes.Equal(t.SHA256, s.SHA256) {
+				matching = append(matching, other)
 			}
 		}
-		if len(alike) >= need {
-			sum, by = s, alike
+		if len(matching) >= need {
+			sum, by = s, matching
 		}
 	}
 	return sum, by
 }
 
-// askForTexts asks one router that has it for each text that is wanted, in the message that goes to it.
-func (n *Node) askForTexts(now Time, to func(name string) *Envelope) {
+// requestTexts adds, for each wanted text, a request to the message for one router that has it.
+func (n *Node) requestTexts(now Time, to func(name string) *Envelope) {
 	x := &n.texts
-	if len(x.wanted) == 0 || x.asked != 0 && now-x.asked < textEvery {
+	if len(x.wanted) == 0 || x.requestedAt != 0 && now-x.requestedAt < textPeriod {
 		return
 	}
-	x.asked = now
+	x.requestedAt = now
 	for _, part := range slices.Sorted(maps.Keys(x.wanted)) {
-		sum, by := x.vouched(part, x.wanted[part], n.observers())
-		by = slices.DeleteFunc(by, func(name string) bool { return x.wrong[part][name] })
+		sum, by := x.agreed(part, x.wanted[part], n.requiredObservers())
+		by = slices.DeleteFunc(by, func(name string) bool { return x.mismatched[part][name] })
 		if len(by) == 0 {
-			delete(x.wrong, part) // all were: begin anew
+			delete(x.mismatched, part) // all mismatched: try all of them again
 			continue
 		}
-		to(by[n.rng.IntN(len(by))]).Wanted = &Wanted{part, sum.Version}
+		to(by[n.rng.IntN(len(by))]).TextRequest = &TextRequest{part, sum.Version}
 	}
 }
 
-// giveText answers a router that wants a text, if this one has it, and has given none for a while.
-func (n *Node) giveText(w *Wanted, now Time) *Text {
+// answerText returns the requested text if this router has it and has sent none within
+// textPeriod.
+func (n *Node) answerText(w *TextRequest, now Time) *Text {
 	x := &n.texts
 	t, ok := x.own[w.Part]
-	if !ok || t.Version < w.Version || x.gave != 0 && now-x.gave < textEvery {
+	if !ok || t.Version < w.Version || x.answeredAt != 0 && now-x.answeredAt < textPeriod {
 		return nil
 	}
-	x.gave = now
+	x.answeredAt = now
 	return &t
 }
 
-// takeText takes a text that has come, if it is wanted and what the store gave others.
-func (n *Node) takeText(from string, t Text) {
+// receiveText accepts a text if it is wanted and matches the checksum that the routers agree on.
+func (n *Node) receiveText(from string, t Text) {
 	x := &n.texts
 	held, wanted := x.wanted[t.Part]
-	sum, _ := x.vouched(t.Part, held, n.observers())
+	sum, _ := x.agreed(t.Part, held, n.requiredObservers())
 	if !wanted || t.Version != sum.Version {
 		return
 	}
 	if got := sha256.Sum256([]byte(t.Text)); !bytes.Equal(got[:], sum.SHA256) {
-		if x.wrong[t.Part] == nil {
-			x.wrong[t.Part] = map[string]bool{}
+		if x.mismatched[t.Part] == nil {
+			x.mismatched[t.Part] = map[string]bool{}
 		}
-		x.wrong[t.Part][from] = true
+		x.mismatched[t.Part][from] = true
 		return
 	}
 	delete(x.wanted, t.Part)
-	delete(x.wrong, t.Part)
-	x.got = append(x.got, t)
+	delete(x.mismatched, t.Part)
+	x.received = append(x.received, t)
 }
--- a/fleet/node/config_texts_test.go
+++ b/fleet/node/config_texts_test.go
@@ -12,32 +12,32 @@
 
 const textPart = "config/modelapi"
 
-// have gives a text of the store's to some of n nodes.
-func (f *fleet) have(from, to int, t Text) {
+// setText sets a text as read from the store at the nodes with numbers in [from, to).
+func (f *fleet) setText(from, to int, t Text) {
 	for i := from; i < to; i++ {
 		f.nodes[fmt.Sprintf("r-%d", i)].SetText(t)
 	}
 }
 
-// Half of all routers can't ask the store. They have its text from the others, and no router gives more than four a second
-// or is asked by one that has it.
-func TestTextsComeFromThoseWhoHaveThem(t *testing.T) {
+// Half of all routers can't reach the store. They get its text from the others; no router sends
+// more than four texts per second, and none is asked that doesn't have the text.
+func TestTextsFromPeers(t *testing.T) {
 	for _, n := range []int{2, 8, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(t, n, 0, func(c *Config) { c.Observers = min(2, n/2) })
 			text := Text{textPart, 7, strings.Repeat("attempts = 3\n", 100)}
-			gave := map[string][]Time{}
+			sentAt := map[string][]Time{}
 			f.alter = func(e *Envelope) {
 				if e.Text != nil {
-					gave[e.From] = append(gave[e.From], f.now)
+					sentAt[e.From] = append(sentAt[e.From], f.now)
 				}
-				if e.Wanted != nil {
-					require.NotEmpty(t, f.nodes[e.To].texts.own, "asked of one that has it")
+				if e.TextRequest != nil {
+					require.NotEmpty(t, f.nodes[e.To].texts.own, "the router asked must have the text")
 				}
 			}
-			f.have(0, n/2, text)
+			f.setText(0, n/2, text)
 			for i := n / 2; i < n; i++ {
-				f.nodes[fmt.Sprintf("r-%d", i)].WantText(textPart, 6)
+				f.nodes[fmt.Sprintf("r-%d", i)].RequestText(textPart, 6)
 			}
 			began, left := f.now, n-n/2
 			for left > 0 && f.now < began+time.Minute {
@@ -50,24 +50,25 @@
 				}
 			}
 			require.Zero(t, left)
-			t.Logf("all have it after %v", f.now-began)
-			for name, times := range gave {
+			t.Logf("all routers have the text after %v", f.now-began)
+			for name, times := range sentAt {
 				for i := range times[1:] {
-					require.GreaterOrEqual(t, times[i+1]-times[i], Time(textEvery), name)
+					require.GreaterOrEqual(t, times[i+1]-times[i], Time(textPeriod), name)
 				}
 			}
 			f.run(2 * time.Second)
 			for _, node := range f.nodes {
-				require.Empty(t, node.Texts(), "once is enough")
+				require.Empty(t, node.Texts(), "the text is received once only")
 				require.Empty(t, node.texts.wanted)
 			}
 		})
 	}
 }
 
-// What one router says is no store's word: a text that was altered on its way, one of a checksum that a router tells alone,
-// and one that nobody asked for are not taken. The right one is, from another router.
-func TestATextIsTakenByTheStoresWordAlone(t *testing.T) {
+// A text must match a checksum that enough routers report: a text altered on its way, a text
+// whose checksum a single router reports, and a text that was not requested are not accepted.
+// The right text is then accepted from another router.
+func TestTextMustMatchAgreedChecksum(t *testing.T) {
 	right := Text{textPart, 7, "attempts = 3\n"}
 	for name, alter := range map[string]func(*Envelope){
 		"altered by all but one": func(e *Envelope) {
@@ -75,45 +76,46 @@
 				e.Text = &Text{textPart, 7, "attempts = 9\n"}
 			}
 		},
-		"a checksum of one's own": func(e *Envelope) {
+		"a checksum that one router alone reports": func(e *Envelope) {
 			if e.From == "r-0" {
 				sum := sha256.Sum256([]byte("attempts = 9\n"))
 				if e.Members != nil {
-					e.Sums = map[string]Sum{textPart: {9, sum[:]}}
+					e.Checksums = map[string]Checksum{textPart: {9, sum[:]}}
 				}
 				e.Text = &Text{textPart, 9, "attempts = 9\n"}
 			}
 		},
-		"nonsense": func(e *Envelope) {
+		"invalid values": func(e *Envelope) {
 			if e.From != "r-0" {
 				return
 			}
-			e.Sums = map[string]Sum{textPart: {8, []byte("short")}, strings.Repeat("x", mostPart+1): {}}
-			e.Text, e.Wanted = &Text{"", 1 << 63, strings.Repeat("x", mostText)}, &Wanted{"nothing", 0}
+			e.Checksums = map[string]Checksum{textPart: {8, []byte("short")}, strings.Repeat("x", maxPartName+1): {}}
+			e.Text, e.TextRequest = &Text{"", 1 << 63, strings.Repeat("x", maxTextBytes)}, &TextRequest{"nothing", 0}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 5, 0, func(c *Config) { c.Observers = 2 })
 			f.alter = alter
-			f.have(0, 4, right)
+			f.setText(0, 4, right)
 			f.run(5 * time.Second)
-			require.Empty(t, f.nodes["r-4"].Texts(), "nothing was asked for")
-			f.nodes["r-4"].WantText(textPart, 6)
+			require.Empty(t, f.nodes["r-4"].Texts(), "no text was requested")
+			f.nodes["r-4"].RequestText(textPart, 6)
 			f.run(15 * time.Second)
 			require.Equal(t, []Text{right}, f.nodes["r-4"].Texts())
 		})
 	}
 }
 
-// What the store itself gives meanwhile ends the asking, and older texts are nobody's wish.
-func TestTheStoresOwnTextEndsTheAsking(t *testing.T) {
+// A text read from the store ends the request for it. Texts of versions that are not later than
+// the one held are not requested.
+func TestTextFromStoreEndsRequest(t *testing.T) {
 	f := newFleet(t, 3, 0, nil)
-	f.have(0, 2, Text{textPart, 7, "a"})
-	f.nodes["r-2"].WantText(textPart, 7)
+	f.setText(0, 2, Text{textPart, 7, "a"})
+	f.nodes["r-2"].RequestText(textPart, 7)
 	f.run(5 * time.Second)
 	require.Empty(t, f.nodes["r-2"].Texts())
-	f.have(2, 3, Text{textPart, 8, "b"})
+	f.setText(2, 3, Text{textPart, 8, "b"})
 	require.Empty(t, f.nodes["r-2"].texts.wanted)
-	f.have(2, 3, Text{textPart, 7, "a"})
+	f.setText(2, 3, Text{textPart, 7, "a"})
 	require.EqualValues(t, 8, f.nodes["r-2"].texts.own[textPart].Version)
 }
--- a/fleet/node/front.go
+++ b/fleet/node/front.go
@@ -6,37 +6,39 @@
 	"lichenshelf/logic"
 )
 
-// FrontConfig says whose workers are shared.
+// FrontConfig describes a front whose workers the routers share.
 type FrontConfig struct {
 	Name     string
 	Settings logic.Settings
-	Reports  bool     // workers report their load themselves, others' part in it: it is not told twice
-	Zones    []string // names of the zones that workers' lines number; nil: none are known
+	// Reports is set where workers report their load themselves. Their reports include the load
+	// of other routers, so Confer does not return it a second time.
+	Reports bool
+	Zones   []string // zone names, indexed by Line.Zone; nil: not known
 }
 
-// Front is one front's part.
+// Front is one front's state in the fleet protocol.
 type Front struct {
-	cfg   FrontConfig
-	node  *Node
-	rules *attempts.Rules
-	kinds map[string]int // by worker
-	fresh float64        // part of a prompt that is not found kept, lately
+	cfg        FrontConfig
+	node       *Node
+	rules      *attempts.Rules
+	kinds      map[string]int // by worker
+	freshShare float64        // moving average of the share of a prompt that no worker has in memory
 }
 
-// Line is a worker as a front's list names it.
+// Line is a worker in a front's list.
 type Line struct {
 	Name       string
 	Server     logic.ServerID
-	Since      int64 // wall clock of its latest start in nanoseconds; 0: long ago
+	Since      int64 // wall clock of its latest start, in nanoseconds; 0: long ago
 	Kind, Cell int
 	Zone       int
 	Gone       bool
 }
 
-// Front lets a front's workers be judged together with the other routers, and its
-// attempts be spent from what all share.
+// Front adds a front. Its workers are judged together with the other routers, and its attempts
+// are taken out of the budgets that all routers share.
 func (n *Node) Front(cfg FrontConfig, now Time) *Front {
-	f := &Front{cfg: cfg, node: n, kinds: map[string]int{}, fresh: 1, rules: attempts.New(attempts.Config{Front: cfg.Name,
+	f := &Front{cfg: cfg, node: n, kinds: map[string]int{}, freshShare: 1, rules: attempts.New(attempts.Config{Front: cfg.Name,
 		RepeatsPerSecond: n.cfg.Repeats, ColdPerSecond: n.cfg.Cold, WarmWithin: cfg.Settings.WarmWithin})}
 	if n.cfg.Repeats > 0 {
 		n.SetLimits(f.rules.Repeats(), map[string]float64{f.rules.Repeats(): n.cfg.Repeats}, now)
@@ -45,8 +47,8 @@
 	return f
 }
 
-// Listed takes a list of workers, whole or changes to it. It is to be called before the
-// decisions hear of it: a cold worker's budget is there then.
+// Listed processes a list of workers, or changes to the list if whole is false. It must be
+// called before the router's core gets the list, so that a cold worker's budget exists first.
 func (f *Front) Listed(lines []Line, whole bool, wall int64, now Time) {
 	if whole {
 		clear(f.kinds)
@@ -65,29 +67,29 @@
 	}
 }
 
-// Allow spends an attempt from the budgets that it concerns; repeat tells that the one
-// before it failed.
+// Allow takes an attempt out of the budgets that apply to it. repeat is set if the previous
+// attempt of the request failed.
 func (f *Front) Allow(worker string, repeat bool, now Time) attempts.Refusal {
 	return f.rules.Spend(worker, repeat, attempts.Time(now), func(key string) bool { return f.node.Spend(key, 1, now) })
 }
 
-// Work is what an attempt puts on its worker.
+// Work returns the work that an attempt puts on its worker.
 func (f *Front) Work(worker string, r *logic.Request) counts.Work {
-	w := counts.Work{Held: r.PromptTokens + answerPart*r.MaxTokens}
+	w := counts.Work{Held: r.PromptTokens + answerFraction*r.MaxTokens}
 	switch k := f.kind(f.kinds[worker]); k.Role {
 	case logic.RoleRead:
-		return counts.Work{Unread: f.fresh * r.PromptTokens}
+		return counts.Work{Unread: f.freshShare * r.PromptTokens}
 	case logic.RoleBoth:
-		w.Unread = f.fresh * r.PromptTokens
+		w.Unread = f.freshShare * r.PromptTokens
 	}
 	return w
 }
 
-// Kept notes how much of a prompt was found kept where it was read: no more than the rest
-// of it is a load.
+// Kept records how many tokens of a prompt its worker already had in memory; only the rest
+// counts as load.
 func (f *Front) Kept(prompt, kept float64) {
 	if prompt > 0 {
-		f.fresh += keptWeight * (min(max(1-kept/prompt, 0), 1) - f.fresh)
+		f.freshShare += keptSampleWeight * (min(max(1-kept/prompt, 0), 1) - f.freshShare)
 	}
 }
 
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -1,9 +1,9 @@
-// Package node is one router's whole part in its fleet: who is there, budgets, counts of
-// work and judgements on workers, put together as they are used. What runs on sockets and
-// what runs in virtual time is this same part.
+// Package node implements one router's side of the fleet protocol. It combines membership,
+// budgets, counts of work and outlier detection. The daemon runs it over sockets and the
+// laboratory runs the same code in virtual time.
 //
-// The package does no I/O and starts nothing; clock and randomness are handed in. A Node is
-// not safe for concurrent use.
+// The package does no I/O and starts no goroutines; clock and randomness are arguments. A Node
+// is not safe for concurrent use.
 package node
 
 import (
@@ -24,30 +24,34 @@
 	"lichenshelf/fleet/version"
 )
 
-// Time is a reading of the caller's monotonic clock from an arbitrary start. It must go
-// on while the process is stopped.
+// Time is a reading of the caller's monotonic clock from an arbitrary start. The clock must
+// keep running while the process is stopped.
 type Time = time.Duration
 
-// Envelope is one message between two routers. Version to To are the link's.
+// Envelope is one message between two routers. Package link sets the fields Version to From
+// and routes by To.
 type Envelope struct {
-	Version uint8               `cbor:"1,keyasint"`
-	Need    uint8               `cbor:"2,keyasint"` // the oldest version that can make sense of it
-	Fleet   string              `cbor:"3,keyasint"`
-	From    string              `cbor:"4,keyasint"`
-	To      string              `cbor:"5,keyasint"`
-	Members *members.Message    `cbor:"10,keyasint,omitempty"`
-	Budget  []budget.Message    `cbor:"11,keyasint,omitempty"`
-	Judged  []outlier.Judgement `cbor:"12,keyasint,omitempty"` // of the sender and passed on
-	Counts  *counts.State       `cbor:"13,keyasint,omitempty"`
-	Acts    version.Vector      `cbor:"14,keyasint,omitempty"` // what the sender acts on, with Members
-	Zones   *ZoneNews           `cbor:"15,keyasint,omitempty"` // the same
-	Sums    map[string]Sum      `cbor:"16,keyasint,omitempty"` // the same
-	Wanted  *Wanted             `cbor:"17,keyasint,omitempty"`
-	Text    *Text               `cbor:"18,keyasint,omitempty"` // the answer
+	Version uint8            `cbor:"1,keyasint"`
+	Need    uint8            `cbor:"2,keyasint"` // oldest version that can read the message
+	Fleet   string           `cbor:"3,keyasint"`
+	From    string           `cbor:"4,keyasint"`
+	To      string           `cbor:"5,keyasint"`
+	Members *members.Message `cbor:"10,keyasint,omitempty"`
+	Budget  []budget.Message `cbor:"11,keyasint,omitempty"`
+	// Judged holds the sender's judgements and those that it forwards.
+	Judged []outlier.Judgement `cbor:"12,keyasint,omitempty"`
+	Counts *counts.State       `cbor:"13,keyasint,omitempty"`
+	// Versions, ZoneReport and Checksums accompany Members. Versions are those of the data that
+	// the sender acts on.
+	Versions    version.Vector      `cbor:"14,keyasint,omitempty"`
+	ZoneReport  *ZoneReport         `cbor:"15,keyasint,omitempty"`
+	Checksums   map[string]Checksum `cbor:"16,keyasint,omitempty"`
+	TextRequest *TextRequest        `cbor:"17,keyasint,omitempty"`
+	Text        *Text               `cbor:"18,keyasint,omitempty"` // answer to a TextRequest
 }
 
-// Spoken drops what speaks for another router than the one that sent it.
-func (e *Envelope) Spoken() {
+// DropForged removes the parts of the message whose stated origin is not the sender.
+func (e *Envelope) DropForged() {
 	e.Budget = slices.DeleteFunc(e.Budget, func(m budget.Message) bool { return m.From != e.From })
 	if e.Members != nil && e.Members.From != e.From {
 		e.Members = nil
@@ -57,89 +61,89 @@
 	}
 }
 
-// Config says who the routers are and under which terms they share. Life grows with each
-// start under the name Self, such as the wall clock does; if it does not, the fleet puts it
-// right.
+// Config holds the routers of the fleet and the settings of what they share. Life is the
+// incarnation: it must grow with each start under the name Self, as the wall clock does. If it
+// does not, the membership protocol raises it.
 type Config struct {
-	Self      string
-	Zones     map[string]string // of all routers, Self among them
-	Life      uint64
-	Lease     time.Duration
-	Floor     float64
-	Burst     time.Duration
-	Drift     float64
-	Period    time.Duration // of heartbeats and judgements
-	Counts    time.Duration // from one telling of work to the next; 0: it is not told
-	Fanout    int           // routers told at a time
-	Digest    int
-	Observers int
-	Quorum    int
-	MostOut   float64
-	Least     float64
-	Hold      time.Duration
-	Return    time.Duration
-	Repeats   float64 // a second, over all routers; 0: not bounded
-	Cold      float64 // a second, to one cold worker; 0: not bounded
-	Tell      bool    // what is lent is told by Moves
+	Self        string
+	Zones       map[string]string // zone of each router, Self included
+	Life        uint64
+	Lease       time.Duration
+	Floor       float64
+	Burst       time.Duration
+	Drift       float64
+	Period      time.Duration // between heartbeats, which carry judgements
+	Counts      time.Duration // between reports of work; 0: work is not reported
+	Fanout      int           // routers that get a message per period
+	Digest      int
+	Observers   int
+	Quorum      int
+	MostOut     float64
+	Least       float64
+	Hold        time.Duration
+	Return      time.Duration
+	Repeats     float64 // repeated attempts per second over all routers; 0: no limit
+	Cold        float64 // attempts per second to one cold worker; 0: no limit
+	RecordMoves bool    // Moves returns loans and returns of budgets
 }
 
-// Node is one router's part.
+// Node is one router's state in the fleet protocol.
 type Node struct {
-	cfg      Config
-	names    []string
-	ledger   *budget.Ledger
-	members  *members.View
-	outliers *outlier.Detector
-	work     *counts.Board
-	limits   map[string]float64
-	fronts   []*Front
-	states   map[string]members.State // as noticed last
-	parts    map[string]float64
-	fenced   bool
-	deaf     bool
-	rng      *rand.Rand
-	counted  Time // when own work was told to others last
-	told     Time // when others' work was told here last
-	notices  []Notice
-	acts     version.Vector // what is told to the others
-	said     map[string]said
-	texts    texts
-	zones    *zones // nil: traffic between zones is each router's own matter
+	cfg             Config
+	names           []string
+	ledger          *budget.Ledger
+	members         *members.View
+	outliers        *outlier.Detector
+	work            *counts.Board
+	limits          map[string]float64
+	fronts          []*Front
+	states          map[string]members.State // as of the last notice
+	parts           map[string]float64
+	fenced          bool
+	isolated        bool
+	rng             *rand.Rand
+	countsSentAt    Time // when own work was last sent to others
+	loadsReportedAt Time // when others' work was last returned by Confer
+	notices         []Notice
+	versions        version.Vector // sent to the other routers
+	peerVersions    map[string]reportedVersions
+	texts           texts
+	zones           *zones // nil: routers do not coordinate traffic between zones
 }
 
-// said is what another router said that it acts on.
-type said struct {
-	acts version.Vector
-	at   Time
+// reportedVersions holds the versions that another router acts on, as it reported them.
+type reportedVersions struct {
+	versions version.Vector
+	at       Time
 }
 
 const (
-	mostParts = 64  // of what a router says that it acts on
-	mostPart  = 512 // bytes of a part's name
+	maxParts    = 64  // entries of a version vector or of checksums in a message
+	maxPartName = 512 // bytes
 )
 
-// What may change.
+// The kinds of a Notice.
 const (
-	Fenced        NoticeKind = iota // another process goes on under this name
-	Deaf                            // this router hears too few of the others
-	Hears                           // it hears enough of them again
-	RouterChanged                   // Name went from state Was to Is
-	WorkerOut                       // worker Name is out for all
-	WorkerBack                      // worker Name comes back
+	Fenced         NoticeKind = iota // a newer process runs under this router's name
+	Isolated                         // this router receives heartbeats of too few others
+	IsolationEnded                   // it receives heartbeats of enough others again
+	RouterChanged                    // router Name changed from state Was to Is
+	WorkerOut                        // worker Name is out at all routers
+	WorkerBack                       // worker Name gets traffic again
 )
 
-// New returns a node that has heard of nobody.
+// New returns a node that has received no messages yet.
 func New(cfg Config, rng *rand.Rand, now Time) (*Node, error) {
-	n := &Node{cfg: cfg, rng: rng, limits: map[string]float64{}, states: map[string]members.State{}, said: map[string]said{}, texts: newTexts()}
+	n := &Node{cfg: cfg, rng: rng, limits: map[string]float64{}, states: map[string]members.State{}, peerVersions: map[string]reportedVersions{}, texts: newTexts()}
 	n.names = slices.Sorted(maps.Keys(cfg.Zones))
 	var err error
-	if n.ledger, err = budget.New(budget.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Life, Epoch: cfg.terms(n.names),
-		Lease: cfg.Lease, Drift: cfg.Drift, Floor: cfg.Floor, Burst: cfg.Burst, Tell: cfg.Tell}, budget.Time(now)); err != nil {
+	if n.ledger, err = budget.New(budget.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Life, Epoch: cfg.settingsHash(n.names),
+		Lease: cfg.Lease, Drift: cfg.Drift, Floor: cfg.Floor, Burst: cfg.Burst, Tell: cfg.RecordMoves}, budget.Time(now)); err != nil {
 		return nil, err
 	}
-	if n.members, err = members.New(members.Config{Self: cfg.Self, Routers: n.names, Life: cfg.Life, Period: cfg.Period,
+	if n.members, err = members.New(members.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Life, Period: cfg.Period,
 		Fanout: cfg.Fanout, Digest: cfg.Digest, Observers: cfg.Observers,
-		DoubtFor: members.Patience(len(n.names), cfg.Period, cfg.Fanout, cfg.Digest)}, rng, members.Time(now)); err != nil {
+		SuspectAfter: members.SuspicionTimeout(len(n.names), cfg.Period, cfg.Fanout, cfg.Digest)}, rng, members.Time(now)); err != nil {
 		return nil, err
 	}
 	if n.outliers, err = outlier.New(outlier.Config{Self: cfg.Self, Zones: cfg.Zones, Quorum: cfg.Quorum, MostOut: cfg.MostOut, Least: cfg.Least,
@@ -150,17 +154,17 @@
 	return n, nil
 }
 
-// terms stands for all that must be the same at two routers that lend each other, beside
-// the limit of what is lent.
-func (c *Config) terms(names []string) uint64 {
+// settingsHash returns a hash of the settings that must be equal at two routers for one to
+// lend budget to the other. The budget's limit, which must be equal too, is not part of it.
+func (c *Config) settingsHash(names []string) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, c.Lease, c.Floor, c.Burst, c.Drift)
 	_, _ = fmt.Fprintf(h, "%q", names)
 	return h.Sum64()
 }
 
-// SetLimits sets the limits of all budgets with a prefix, in cost a second over all
-// routers; those that are not named any more are free.
+// SetLimits sets the limits of all budgets whose keys begin with prefix, in cost per second over
+// all routers. Budgets with the prefix that limits does not name become unlimited.
 func (n *Node) SetLimits(prefix string, limits map[string]float64, now Time) {
 	for key := range n.limits {
 		if _, ok := limits[key]; !ok && strings.HasPrefix(key, prefix) {
@@ -176,22 +180,24 @@
 	}
 }
 
-// Spend takes cost out of a budget, if it is there.
+// Spend takes cost out of a budget and reports whether the budget had enough.
 func (n *Node) Spend(key string, cost float64, now Time) bool {
 	return n.ledger.Spend(key, cost, budget.Time(now))
 }
 
-// Terms names what must be the same at two routers that lend each other, beside a budget's limit.
-func (n *Node) Terms() string { return strconv.FormatUint(n.cfg.terms(n.names), 16) }
+// Terms returns a hash of the settings, other than a budget's limit, that must be equal at two
+// routers for one to lend budget to the other.
+func (n *Node) Terms() string { return strconv.FormatUint(n.cfg.settingsHash(n.names), 16) }
 
-// Moves tells what was lent, returned and borrowed since it was asked for last.
+// Moves returns what was lent, returned and borrowed since the previous call.
 func (n *Node) Moves() []budget.Move { return n.ledger.Moves() }
 
-// Leave makes the next messages say that this router leaves: it is not missed then.
+// Leave marks this router as leaving in its next messages, so that the others do not suspect
+// it once its heartbeats stop.
 func (n *Node) Leave() { n.members.Leave() }
 
-// Tick returns what is due to the others. It is to be called several times in a lease, and
-// as often as work is told.
+// Tick returns the messages that are due. It must be called several times per lease, and at
+// least as often as work is reported (Config.Counts).
 func (n *Node) Tick(now Time) []Envelope {
 	var out []Envelope
 	to := func(name string) *Envelope {
@@ -205,16 +211,16 @@
 	}
 	for _, m := range n.members.Tick(members.Time(now)) {
 		e := to(m.To)
-		e.Members, e.Acts, e.Sums = &m, n.acts, n.texts.sums
+		e.Members, e.Versions, e.Checksums = &m, n.versions, n.texts.checksums
 		if n.zones != nil {
-			e.Zones = n.zones.tell(now)
+			e.ZoneReport = n.zones.report(now)
 		}
 		if len(n.fronts) > 0 {
 			e.Judged = n.outliers.Tell(outlier.Time(now))
 		}
 	}
-	if len(n.fronts) > 0 && n.cfg.Counts > 0 && now-n.counted >= n.cfg.Counts && !n.fenced {
-		n.counted = now
+	if len(n.fronts) > 0 && n.cfg.Counts > 0 && now-n.countsSentAt >= n.cfg.Counts && !n.fenced {
+		n.countsSentAt = now
 		state := n.work.Tell()
 		left := n.cfg.Fanout
 		for _, i := range n.rng.Perm(len(n.names)) {
@@ -228,9 +234,9 @@
 		e := to(m.To)
 		e.Budget = append(e.Budget, m)
 	}
-	n.askForTexts(now, to)
-	n.notice(now)
-	n.lookAtZones(now)
+	n.requestTexts(now, to)
+	n.detectChanges(now)
+	n.updateZones(now)
 	for _, f := range n.fronts {
 		if limits, changed := f.rules.Cold(attempts.Time(now)); changed {
 			n.SetLimits(f.rules.Prefix(), limits, now)
@@ -239,16 +245,16 @@
 	return out
 }
 
-// Receive takes a message and returns the answer to it, if there is one.
+// Receive processes a message and returns the answer, if there is one.
 func (n *Node) Receive(e Envelope, now Time) []Envelope {
 	if e.Members != nil {
 		n.members.Receive(*e.Members, members.Time(now))
-		n.hear(e.From, e.Acts, now)
-		if n.other(e.From) {
-			n.texts.hear(e.From, e.Sums)
+		n.receiveVersions(e.From, e.Versions, now)
+		if n.isPeer(e.From) {
+			n.texts.receiveChecksums(e.From, e.Checksums)
 		}
-		if n.zones != nil && e.Zones != nil && n.other(e.From) {
-			n.zones.hear(e.From, *e.Zones, now)
+		if n.zones != nil && e.ZoneReport != nil && n.isPeer(e.From) {
+			n.zones.receive(e.From, *e.ZoneReport, now)
 		}
 	}
 	n.outliers.Receive(e.Judged, outlier.Time(now))
@@ -256,11 +262,11 @@
 		n.work.Receive(*e.Counts, counts.Time(now))
 	}
 	answer := Envelope{From: n.cfg.Self, To: e.From}
-	if e.Wanted != nil && n.other(e.From) {
-		answer.Text = n.giveText(e.Wanted, now)
+	if e.TextRequest != nil && n.isPeer(e.From) {
+		answer.Text = n.answerText(e.TextRequest, now)
 	}
-	if e.Text != nil && n.other(e.From) {
-		n.takeText(e.From, *e.Text)
+	if e.Text != nil && n.isPeer(e.From) {
+		n.receiveText(e.From, *e.Text)
 	}
 	for _, m := range e.Budget {
 		answer.Budget = append(answer.Budget, n.ledger.Receive(m, budget.Time(now))...)
@@ -271,51 +277,57 @@
 	return []Envelope{answer}
 }
 
-// Renew goes on under a new life, as a process that has started anew would: what was lent under the one before is over.
+// Renew continues under a new incarnation, as a restarted process would: loans made to the
+// previous incarnation end.
 func (n *Node) Renew() {
 	n.members.Renew()
-	n.ledger.SetIncarnation(n.members.Life())
+	n.ledger.SetIncarnation(n.members.Incarnation())
 }
 
-// SetActs sets what the others are told that this router acts on. The vector must not be changed after.
-func (n *Node) SetActs(v version.Vector) { n.acts = v }
+// SetActs sets the versions that this router reports to the others as those it acts on. The
+// vector must not be changed afterwards.
+func (n *Node) SetActs(v version.Vector) { n.versions = v }
 
-// other tells whether a name is another router's of the fleet.
-func (n *Node) other(name string) bool {
+// isPeer reports whether name is another router of the fleet.
+func (n *Node) isPeer(name string) bool {
 	_, known := n.cfg.Zones[name]
 	return known && name != n.cfg.Self
 }
 
-// observers is how many others it takes to say a thing for this router to go by it: all that have spoken, if they are fewer.
-func (n *Node) observers() int { return min(max(n.cfg.Observers, 1), len(n.said)) }
+// requiredObservers returns how many other routers must report the same thing before this
+// router accepts it: Observers, or all that have reported if they are fewer.
+func (n *Node) requiredObservers() int { return min(max(n.cfg.Observers, 1), len(n.peerVersions)) }
 
-// hear takes what another router says that it acts on, unless that makes no sense.
-func (n *Node) hear(from string, v version.Vector, now Time) {
-	if !n.other(from) || len(v) > mostParts {
+// receiveVersions stores the versions that another router reports, unless they exceed the
+// limits.
+func (n *Node) receiveVersions(from string, v version.Vector, now Time) {
+	if !n.isPeer(from) || len(v) > maxParts {
 		return
 	}
 	for part := range v {
-		if len(part) > mostPart {
+		if len(part) > maxPartName {
 			return
 		}
 	}
-	n.said[from] = said{v, now}
+	n.peerVersions[from] = reportedVersions{v, now}
 }
 
-// Newest tells, for each part that this router acts on too, the newest version that Observers others act on, or all that have
-// said so if they are fewer: one that says anything can't make the others look old. Heard is when so many were heard last;
-// false if nobody was.
-func (n *Node) Newest() (newest version.Vector, heard Time, ok bool) {
-	need := n.observers()
+// Newest returns, for each part that this router acts on as well, the newest version that at
+// least Observers other routers act on, or all that reported versions if they are fewer. A
+// single router that reports a wrong version can therefore not make the others appear outdated.
+// reportedAt is the latest time since which that many routers have reported; ok is false if
+// none has.
+func (n *Node) Newest() (newest version.Vector, reportedAt Time, ok bool) {
+	need := n.requiredObservers()
 	if need == 0 {
 		return nil, 0, false
 	}
-	times := make([]Time, 0, len(n.said))
+	times := make([]Time, 0, len(n.peerVersions))
 	versions := map[string][]uint64{}
-	for _, s := range n.said {
+	for _, s := range n.peerVersions {
 		times = append(times, s.at)
-		for part := range n.acts {
-			if v, ok := s.acts[part]; ok {
+		for part := range n.versions {
+			if v, ok := s.versions[part]; ok {
 				versions[part] = append(versions[part], v)
 			}
 		}
@@ -332,21 +344,21 @@
 }
 
 const (
-	answerPart = 0.3  // guess of an answer's length as part of its limit
-	keptWeight = 0.05 // of one read in the mean of what is found kept
+	answerFraction   = 0.3  // estimated length of an answer as a fraction of its limit
+	keptSampleWeight = 0.05 // weight of one prompt in the moving average of freshShare
 )
 
-// View is what this router knows of the others.
+// View is this router's view of the fleet's members.
 type View struct {
-	Life         uint64
-	Fenced, Deaf bool
-	Routers      []members.Router
+	Incarnation      uint64
+	Fenced, Isolated bool
+	Routers          []members.Router
 }
 
-// Members tells who is there.
+// Members returns this router's view of the fleet's members.
 func (n *Node) Members(now Time) View {
-	return View{n.members.Life(), n.members.Fenced(), n.members.Deaf(members.Time(now)), n.members.Routers(members.Time(now))}
+	return View{n.members.Incarnation(), n.members.Fenced(), n.members.Isolated(members.Time(now)), n.members.Routers(members.Time(now))}
 }
 
-// Budgets tells what may be spent.
+// Budgets returns the state of all budgets.
 func (n *Node) Budgets(now Time) []budget.View { return n.ledger.Views(budget.Time(now)) }
--- a/fleet/node/node_test.go
+++ b/fleet/node/node_test.go
@@ -19,7 +19,7 @@
 	"lichenshelf/logic"
 )
 
-func terms(self string, n int) Config {
+func testConfig(self string, n int) Config {
 	c := Config{Self: self, Zones: map[string]string{}, Life: 1, Lease: 2 * time.Second, Floor: 0.1, Burst: time.Second, Drift: 0.01,
 		Period: 500 * time.Millisecond, Counts: 100 * time.Millisecond, Fanout: 2, Digest: 32, Observers: 1, Quorum: 2, MostOut: 0.5, Least: 2,
 		Hold: 3 * time.Second, Return: 4 * time.Second}
@@ -31,27 +31,27 @@
 
 var kinds = logic.Settings{WarmWithin: 10 * time.Second, Kinds: []logic.Kind{{Role: logic.RoleRead}, {Role: logic.RoleWrite, MemoryTokens: 1000}, {Role: logic.RoleBoth}}}
 
-// fleet is some nodes over links that lose nothing unless told to.
+// fleet runs nodes over simulated links, which lose nothing unless cut is set.
 type fleet struct {
-	t      testing.TB
-	nodes  map[string]*Node
-	fronts map[string]*Front
-	lines  []Line
-	now    Time
-	cut    func(from, to string) bool
-	alter  func(*Envelope) // on its way
-	told   map[string][]Told
-	parts  map[string]map[string]float64
-	seen   []Notice
+	t       testing.TB
+	nodes   map[string]*Node
+	fronts  map[string]*Front
+	lines   []Line
+	now     Time
+	cut     func(from, to string) bool
+	alter   func(*Envelope) // changes a message in transit
+	loads   map[string][]Told
+	parts   map[string]map[string]float64
+	notices []Notice
 }
 
 func newFleet(t testing.TB, n, workers int, change func(*Config)) *fleet {
-	f := &fleet{t: t, nodes: map[string]*Node{}, fronts: map[string]*Front{}, now: time.Hour, told: map[string][]Told{}, parts: map[string]map[string]float64{}}
+	f := &fleet{t: t, nodes: map[string]*Node{}, fronts: map[string]*Front{}, now: time.Hour, loads: map[string][]Told{}, parts: map[string]map[string]float64{}}
 	for i := range workers {
 		f.lines = append(f.lines, Line{Name: fmt.Sprintf("w-%d", i), Server: logic.ServerID(i), Kind: 1})
 	}
 	for i := range n {
-		cfg := terms(fmt.Sprintf("r-%d", i), n)
+		cfg := testConfig(fmt.Sprintf("r-%d", i), n)
 		if change != nil {
 			change(&cfg)
 		}
@@ -74,12 +74,12 @@
 			name := fmt.Sprintf("r-%d", i)
 			n := f.nodes[name]
 			f.send(n.Tick(f.now))
-			parts, told := n.Confer([][]Line{f.lines}, f.now)
+			parts, loads := n.Confer([][]Line{f.lines}, f.now)
 			f.parts[name] = parts
-			if told != nil {
-				f.told[name] = told[0]
+			if loads != nil {
+				f.loads[name] = loads[0]
 			}
-			f.seen = append(f.seen, n.Notices()...)
+			f.notices = append(f.notices, n.Notices()...)
 		}
 	}
 }
@@ -95,8 +95,8 @@
 	}
 }
 
-func (f *fleet) saw(k NoticeKind, name string) bool {
-	for _, n := range f.seen {
+func (f *fleet) noticed(k NoticeKind, name string) bool {
+	for _, n := range f.notices {
 		if n.Kind == k && n.Name == name {
 			return true
 		}
@@ -104,27 +104,28 @@
 	return false
 }
 
-// What one router has out is told to the others as a worker would report it, and ends with the router.
-func TestWorkIsToldAsAReport(t *testing.T) {
+// The other routers get the work of one router as a worker's load report, until the work is done
+// or unless reports of work are switched off.
+func TestPeerWorkBecomesLoadReport(t *testing.T) {
 	f := newFleet(t, 3, 2, nil)
 	f.run(time.Second)
 	f.nodes["r-0"].Charge("w-0", counts.Work{Unread: 300, Held: 400})
 	f.nodes["r-1"].Charge("w-0", counts.Work{Held: 100})
 	f.run(2 * time.Second)
-	load := f.told["r-2"][0].Load
+	load := f.loads["r-2"][0].Load
 	require.True(t, load.HasMemory && load.HasUnread)
 	require.InDelta(t, 0.5, load.MemoryShare, 0.1, "of 1000 tokens")
-	require.InDelta(t, 300*3/2, load.UnreadToken, 60, "the decisions take two thirds of it for peers'")
-	load = f.told["r-0"][0].Load
-	require.InDelta(t, 0.5, load.MemoryShare, 0.1, "with what it has itself")
-	require.Less(t, load.UnreadToken, 120.0, "of its own next to nothing, for who was not heard of just now")
+	require.InDelta(t, 300*3/2, load.UnreadToken, 60, "the core takes two thirds of it as peers' load")
+	load = f.loads["r-0"][0].Load
+	require.InDelta(t, 0.5, load.MemoryShare, 0.1, "including its own work")
+	require.Less(t, load.UnreadToken, 120.0, "its own work counts only as an estimate for peers without a recent report")
 	f.nodes["r-0"].Charge("w-0", counts.Work{Unread: -300, Held: -400})
 	f.run(2 * time.Second)
-	require.InDelta(t, 0.1, f.told["r-2"][0].Load.MemoryShare, 0.05)
+	require.InDelta(t, 0.1, f.loads["r-2"][0].Load.MemoryShare, 0.05)
 
 	silent := newFleet(t, 3, 2, func(c *Config) { c.Counts = 0 })
 	silent.run(3 * time.Second)
-	require.Empty(t, silent.told, "switched off")
+	require.Empty(t, silent.loads, "switched off")
 	for _, n := range silent.nodes {
 		for _, e := range n.Tick(silent.now) {
 			require.Nil(t, e.Counts)
@@ -145,11 +146,12 @@
 		p.Kept(1000, 750)
 	}
 	p.Kept(0, 5)
-	require.InDelta(t, 250, p.Work("r", q).Unread, 1, "what is kept need not be read")
+	require.InDelta(t, 250, p.Work("r", q).Unread, 1, "tokens in the worker's memory need not be read")
 }
 
-// Two fronts of one router are judged apart from each other, and by all routers.
-func TestJudgedByAll(t *testing.T) {
+// A worker at which two routers of three see errors is out at all of them, and gets traffic again
+// later.
+func TestOutByAgreement(t *testing.T) {
 	f := newFleet(t, 3, 4, nil)
 	f.run(2 * time.Second)
 	for range 4 {
@@ -167,34 +169,35 @@
 	for name, parts := range f.parts {
 		require.Equal(t, map[string]float64{"w-0": 0}, parts, name)
 	}
-	require.True(t, f.saw(WorkerOut, "w-0"))
+	require.True(t, f.noticed(WorkerOut, "w-0"))
 	part, k, _ := f.nodes["r-2"].Worker("w-0", f.now)
 	require.Zero(t, part)
 	require.NotEmpty(t, k.By)
 	f.run(20 * time.Second)
-	require.True(t, f.saw(WorkerBack, "w-0"))
+	require.True(t, f.noticed(WorkerBack, "w-0"))
 	for s, want := range map[logic.Status]outlier.Fault{logic.ServerError: outlier.Errors, logic.ConnectionReset: outlier.Resets,
 		logic.ConnectFailed: outlier.Connect, logic.Served: outlier.None} {
-		got, says := FaultOf(s)
-		require.True(t, says)
+		got, relevant := FaultOf(s)
+		require.True(t, relevant)
 		require.Equal(t, want, got)
 	}
-	_, says := FaultOf(logic.Full)
-	require.False(t, says)
+	_, relevant := FaultOf(logic.Full)
+	require.False(t, relevant)
 }
 
-// A router whose wall clock is an hour off shares as the others do: its life counts as newest once the fleet has put it
-// right, and the same worker is cold there for as long.
+// A router whose wall clock is an hour off shares budgets as the others do: after a restart its
+// incarnation becomes the newest through the membership protocol, and a worker counts as cold
+// there for as long as elsewhere.
 func TestWallClockAnHourOff(t *testing.T) {
 	f := newFleet(t, 3, 2, func(c *Config) { c.Cold, c.Repeats = 6, 5 })
 	f.run(4 * time.Second)
 	f.fronts["r-0"].Allow("w-0", true, f.now)
-	cfg := terms("r-1", 3)
-	cfg.Cold, cfg.Repeats, cfg.Life = 6, 5, 0 // started again, by a clock that is behind that of its forerunner
+	cfg := testConfig("r-1", 3)
+	cfg.Cold, cfg.Repeats, cfg.Life = 6, 5, 0 // restarted, with a clock behind that of the previous process
 	f.start(cfg)
 	f.run(6 * time.Second)
-	require.False(t, f.nodes["r-1"].Members(f.now).Fenced, "the later process goes on")
-	require.Greater(t, f.nodes["r-1"].Members(f.now).Life, uint64(1))
+	require.False(t, f.nodes["r-1"].Members(f.now).Fenced, "the later process continues")
+	require.Greater(t, f.nodes["r-1"].Members(f.now).Incarnation, uint64(1))
 	for name, wall := range map[string]time.Duration{"r-0": f.now, "r-1": f.now - time.Hour, "r-2": f.now + time.Hour} {
 		f.fronts[name].Listed([]Line{{Name: "w-9", Since: int64(f.now), Kind: 1}}, false, int64(wall), f.now)
 	}
@@ -208,21 +211,21 @@
 		f.run(50 * time.Millisecond)
 		require.LessOrEqual(t, float64(sent), 6*(f.now-began).Seconds()+3)
 	}
-	require.Greater(t, sent, 15, "most of what is allowed is used")
+	require.Greater(t, sent, 15, "most of the budget is used")
 	f.run(7 * time.Second)
 	for name, p := range f.fronts {
-		require.Equal(t, attempts.None, p.Allow("w-9", false, f.now), "%s: warm by now", name)
+		require.Equal(t, attempts.None, p.Allow("w-9", false, f.now), "%s: the worker is warm", name)
 	}
 	for _, v := range f.nodes["r-1"].Budgets(f.now) {
-		require.Equal(t, "repeats/p", v.Key, "the cold worker's budget is over")
+		require.Equal(t, "repeats/p", v.Key, "the cold worker's budget is removed")
 	}
 }
 
-// A message that speaks for another than its sender counts for nothing in that part.
-func TestSpokenForOthers(t *testing.T) {
+// Parts of a message whose stated origin is not its sender are removed.
+func TestForgedPartsAreDropped(t *testing.T) {
 	e := Envelope{From: "a", Budget: []budget.Message{{From: "a", Seq: 1}, {From: "b", Seq: 2}}, Members: &members.Message{From: "b"},
 		Counts: &counts.State{Router: "b"}}
-	e.Spoken()
+	e.DropForged()
 	require.Len(t, e.Budget, 1)
 	require.Nil(t, e.Members)
 	require.Nil(t, e.Counts)
@@ -231,18 +234,19 @@
 func TestFaultyConfigs(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){"self": func(c *Config) { c.Self = "x" }, "lease": func(c *Config) { c.Lease = 0 },
 		"period": func(c *Config) { c.Period = 0 }, "quorum": func(c *Config) { c.Quorum = 0 }} {
-		cfg := terms("r-0", 3)
+		cfg := testConfig("r-0", 3)
 		spoil(&cfg)
 		_, err := New(cfg, rand.New(rand.NewPCG(1, 1)), 0)
 		require.ErrorContains(t, err, name)
 	}
 }
 
-// What a fleet adds to one attempt: budgets asked, work put on the board and taken off, its end noted.
+// BenchmarkAttempt measures what the fleet adds to one attempt: spending budgets, adding and
+// removing its work, and recording its result.
 func BenchmarkAttempt(b *testing.B) {
 	for _, n := range []int{3, 200} {
 		b.Run(fmt.Sprint(n, " routers"), func(b *testing.B) {
-			f := newFleet(b, 1, 0, func(c *Config) { *c = terms("r-0", n); c.Repeats, c.Cold = 1e6, 1e6 })
+			f := newFleet(b, 1, 0, func(c *Config) { *c = testConfig("r-0", n); c.Repeats, c.Cold = 1e6, 1e6 })
 			for i := range 100 {
 				f.lines = append(f.lines, Line{Name: fmt.Sprintf("w-%d", i), Kind: 1, Since: int64(f.now)})
 			}
@@ -262,12 +266,12 @@
 	}
 }
 
-// What a tick costs, ten times a second and more.
+// BenchmarkTick measures Tick and Confer, which run at least ten times per second.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{100, 1000} {
 		for _, n := range []int{3, 200} {
 			b.Run(fmt.Sprint(n, " routers ", workers, " workers"), func(b *testing.B) {
-				f := newFleet(b, 1, workers, func(c *Config) { *c = terms("r-0", n) })
+				f := newFleet(b, 1, workers, func(c *Config) { *c = testConfig("r-0", n) })
 				node := f.nodes["r-0"]
 				for i := 1; i < n; i++ {
 					s := counts.State{Router: fmt.Sprintf("r-%d", i), Life: 1, Version: 1, Work: map[string]counts.Work{}}
@@ -283,7 +287,7 @@
 				for i := 0; b.Loop(); i++ {
 					now := f.now + Time(i%10)*time.Millisecond
 					node.Tick(now)
-					node.told = 0
+					node.loadsReportedAt = 0
 					node.Confer([][]Line{f.lines}, now)
 				}
 			})
@@ -291,8 +295,9 @@
 	}
 }
 
-// What others act on is told by as many as must agree: one that says anything makes nobody look old, and nonsense is passed over.
-func TestWhatOthersActOn(t *testing.T) {
+// A newest version counts only if as many routers as required report it: a single router that
+// reports a wrong one does not make the others appear outdated. Invalid reports are ignored.
+func TestNewestVersions(t *testing.T) {
 	for _, n := range []int{1, 8, 80} {
 		f := newFleet(t, n, 0, func(c *Config) { c.Observers = 2 })
 		for name, node := range f.nodes {
@@ -309,16 +314,16 @@
 		f.nodes["r-1"].SetActs(version.Vector{"config": 1 << 60})
 		f.run(time.Duration(n)*time.Second/8 + 5*time.Second)
 		newest, _, _ = f.nodes["r-0"].Newest()
-		require.Equal(t, version.Vector{"config": 7}, newest, "one liar of %d", n)
+		require.Equal(t, version.Vector{"config": 7}, newest, "one false report of %d", n)
 	}
 	n := newFleet(t, 3, 0, nil).nodes["r-0"]
 	n.SetActs(version.Vector{"config": 3})
 	many := version.Vector{}
-	for i := range mostParts + 1 {
+	for i := range maxParts + 1 {
 		many[fmt.Sprint(i)] = 1
 	}
-	for _, e := range []Envelope{{From: "stranger", Acts: version.Vector{"config": 9}}, {From: "r-0", Acts: version.Vector{"config": 9}},
-		{From: "r-1", Acts: many}, {From: "r-2", Acts: version.Vector{strings.Repeat("x", mostPart+1): 9}}} {
+	for _, e := range []Envelope{{From: "stranger", Versions: version.Vector{"config": 9}}, {From: "r-0", Versions: version.Vector{"config": 9}},
+		{From: "r-1", Versions: many}, {From: "r-2", Versions: version.Vector{strings.Repeat("x", maxPartName+1): 9}}} {
 		e.Members = &members.Message{From: e.From, To: "r-0"}
 		n.Receive(e, time.Hour)
 	}
@@ -326,8 +331,8 @@
 	require.False(t, ok)
 }
 
-// A router that is let in again goes on under a new life, and what was lent to it before is over.
-func TestRenewEndsWhatWasLent(t *testing.T) {
+// A router that continues under a new incarnation loses its loans and can borrow again.
+func TestRenewEndsLoans(t *testing.T) {
 	f := newFleet(t, 3, 0, nil)
 	for _, n := range f.nodes {
 		n.SetLimits("k", map[string]float64{"k": 300}, f.now)
@@ -344,13 +349,13 @@
 		f.run(100 * time.Millisecond)
 	}
 	require.Positive(t, borrowed())
-	before := f.nodes["r-0"].Members(f.now).Life
+	before := f.nodes["r-0"].Members(f.now).Incarnation
 	f.nodes["r-0"].Renew()
-	require.Greater(t, f.nodes["r-0"].Members(f.now).Life, before)
+	require.Greater(t, f.nodes["r-0"].Members(f.now).Incarnation, before)
 	require.Empty(t, f.nodes["r-0"].Budgets(f.now)[0].Borrowed)
 	for range 40 {
 		borrowed()
 		f.run(100 * time.Millisecond)
 	}
-	require.Positive(t, borrowed(), "it borrows anew under its new life")
+	require.Positive(t, borrowed(), "it borrows again under its new incarnation")
 }
--- a/fleet/node/notices.go
+++ b/fleet/node/notices.go
@@ -4,31 +4,32 @@
 	"lichenshelf/fleet/members"
 )
 
-// NoticeKind says what has changed.
+// NoticeKind is the kind of a change.
 type NoticeKind uint8
 
-// Notice is one change, for a log.
+// Notice is one change, to be logged.
 type Notice struct {
 	Kind          NoticeKind
 	Name, Is, Was string
 }
 
-// notice looks for what has changed.
-func (n *Node) notice(now Time) {
+// detectChanges applies a change of the incarnation or of fencing, and adds a notice for each
+// change of the members.
+func (n *Node) detectChanges(now Time) {
 	if n.members.Fenced() && !n.fenced {
 		n.fenced = true
 		n.ledger.Fence()
 		n.notices = append(n.notices, Notice{Kind: Fenced, Name: n.cfg.Self})
 	}
-	life := n.members.Life()
+	life := n.members.Incarnation()
 	n.ledger.SetIncarnation(life)
 	n.outliers.SetLife(life)
 	n.work.SetLife(life)
-	if deaf := n.members.Deaf(members.Time(now)); deaf != n.deaf {
-		n.deaf = deaf
-		kind := Hears
+	if deaf := n.members.Isolated(members.Time(now)); deaf != n.isolated {
+		n.isolated = deaf
+		kind := IsolationEnded
 		if deaf {
-			kind = Deaf
+			kind = Isolated
 		}
 		n.notices = append(n.notices, Notice{Kind: kind, Name: n.cfg.Self})
 	}
@@ -41,7 +42,7 @@
 	}
 }
 
-// Notices returns what has changed since it was asked last.
+// Notices returns the changes since the previous call.
 func (n *Node) Notices() []Notice {
 	out := n.notices
 	n.notices = nil
--- a/fleet/node/workers.go
+++ b/fleet/node/workers.go
@@ -10,21 +10,22 @@
 	"lichenshelf/logic"
 )
 
-// Charge notes own work at a worker, sent or, if negative, done.
+// Charge adds own work at a worker: positive when sent, negative when done.
 func (n *Node) Charge(worker string, w counts.Work) {
 	if w != (counts.Work{}) {
 		n.work.Add(worker, w)
 	}
 }
 
-// Observe notes how an own attempt at a worker of this incarnation ended; outlier.None is well.
+// Observe records the result of an own attempt at a worker that started at since;
+// outlier.None means success.
 func (n *Node) Observe(worker string, since int64, f outlier.Fault, now Time) {
 	n.outliers.Observe(worker, since, f, outlier.Time(now))
 }
 
-// FaultOf is what an attempt's end says of its worker. What was turned away or called off
-// says nothing.
-func FaultOf(s logic.Status) (f outlier.Fault, says bool) {
+// FaultOf returns the fault that an attempt's status shows of its worker. relevant is false for
+// attempts that were rejected or cancelled, which show nothing.
+func FaultOf(s logic.Status) (f outlier.Fault, relevant bool) {
 	switch s {
 	case logic.Served, logic.PromptRead:
 		return outlier.None, true
@@ -38,16 +39,16 @@
 	return outlier.None, false
 }
 
-// Told is what the others have at a worker, as the decisions take it.
+// Told is the load of other routers at a worker, in the form that the router's core takes.
 type Told struct {
 	Server logic.ServerID
 	Load   logic.Load
 }
 
-// Confer judges anew. It returns the part of its traffic that each worker gets that does not
-// get all, and, where it is due, what there is to tell of others' work, by front. The lists are
-// those of the fronts, in their order.
-func (n *Node) Confer(lists [][]Line, now Time) (parts map[string]float64, told [][]Told) {
+// Confer judges the workers. It returns the share of its traffic that each restricted worker
+// gets and, when they are due, the loads of other routers, by front. lists holds the list of
+// each front, in the order of the fronts.
+func (n *Node) Confer(lists [][]Line, now Time) (parts map[string]float64, loads [][]Told) {
 	var workers []outlier.Worker
 	known := map[string]bool{}
 	for i, lines := range lists {
@@ -70,14 +71,14 @@
 		}
 	}
 	n.parts = parts
-	if n.cfg.Counts > 0 && now-n.told >= n.cfg.Counts && len(n.names) > 1 && (n.told > 0 || n.work.Heard(counts.Time(now)) > 0) {
-		n.told = now
-		told = n.tell(lists, now)
+	if n.cfg.Counts > 0 && now-n.loadsReportedAt >= n.cfg.Counts && len(n.names) > 1 && (n.loadsReportedAt > 0 || n.work.Heard(counts.Time(now)) > 0) {
+		n.loadsReportedAt = now
+		loads = n.peerLoads(lists, now)
 	}
-	return parts, told
+	return parts, loads
 }
 
-func (n *Node) tell(lists [][]Line, now Time) [][]Told {
+func (n *Node) peerLoads(lists [][]Line, now Time) [][]Told {
 	peers := map[string]counts.Work{}
 	n.work.Peers(counts.Time(now), func(w string, v counts.Work) { peers[w] = v })
 	all := float64(len(n.names))
@@ -88,7 +89,8 @@
 			continue
 		}
 		for _, l := range lines {
-			// The decisions take the peers' part of the read load that a worker reports, and all of its memory.
+			// The core uses the peers' share of the read load that a worker reports, and all of the
+			// memory that it reports.
 			load := logic.Load{HasUnread: true, UnreadToken: peers[l.Name].Unread * all / (all - 1)}
 			if memory := f.kind(l.Kind).MemoryTokens; memory > 0 {
 				load.HasMemory, load.MemoryShare = true, (n.work.Own(l.Name).Held+peers[l.Name].Held)/memory
@@ -99,8 +101,8 @@
 	return out
 }
 
-// Worker tells what is known of one worker: the part of its traffic that it gets, who judges
-// it, and what the other routers have there.
+// Worker returns what is known of one worker: the share of its traffic that it gets, the
+// judgements on it, and the work of other routers there.
 func (n *Node) Worker(name string, now Time) (part float64, k outlier.Case, peers counts.Work) {
 	part = 1
 	if p, ok := n.parts[name]; ok {
--- a/fleet/node/zone_plan.go
+++ b/fleet/node/zone_plan.go
@@ -11,75 +11,77 @@
 	"lichenshelf/fleet/zone"
 )
 
-// lookAtZones judges anew, and makes the next map where this router does that.
-func (n *Node) lookAtZones(now Time) {
+// updateZones judges the zones and, if this router is the decider, makes the next map.
+func (n *Node) updateZones(now Time) {
 	z := n.zones
-	if z == nil || now-z.looked < zoneLook {
+	if z == nil || now-z.judgedAt < zoneJudgePeriod {
 		return
 	}
-	z.looked = now
+	z.judgedAt = now
 	z.fade(now)
-	current, _ := z.keep.Map(traffic.Time(now))
+	current, _ := z.keeper.Map(traffic.Time(now))
 	if current == nil {
-		current = z.nearest()
+		current = z.localMap()
 	}
-	reports := z.gather(n.cfg.Zones, now)
+	reports := z.aggregate(n.cfg.Zones, now)
 	view := z.view(reports, current)
 	z.states = z.monitor.Judge(view, zone.Time(now))
 	site := z.siteOf(reports)
 	plan, err := solver.Solve(site, &solver.Plan{Read: current.Read})
 	if err != nil {
-		return // checked at the start; capacities are parts of what was checked
+		return // cannot happen: Zones checked the site, and these capacities are fractions of its own
 	}
 	aim := z.aimOf(reports, view, site)
 	keepUnused(plan, current, aim)
 	z.plan, z.site = plan, site
-	if !n.decides(now) {
+	if !n.isDecider(now) {
 		return
 	}
 	aim.By, aim.Read, aim.Write = n.cfg.Self, plan.Read, plan.Write
-	next := z.step.Step(*current, aim, traffic.Time(now))
+	next := z.stepper.Step(*current, aim, traffic.Time(now))
 	if next == nil {
-		next = current // renewed
+		next = current // renews the map
 	}
-	_ = z.keep.Take(next, traffic.Time(now))
+	_ = z.keeper.Take(next, traffic.Time(now))
 }
 
-// zoneReports is what this router and those that it has heard lately tell of the zones, by index.
+// zoneReports aggregates the reports of this router and of the others, by index of the zone.
 type zoneReports struct {
-	load    []float64 // requests a second that come to each zone
-	serving []float64 // part of each zone's workers that serve; 1 where nobody has told
-	sights  []zone.Sight
+	load         []float64 // requests per second that enter at each zone
+	serving      []float64 // share of each zone's workers that serve; 1 without reports
+	observations []zone.Sight
 }
 
-// gather sums what was told. A router hears some of the others at a time: these stand for the rest of their zone.
-func (z *zones) gather(zoneOf map[string]string, now Time) zoneReports {
+// aggregate sums the reports. Only some of the other routers have reported recently, so the
+// load of a zone is extrapolated from those to all routers of the zone.
+func (z *zones) aggregate(zoneOf map[string]string, now Time) zoneReports {
 	all := z.cfg.Judge.Zones
 	reports := zoneReports{load: make([]float64, len(all)), serving: make([]float64, len(all))}
-	tellers, heard := make([]float64, len(all)), make([]float64, len(all)) // of load, and of workers
-	add := func(from string, news ZoneNews) {
+	// Numbers of reports by zone.
+	loadReports, servingReports := make([]float64, len(all)), make([]float64, len(all))
+	add := func(from string, report ZoneReport) {
 		entry := slices.Index(all, from)
 		if entry < 0 {
 			return
 		}
-		reports.load[entry] += news.Load
-		tellers[entry]++
+		reports.load[entry] += report.Load
+		loadReports[entry]++
 		for i, of := range all {
-			if tried := news.Tried[of]; tried > 0 {
-				reports.sights = append(reports.sights, zone.Sight{From: from, Of: of, Tried: tried, Bad: math.Min(news.Bad[of], tried)})
+			if attempts := report.Attempts[of]; attempts > 0 {
+				reports.observations = append(reports.observations, zone.Sight{From: from, Of: of, Tried: attempts, Bad: math.Min(report.Failures[of], attempts)})
 			}
-			if up, ok := news.Up[of]; ok {
-				reports.serving[i] += math.Min(up, 1)
-				heard[i]++
+			if serving, ok := report.Serving[of]; ok {
+				reports.serving[i] += math.Min(serving, 1)
+				servingReports[i]++
 			}
 		}
 	}
-	add(z.own, z.news)
-	for _, name := range slices.Sorted(maps.Keys(z.others)) {
-		if o := z.others[name]; now-o.at <= zoneStale {
-			add(zoneOf[name], o.ZoneNews)
+	add(z.own, z.ownReport)
+	for _, name := range slices.Sorted(maps.Keys(z.peerReports)) {
+		if o := z.peerReports[name]; now-o.at <= zoneReportMaxAge {
+			add(zoneOf[name], o.ZoneReport)
 		} else {
-			delete(z.others, name)
+			delete(z.peerReports, name)
 		}
 	}
 	routers := map[string]float64{}
@@ -87,11 +89,11 @@
 		routers[of]++
 	}
 	for i, name := range all {
-		if tellers[i] > 0 {
-			reports.load[i] *= routers[name] / tellers[i]
+		if loadReports[i] > 0 {
+			reports.load[i] *= routers[name] / loadReports[i]
 		}
-		if heard[i] > 0 {
-			reports.serving[i] /= heard[i]
+		if servingReports[i] > 0 {
+			reports.serving[i] /= servingReports[i]
 		} else {
 			reports.serving[i] = 1
 		}
@@ -99,9 +101,9 @@
 	return reports
 }
 
-// view is what the zones are judged by, while a map holds.
+// view returns the input for judging the zones while current is the map in force.
 func (z *zones) view(reports zoneReports, current *traffic.Map) zone.View {
-	view := zone.View{Capacities: map[string]zone.Capacity{}, Out: map[string]bool{}, Sights: reports.sights}
+	view := zone.View{Capacities: map[string]zone.Capacity{}, Out: map[string]bool{}, Sights: reports.observations}
 	for i, name := range z.cfg.Judge.Zones {
 		load := 0.0
 		for entry := range reports.load {
@@ -109,12 +111,12 @@
 		}
 		serving, capacity := reports.serving[i], z.cfg.Capacity[name]
 		view.Capacities[name] = zone.Capacity{Load: load, Now: serving * math.Min(capacity.Read, capacity.Write), Listed: serving > 0}
-		view.Out[name] = z.news.Ops[name].Out
+		view.Out[name] = z.ownReport.Ops[name].Out
 	}
 	return view
 }
 
-// siteOf is what the solver finds a plan for, by the zones' states.
+// siteOf returns the solver's input for the zones' states.
 func (z *zones) siteOf(reports zoneReports) solver.Site {
 	all := z.cfg.Judge.Zones
 	site := solver.Site{Far: z.cfg.Far, Room: z.cfg.Room, Safe: z.cfg.Safe, Seen: make([][]bool, len(all))}
@@ -133,7 +135,7 @@
 	return site
 }
 
-// aimOf is what the map moves towards, but for the plan.
+// aimOf returns what the map moves towards, without the plan.
 func (z *zones) aimOf(reports zoneReports, view zone.View, site solver.Site) traffic.Aim {
 	aim := traffic.Aim{Load: reports.load}
 	for i, v := range z.states {
@@ -146,8 +148,9 @@
 	return aim
 }
 
-// keepUnused leaves what no traffic goes by as it is: an entry without load of its own stays near, or with what holds, and so do
-// readers' zones from which nothing is written.
+// keepUnused copies from the current map the rows that no traffic uses: those of entry zones
+// without load, except for zones at level 0, and those of readers' zones that pass nothing to
+// writers.
 func keepUnused(plan *solver.Plan, current *traffic.Map, aim traffic.Aim) {
 	for entry, load := range aim.Load {
 		if load != 0 {
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -14,84 +14,93 @@
 	"lichenshelf/fleet/zone"
 )
 
-// ZoneConfig says how zones are judged and traffic is moved between them. All of it must be the same at every router.
+// ZoneConfig holds the settings for judging zones and moving traffic between them. It must be
+// the same at every router.
 type ZoneConfig struct {
-	Judge    zone.Config // its Zones are those of the map
-	Terms    traffic.Terms
-	Pace     traffic.Pace
-	Safe     float64                // part of a zone's capacity up to which it is loaded while another one has room
-	Capacity map[string]solver.Zone // requests a second that a zone takes, with all of its workers warm
-	Far      [][]float64            // cost of distance, 0 to 1
-	Room     [][]float64            // requests a second between readers and writers; negative: not bounded
+	Judge zone.Config // its Zones are also the zones of the map
+	Terms traffic.Terms
+	Pace  traffic.Pace
+	// Safe is the share of a zone's capacity that is used while another zone has spare capacity.
+	Safe float64
+	// Capacity is in requests per second, with all workers of the zone warm.
+	Capacity map[string]solver.Zone
+	Far      [][]float64 // cost of distance, 0 to 1
+	// Room is in requests per second between readers and writers; negative: no limit.
+	Room [][]float64
 }
 
-// ZoneNews is what one router tells of the zones.
-type ZoneNews struct {
-	Tried map[string]float64 `cbor:"1,keyasint"` // own attempts lately, by the worker's zone
-	Bad   map[string]float64 `cbor:"2,keyasint"` // those that could not reach it, were reset or answered by an error
-	Load  float64            `cbor:"3,keyasint"` // requests a second that come to it
-	Up    map[string]float64 `cbor:"4,keyasint"` // part of each zone's workers that serve, as warm as they are
-	Ops   map[string]ZoneOp  `cbor:"5,keyasint"` // operators' words
-	Map   *traffic.Map       `cbor:"6,keyasint,omitempty"`
-	Age   time.Duration      `cbor:"7,keyasint"` // since the map was renewed
+// ZoneReport is what one router reports about the zones.
+type ZoneReport struct {
+	// Attempts counts recent own attempts by the worker's zone, decaying with zoneTimeConstant.
+	// Failures counts those that did not connect, were reset or were answered with an error.
+	Attempts map[string]float64 `cbor:"1,keyasint"`
+	Failures map[string]float64 `cbor:"2,keyasint"`
+	Load     float64            `cbor:"3,keyasint"` // requests per second that arrive at this router
+	// Serving is the share of each zone's workers that serve, weighted by how warm they are.
+	Serving map[string]float64 `cbor:"4,keyasint"`
+	Ops     map[string]ZoneOp  `cbor:"5,keyasint"` // operators' commands
+	Map     *traffic.Map       `cbor:"6,keyasint,omitempty"`
+	Age     time.Duration      `cbor:"7,keyasint"` // since the map was renewed
 }
 
-// ZoneOp is an operator's word on a zone; the later version counts.
+// ZoneOp is an operator's command for a zone; the highest version wins.
 type ZoneOp struct {
 	Out     bool   `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// The faults of operators' calls.
+// Errors of operators' calls.
 var (
 	ErrNoZone   = errors.New("no such zone")
 	ErrLastZone = errors.New("no other zone could take its traffic")
 )
 
 const (
-	zoneLook   = 250 * time.Millisecond
-	zoneMemory = 4 * time.Second // over which attempts and arrivals fade: routers leave bad workers by themselves within a second or two
-	zoneStale  = 3 * time.Second // after which another router's word counts no more
-	leastPart  = 1e-3            // of a fading count, under which it is none
+	zoneJudgePeriod = 250 * time.Millisecond
+	// zoneTimeConstant is that of the decay of attempts and arrivals. Each router stops using bad
+	// workers by itself within a second or two; evidence has to outlast that.
+	zoneTimeConstant = 4 * time.Second
+	zoneReportMaxAge = 3 * time.Second // older reports of other routers are ignored
+	minCount         = 1e-3            // decaying counts below it are removed
 )
 
-// zones is a node's part in the traffic between zones.
+// zones is a node's state for traffic between zones.
 type zones struct {
-	cfg     ZoneConfig
-	own     string
-	monitor *zone.Monitor
-	step    *traffic.Stepper
-	keep    *traffic.Keeper
-	news    ZoneNews // of this router; counts as of at
-	at      Time
-	others  map[string]heardZones
-	looked  Time
-	states  []zone.Verdict
-	plan    *solver.Plan // what the best would be, as it was found last
-	site    solver.Site  // from which
+	cfg         ZoneConfig
+	own         string
+	monitor     *zone.Monitor
+	stepper     *traffic.Stepper
+	keeper      *traffic.Keeper
+	ownReport   ZoneReport // its counts have decayed up to time at
+	at          Time
+	peerReports map[string]peerZoneReport
+	judgedAt    Time
+	states      []zone.Verdict
+	plan        *solver.Plan // the latest solution: what the map moves towards
+	site        solver.Site  // the input of plan
 }
 
-type heardZones struct {
-	ZoneNews
+type peerZoneReport struct {
+	ZoneReport
 	at Time
 }
 
-// Zones makes this node judge zones and follow a map of traffic between them, as a router of its own zone, which must be one of
-// those of the config.
+// Zones makes this node judge zones and follow a map of traffic between them. The router's own
+// zone must be one of those of the config.
 func (n *Node) Zones(cfg ZoneConfig, now Time) error {
 	own := n.cfg.Zones[n.cfg.Self]
 	if !slices.Contains(cfg.Judge.Zones, own) {
-		return fmt.Errorf("%w: %q, of router %s", ErrNoZone, own, n.cfg.Self)
+		return fmt.Errorf("%w: %q, the zone of router %s", ErrNoZone, own, n.cfg.Self)
 	}
-	z := &zones{cfg: cfg, own: own, at: now, others: map[string]heardZones{}}
+	z := &zones{cfg: cfg, own: own, at: now, peerReports: map[string]peerZoneReport{}}
 	var err error
 	if z.monitor, err = zone.New(cfg.Judge, zone.Time(now)); err != nil {
 		return err
 	}
-	if z.step, err = traffic.NewStepper(cfg.Pace, traffic.Time(now)); err != nil {
+	if z.stepper, err = traffic.NewStepper(cfg.Pace, traffic.Time(now)); err != nil {
 		return err
 	}
-	if z.keep, err = traffic.NewKeeper(cfg.Terms, own); err != nil {
+	if z.keeper, err = traffic.NewKeeper(cfg.Terms, own); err != nil {
 		return err
 	}
 	site := solver.Site{Far: cfg.Far, Room: cfg.Room, Safe: cfg.Safe}
@@ -101,7 +110,7 @@
 	if _, err := solver.Solve(site, nil); err != nil {
 		return err
 	}
-	z.news = ZoneNews{Tried: map[string]float64{}, Bad: map[string]float64{}, Up: map[string]float64{}, Ops: map[string]ZoneOp{}}
+	z.ownReport = ZoneReport{Attempts: map[string]float64{}, Failures: map[string]float64{}, Serving: map[string]float64{}, Ops: map[string]ZoneOp{}}
 	n.zones = z
 	return nil
 }
@@ -110,79 +119,81 @@
 	if now <= z.at {
 		return
 	}
-	f := math.Exp(-float64(now-z.at) / float64(zoneMemory))
-	for _, m := range []map[string]float64{z.news.Tried, z.news.Bad} {
+	f := math.Exp(-float64(now-z.at) / float64(zoneTimeConstant))
+	for _, m := range []map[string]float64{z.ownReport.Attempts, z.ownReport.Failures} {
 		for name := range m {
-			if m[name] *= f; m[name] < leastPart {
+			if m[name] *= f; m[name] < minCount {
 				delete(m, name)
 			}
 		}
 	}
-	z.news.Load *= f
+	z.ownReport.Load *= f
 	z.at = now
 }
 
-// ZoneArrived notes a request that came to this router.
+// ZoneArrived records a request that arrived at this router.
 func (n *Node) ZoneArrived(now Time) {
 	if z := n.zones; z != nil {
 		z.fade(now)
-		z.news.Load += 1 / zoneMemory.Seconds()
+		z.ownReport.Load += 1 / zoneTimeConstant.Seconds()
 	}
 }
 
-// ZoneTried notes how an attempt at a worker of a zone ended.
-func (n *Node) ZoneTried(of string, bad bool, now Time) {
+// ZoneTried records whether an attempt at a worker of a zone failed.
+func (n *Node) ZoneTried(of string, failed bool, now Time) {
 	if z := n.zones; z != nil && slices.Contains(z.cfg.Judge.Zones, of) {
 		z.fade(now)
-		z.news.Tried[of]++
-		if bad {
-			z.news.Bad[of]++
+		z.ownReport.Attempts[of]++
+		if failed {
+			z.ownReport.Failures[of]++
 		}
 	}
 }
 
-// ZoneUp notes which part of a zone's workers serve, as warm as they are.
-func (n *Node) ZoneUp(up map[string]float64) {
+// ZoneUp sets the share of each zone's workers that serve, weighted by how warm they are.
+func (n *Node) ZoneUp(serving map[string]float64) {
 	if z := n.zones; z != nil {
-		z.news.Up = up
+		z.ownReport.Serving = serving
 	}
 }
 
-// tell is what goes to the others.
-func (z *zones) tell(now Time) *ZoneNews {
+// report returns the report that is sent to other routers.
+func (z *zones) report(now Time) *ZoneReport {
 	z.fade(now)
-	out := z.news
-	out.Tried, out.Bad, out.Up, out.Ops = maps.Clone(out.Tried), maps.Clone(out.Bad), maps.Clone(out.Up), maps.Clone(out.Ops)
-	out.Map, out.Age = z.keep.Map(traffic.Time(now))
+	out := z.ownReport
+	out.Attempts, out.Failures, out.Serving, out.Ops = maps.Clone(out.Attempts), maps.Clone(out.Failures), maps.Clone(out.Serving), maps.Clone(out.Ops)
+	out.Map, out.Age = z.keeper.Map(traffic.Time(now))
 	return &out
 }
 
-// hear takes another router's word. A map that makes no sense, is older or another one of the same epoch is passed over.
-func (z *zones) hear(from string, news ZoneNews, now Time) {
-	for _, m := range []map[string]float64{news.Tried, news.Bad, news.Up} {
+// receive stores another router's report. The keeper ignores a map that is invalid, older than
+// the present one, or different from it under the same epoch.
+func (z *zones) receive(from string, report ZoneReport, now Time) {
+	for _, m := range []map[string]float64{report.Attempts, report.Failures, report.Serving} {
 		for name, v := range m {
 			if !slices.Contains(z.cfg.Judge.Zones, name) || !(v >= 0) || math.IsInf(v, 0) {
 				return
 			}
 		}
 	}
-	if !(news.Load >= 0) || math.IsInf(news.Load, 0) || news.Age < 0 {
+	if !(report.Load >= 0) || math.IsInf(report.Load, 0) || report.Age < 0 {
 		return
 	}
-	z.others[from] = heardZones{news, now}
-	for name, op := range news.Ops {
-		if op.Version > z.news.Ops[name].Version && slices.Contains(z.cfg.Judge.Zones, name) {
-			z.news.Ops[name] = op
+	z.peerReports[from] = peerZoneReport{report, now}
+	for name, op := range report.Ops {
+		if op.Version > z.ownReport.Ops[name].Version && slices.Contains(z.cfg.Judge.Zones, name) {
+			z.ownReport.Ops[name] = op
 		}
 	}
-	if news.Map != nil && slices.Equal(news.Map.Zones, z.cfg.Judge.Zones) {
-		_ = z.keep.Take(news.Map, traffic.Time(now-news.Age))
+	if report.Map != nil && slices.Equal(report.Map.Zones, z.cfg.Judge.Zones) {
+		_ = z.keeper.Take(report.Map, traffic.Time(now-report.Age))
 	}
 }
 
-// decides tells whether this router makes the maps: the first by name of those that are alive, if it hears enough of them.
-func (n *Node) decides(now Time) bool {
-	if n.fenced || n.members.Deaf(members.Time(now)) {
+// isDecider reports whether this router makes the maps. The decider is the first by name of the
+// routers that are alive, provided that it is neither fenced nor isolated.
+func (n *Node) isDecider(now Time) bool {
+	if n.fenced || n.members.Isolated(members.Time(now)) {
 		return false
 	}
 	for _, name := range n.names {
@@ -196,8 +207,8 @@
 	return false
 }
 
-// nearest is the map that holds before there is one: all stays where it comes in.
-func (z *zones) nearest() *traffic.Map {
+// localMap returns the initial map, under which all traffic stays in the zone where it enters.
+func (z *zones) localMap() *traffic.Map {
 	all := z.cfg.Judge.Zones
 	m := &traffic.Map{Epoch: 1, Zones: all, Why: "before there was one"}
 	for i := range all {
@@ -208,22 +219,23 @@
 	return m
 }
 
-// sees tells whether own attempts reach a zone; without any it counts as seen.
-func (z *zones) sees(name string) bool {
-	tried := z.news.Tried[name]
-	return tried < z.cfg.Judge.Least || z.news.Bad[name] < z.cfg.Judge.Lost*tried
+// reaches reports whether own attempts reach a zone. With too few attempts to judge by, a zone
+// counts as reached.
+func (z *zones) reaches(name string) bool {
+	attempts := z.ownReport.Attempts[name]
+	return attempts < z.cfg.Judge.Least || z.ownReport.Failures[name] < z.cfg.Judge.Lost*attempts
 }
 
-// ZoneWay is where this router's traffic is to go, by zone.
+// ZoneWay says where this router's traffic goes, by zone.
 type ZoneWay struct {
 	Names  []string
-	Shares []float64 // parts that are to be read there
-	Barred []bool    // nothing new may go to its workers
+	Shares []float64 // shares of the requests that are read there
+	Barred []bool    // its workers get nothing new
 	May    []bool    // it may be used: it is not barred, and own attempts reach it
 	Own    int       // index of the router's zone
 }
 
-// ZoneWay returns it; false where no zones were set.
+// ZoneWay returns where this router's traffic goes; ok is false if no zones are set.
 func (n *Node) ZoneWay(now Time) (way ZoneWay, ok bool) {
 	z := n.zones
 	if z == nil {
@@ -231,40 +243,40 @@
 	}
 	z.fade(now)
 	way.Names = z.cfg.Judge.Zones
-	way.Shares = z.keep.Shares(way.Names, z.sees, traffic.Time(now))
+	way.Shares = z.keeper.Shares(way.Names, z.reaches, traffic.Time(now))
 	for _, name := range way.Names {
-		barred := z.keep.Barred(name, traffic.Time(now))
-		way.Barred, way.May = append(way.Barred, barred), append(way.May, !barred && z.sees(name))
+		barred := z.keeper.Barred(name, traffic.Time(now))
+		way.Barred, way.May = append(way.Barred, barred), append(way.May, !barred && z.reaches(name))
 	}
 	way.Own = slices.Index(way.Names, z.own)
 	return way, true
 }
 
-// ZoneView is what there is to see of the zones.
+// ZoneView is the state of the zones for the console.
 type ZoneView struct {
 	States  []zone.Verdict
 	Map     *traffic.Map
 	Age     time.Duration
-	Best    *solver.Plan // what the map moves towards
+	Best    *solver.Plan // the plan that the map moves towards
 	Decides bool
 	Shares  []float64 // of this router
 }
 
-// ZonePage tells of the zones; false where none were set.
-func (n *Node) ZonePage(now Time) (ZoneView, bool) {
+// ZoneView returns the state of the zones, and false if none are set.
+func (n *Node) ZoneView(now Time) (ZoneView, bool) {
 	z := n.zones
 	if z == nil {
 		return ZoneView{}, false
 	}
-	v := ZoneView{States: z.states, Best: z.plan, Decides: n.decides(now)}
-	v.Map, v.Age = z.keep.Map(traffic.Time(now))
+	v := ZoneView{States: z.states, Best: z.plan, Decides: n.isDecider(now)}
+	v.Map, v.Age = z.keeper.Map(traffic.Time(now))
 	way, _ := n.ZoneWay(now)
 	v.Shares = way.Shares
 	return v, true
 }
 
-// ZoneDry tells where traffic would go if a zone were out, by what is known now.
-func (n *Node) ZoneDry(name string) (*solver.Plan, error) {
+// PlanWithoutZone returns where traffic would go if a zone were out, from the present reports.
+func (n *Node) PlanWithoutZone(name string) (*solver.Plan, error) {
 	z := n.zones
 	if z == nil || !slices.Contains(z.cfg.Judge.Zones, name) || len(z.site.Zones) == 0 {
 		return nil, fmt.Errorf("%w: %.64q", ErrNoZone, name)
@@ -275,22 +287,22 @@
 	return solver.Solve(site, z.plan)
 }
 
-// ZoneOut takes an operator's word that a zone is out, or back with false. A zone that is the last one that may be used is
-// ErrLastZone unless it is forced.
-func (n *Node) ZoneOut(name string, out, force bool, now Time) error {
+// SetZoneOut takes a zone out, or back in if out is false, on an operator's command. It returns
+// ErrLastZone for the last zone that may be used, unless force is set.
+func (n *Node) SetZoneOut(name string, out, force bool, now Time) error {
 	z := n.zones
 	if z == nil || !slices.Contains(z.cfg.Judge.Zones, name) {
 		return fmt.Errorf("%w: %.64q", ErrNoZone, name)
 	}
 	left := 0
 	for _, v := range z.states {
-		if v.Zone != name && v.Level > 0 && !z.news.Ops[v.Zone].Out {
+		if v.Zone != name && v.Level > 0 && !z.ownReport.Ops[v.Zone].Out {
 			left++
 		}
 	}
 	if out && left == 0 && !force {
 		return fmt.Errorf("%w: all of it would be shed", ErrLastZone)
 	}
-	z.news.Ops[name] = ZoneOp{out, max(z.news.Ops[name].Version+1, uint64(now.Milliseconds()))}
+	z.ownReport.Ops[name] = ZoneOp{out, max(z.ownReport.Ops[name].Version+1, uint64(now.Milliseconds()))}
 	return nil
 }
--- a/fleet/node/zones_test.go
+++ b/fleet/node/zones_test.go
@@ -32,17 +32,17 @@
 	return c
 }
 
-// zoned is nodes in three zones whose requests go as their shares say.
+// zoned runs nodes in three zones whose requests follow their shares.
 type zoned struct {
 	*fleet
-	ill  map[string]bool      // zones where all goes wrong
-	dead map[string]bool      // routers
-	sent map[string][]float64 // of each router, its shares at the last look
-	load float64              // requests a second of each entry
+	failing map[string]bool      // zones where all attempts fail
+	dead    map[string]bool      // routers
+	sent    map[string][]float64 // latest shares of each router
+	load    float64              // requests per second that enter at each zone
 }
 
 func newZoned(t testing.TB, n int) *zoned {
-	z := &zoned{ill: map[string]bool{}, dead: map[string]bool{}, sent: map[string][]float64{}, load: 60}
+	z := &zoned{failing: map[string]bool{}, dead: map[string]bool{}, sent: map[string][]float64{}, load: 60}
 	z.fleet = newFleet(t, n, 0, func(c *Config) {
 		for i := range n {
 			c.Zones[fmt.Sprintf("r-%d", i)] = zoneNames[i%len(zoneNames)]
@@ -71,17 +71,18 @@
 			shares, barred := way.Shares, way.Barred
 			require.True(z.t, ok)
 			z.sent[name] = shares
-			// So many requests in this time, by parts of one: each is noted as often as it would be.
+			// Adds the expected numbers of requests and attempts of this tick, as fractions, in place
+			// of calls of ZoneArrived and ZoneTried.
 			node.zones.fade(z.now)
-			node.zones.news.Load += each / zoneMemory.Seconds()
+			node.zones.ownReport.Load += each / zoneTimeConstant.Seconds()
 			for k, of := range zoneNames {
-				looks := shares[k]*each + 0.1 // sessions that hang on
+				attempts := shares[k]*each + 0.1 // 0.1: sessions that are bound to the zone
 				if barred[k] {
-					looks = 0
+					attempts = 0
 				}
-				node.zones.news.Tried[of] += looks
-				if z.ill[of] {
-					node.zones.news.Bad[of] += looks
+				node.zones.ownReport.Attempts[of] += attempts
+				if z.failing[of] {
+					node.zones.ownReport.Failures[of] += attempts
 				}
 			}
 			z.send(node.Tick(z.now))
@@ -95,7 +96,7 @@
 		if z.dead[name] {
 			continue
 		}
-		v, _ := node.ZonePage(z.now)
+		v, _ := node.ZoneView(z.now)
 		for _, s := range v.States {
 			if s.Zone == of {
 				out[s.State.String()]++
@@ -105,25 +106,25 @@
 	return out
 }
 
-func (z *zoned) epochs() (least, most uint64, deciders int) {
-	least = math.MaxUint64
+func (z *zoned) epochs() (lowest, highest uint64, deciders int) {
+	lowest = math.MaxUint64
 	for name, node := range z.nodes {
 		if z.dead[name] {
 			continue
 		}
-		v, _ := node.ZonePage(z.now)
+		v, _ := node.ZoneView(z.now)
 		if v.Decides {
 			deciders++
 		}
 		if v.Map != nil {
-			least, most = min(least, v.Map.Epoch), max(most, v.Map.Epoch)
+			lowest, highest = min(lowest, v.Map.Epoch), max(highest, v.Map.Epoch)
 		}
 	}
-	return least, most, deciders
+	return lowest, highest, deciders
 }
 
-// A zone goes wrong: all routers come to know it, go by one map, send nothing there, and go back to it when it is well; with the
-// decider dead on the way, and with one router that tells nonsense.
+// All attempts at a zone fail: all routers notice, follow one map, send nothing there, and return
+// to the zone when it has recovered, although the decider dies in between.
 func TestNodesAgreeOnZones(t *testing.T) {
 	sizes := []int{6, 30}
 	if *large {
@@ -131,7 +132,7 @@
 	}
 	for _, n := range sizes {
 		z := newZoned(t, n)
-		spread := 5*time.Second + time.Duration(n)*100*time.Millisecond // until news is everywhere
+		spread := 5*time.Second + time.Duration(n)*100*time.Millisecond // until reports have reached all routers
 		z.run(2 * spread)
 		require.Equal(t, map[string]int{"healthy": n}, z.states("a"))
 		_, _, deciders := z.epochs()
@@ -139,7 +140,7 @@
 		for _, shares := range z.sent {
 			require.InDelta(t, 1, shares[0]+shares[1]+shares[2], 1e-6)
 		}
-		z.ill["a"] = true
+		z.failing["a"] = true
 		began, barred := z.now, 0
 		for until := z.now + 2*spread; barred < n && z.now < until; {
 			z.run(100 * time.Millisecond)
@@ -148,81 +149,83 @@
 				if way, _ := node.ZoneWay(z.now); way.Barred[0] {
 					shares := way.Shares
 					barred++
-					require.Zero(t, shares[0], "nothing is sent there")
+					require.Zero(t, shares[0], "nothing is sent to a barred zone")
 				}
 			}
 		}
 		require.Equal(t, n, barred, "%d routers: %v", n, z.states("a"))
 		took := z.now - began
-		z.dead["r-0"] = true // it decided
-		z.ill["a"] = false
+		z.dead["r-0"] = true // the decider
+		z.failing["a"] = false
 		z.run(4*spread + 90*time.Second)
 		require.Equal(t, n-1, z.states("a")["healthy"], "%d routers: %v", n, z.states("a"))
-		least, most, deciders := z.epochs()
+		lowest, highest, deciders := z.epochs()
 		require.Equal(t, 1, deciders, "%d routers", n)
-		require.LessOrEqual(t, most-least, uint64(1), "%d routers", n)
+		require.LessOrEqual(t, highest-lowest, uint64(1), "%d routers", n)
 		for i := 3; i < n; i += 3 {
-			require.Greater(t, z.sent[fmt.Sprintf("r-%d", i)][0], 0.9, "near again at %d of %d", i, n)
+			require.Greater(t, z.sent[fmt.Sprintf("r-%d", i)][0], 0.9, "router %d of %d reads in its own zone again", i, n)
 		}
-		t.Logf("%d routers: the zone is barred at all %v after it went wrong; epoch %d at the end", n, took, most)
+		t.Logf("%d routers: the zone is barred at all routers %v after it began to fail; epoch %d at the end", n, took, highest)
 	}
 }
 
-// What makes no sense is passed over, an operator's later word counts, and the last zone is not drained.
-func TestZoneNewsThatMakesNoSense(t *testing.T) {
+// Invalid reports and maps are ignored, the latest command of an operator wins, and the last zone
+// is not drained unless forced.
+func TestInvalidZoneReportsAndOperators(t *testing.T) {
 	z := newZoned(t, 3)
 	node := z.nodes["r-0"]
-	for name, news := range map[string]ZoneNews{
-		"a negative count": {Tried: map[string]float64{"b": -1}},
-		"no number":        {Bad: map[string]float64{"b": math.NaN()}},
-		"no such zone":     {Up: map[string]float64{"nowhere": 1}},
-		"load without end": {Load: math.Inf(1)},
-		"an age below 0":   {Age: -1},
+	for name, report := range map[string]ZoneReport{
+		"a negative count": {Attempts: map[string]float64{"b": -1}},
+		"not a number":     {Failures: map[string]float64{"b": math.NaN()}},
+		"no such zone":     {Serving: map[string]float64{"nowhere": 1}},
+		"infinite load":    {Load: math.Inf(1)},
+		"a negative age":   {Age: -1},
 	} {
-		node.Receive(Envelope{From: "r-1", Members: &members.Message{From: "r-1", To: "r-0"}, Zones: &news}, z.now)
-		require.Empty(t, node.zones.others, name)
+		node.Receive(Envelope{From: "r-1", Members: &members.Message{From: "r-1", To: "r-0"}, ZoneReport: &report}, z.now)
+		require.Empty(t, node.zones.peerReports, name)
 	}
 	foreign := traffic.Map{Epoch: 1 << 60, Zones: []string{"x", "b", "c"}}
 	wild := traffic.Map{Epoch: 1 << 60, Zones: zoneNames, Read: [][]float64{{2, 0, 0}, {0, 1, 0}, {0, 0, 1}}, Write: [][]float64{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}}
 	for _, m := range []*traffic.Map{&foreign, &wild} {
-		node.Receive(Envelope{From: "r-1", Members: &members.Message{From: "r-1", To: "r-0"}, Zones: &ZoneNews{Map: m}}, z.now)
-		held, _ := node.zones.keep.Map(0)
+		node.Receive(Envelope{From: "r-1", Members: &members.Message{From: "r-1", To: "r-0"}, ZoneReport: &ZoneReport{Map: m}}, z.now)
+		held, _ := node.zones.keeper.Map(0)
 		require.Nil(t, held)
 	}
 	z.run(5 * time.Second)
-	require.ErrorIs(t, node.ZoneOut("nowhere", true, false, z.now), ErrNoZone)
-	require.NoError(t, node.ZoneOut("a", true, false, z.now))
-	require.NoError(t, z.nodes["r-2"].ZoneOut("b", true, false, z.now))
+	require.ErrorIs(t, node.SetZoneOut("nowhere", true, false, z.now), ErrNoZone)
+	require.NoError(t, node.SetZoneOut("a", true, false, z.now))
+	require.NoError(t, z.nodes["r-2"].SetZoneOut("b", true, false, z.now))
 	z.run(5 * time.Second)
-	require.ErrorIs(t, node.ZoneOut("c", true, false, z.now), ErrLastZone)
-	p, err := node.ZoneDry("c")
+	require.ErrorIs(t, node.SetZoneOut("c", true, false, z.now), ErrLastZone)
+	p, err := node.PlanWithoutZone("c")
 	require.NoError(t, err)
-	require.False(t, p.Feasible(), "nothing would be left")
-	require.NoError(t, node.ZoneOut("a", false, false, z.now))
+	require.False(t, p.Feasible(), "no zone would be left")
+	require.NoError(t, node.SetZoneOut("a", false, false, z.now))
 	z.run(20 * time.Second)
-	require.Equal(t, map[string]int{"strained": 3}, z.states("a"), "with what b had")
+	require.Equal(t, map[string]int{"strained": 3}, z.states("a"), "it carries the load of b")
 	require.Equal(t, map[string]int{"out": 3}, z.states("b"))
-	require.NoError(t, node.ZoneOut("c", true, true, z.now))
+	require.NoError(t, node.SetZoneOut("c", true, true, z.now))
 }
 
-// Cut in two halves of three zones, the side that hears less than half of the others decides nothing and goes over to its own zone.
-func TestTheSmallerSideOfACut(t *testing.T) {
+// In a network partition the side whose routers hear less than half of the others decides nothing,
+// and its traffic moves to its own zone as the map ages. After the heal it takes the newer epoch.
+func TestSmallerSideOfPartition(t *testing.T) {
 	z := newZoned(t, 9)
 	z.run(10 * time.Second)
-	small := map[string]bool{"r-0": true, "r-3": true} // both of zone a; r-0 decided
+	small := map[string]bool{"r-0": true, "r-3": true} // both of zone a; r-0 was the decider
 	z.cut = func(from, to string) bool { return small[from] != small[to] }
 	z.run(60 * time.Second)
-	v, _ := z.nodes["r-0"].ZonePage(z.now)
+	v, _ := z.nodes["r-0"].ZoneView(z.now)
 	require.False(t, v.Decides)
 	require.Greater(t, v.Age, 20*time.Second)
-	require.InDeltaSlice(t, []float64{0.8, 0.1, 0.1}, z.sent["r-0"], 0.01, "its own zone and the spill")
-	w, _ := z.nodes["r-1"].ZonePage(z.now)
+	require.InDeltaSlice(t, []float64{0.8, 0.1, 0.1}, z.sent["r-0"], 0.01, "its own zone, and the spill to the others")
+	w, _ := z.nodes["r-1"].ZoneView(z.now)
 	require.True(t, w.Decides)
 	require.Less(t, w.Age, 2*time.Second)
 	z.cut = nil
 	z.run(20 * time.Second)
-	v, _ = z.nodes["r-0"].ZonePage(z.now)
-	require.True(t, v.Decides, "it goes on from the epoch that came meanwhile")
+	v, _ = z.nodes["r-0"].ZoneView(z.now)
+	require.True(t, v.Decides, "it continues from the epoch received after the partition")
 	require.GreaterOrEqual(t, v.Map.Epoch, w.Map.Epoch)
 	require.Less(t, v.Age, 2*time.Second)
 }
