--- a/fleet/members/members.go
+++ b/fleet/members/members.go
@@ -1,19 +1,19 @@
-// Package members tells which of a fleet's routers are there, from the heartbeats
-// that they pass on to each other.
+// Package members implements failure detection among the routers of a fleet with gossiped
+// heartbeats.
 //
-// A router counts its own beats. Each message carries the sender's newest beats of
-// itself and of a bounded number of others, so news of a router comes by whoever
-// still hears it: a link that is lost, or lost one way, makes nobody doubtful as long
-// as somebody who is heard hears that router. Work goes with the number of routers,
-// not with its square.
+// A router numbers its own heartbeats. Each message carries the sender's latest heartbeat and
+// those that it knows of a bounded number of other routers. Heartbeats therefore also arrive
+// through third routers: a link that is lost, or lost in one direction, makes no router suspect
+// while some reachable router still receives its heartbeats. The number of messages grows with
+// the number of routers, not with its square.
 //
-// A router of which no newer beat comes is doubtful here. It is silent only once a
-// stated number of other routers doubt the same beat as well; a newer beat refutes
-// all doubts of older ones. A router that itself hears less than half of the others
-// is deaf: it doubts itself, and calls nobody silent.
+// A router without a newer heartbeat for some time is suspect. It is silent only once a
+// configured number of other routers suspect the same heartbeat as well; a newer heartbeat
+// removes all suspicions of older ones. A router that receives heartbeats of less than half of
+// the others is isolated: it reports no suspicions and considers no router silent.
 //
-// The package does no I/O and starts nothing; clock and randomness are arguments. A
-// View is not safe for concurrent use.
+// The package does no I/O and starts no goroutines; clock and randomness are arguments. A View
+// is not safe for concurrent use.
 package members
 
 import (
@@ -27,16 +27,16 @@
 // Time is a reading of the caller's monotonic clock from an arbitrary start.
 type Time time.Duration
 
-// State is what is thought of a router.
+// State is the state of a router as seen by this one.
 type State uint8
 
 // The states of a router.
 const (
-	Unknown State = iota // nothing has come of it since this process started
-	Alive                // a newer beat came lately
-	Suspect              // none came for a while
-	Silent               // others agree
-	Left                 // it said that it leaves
+	Unknown State = iota // no heartbeat received since this process started
+	Alive                // a newer heartbeat was received recently
+	Suspect              // no newer heartbeat for SuspectAfter
+	Silent               // suspect, and enough other routers agree
+	Left                 // it reported that it leaves
 )
 
 // String implements fmt.Stringer.
@@ -44,26 +44,30 @@
 	return [...]string{"unheard", "alive", "doubtful", "silent", "gone"}[min(s, Left)]
 }
 
-// Config says who the routers are and how soon they are missed.
+// Config holds the routers and the settings of failure detection.
 type Config struct {
-	Self         string
-	Routers      []string // all, Self among them
-	Incarnation  uint64   // incarnation: grows with each start under this name
-	Period       time.Duration
-	Fanout       int           // routers told in a period
-	Digest       int           // beats in a message, the sender's own among them
-	SuspectAfter time.Duration // without a newer beat a router is doubtful; Patience gives a value
-	Observers    int           // others that must doubt a router before it is silent
+	Self        string
+	Routers     []string // all, Self among them
+	Incarnation uint64   // grows with each start under this name
+	Period      time.Duration
+	Fanout      int // routers that get a message per period
+	Digest      int // heartbeats in a message, including the sender's own
+	// SuspectAfter is the time without a newer heartbeat after which a router is suspect;
+	// SuspicionTimeout returns a suitable value.
+	SuspectAfter time.Duration
+	Observers    int // other routers that must suspect a router before it is silent
 }
 
-// maxCount bounds lives and beats: what is past it could not be refuted.
+// maxCount limits incarnations and heartbeat numbers: a router could not exceed a much larger
+// one to refute it.
 const maxCount = 1 << 62
 
 // ErrConfig is what a faulty Config wraps.
 var ErrConfig = errors.New("members")
 
-// SuspicionTimeout is a SuspectAfter that fits: beats come by way of others, and each message
-// holds only so many of them, so news of one router takes the longer the more there are.
+// SuspicionTimeout returns a suitable Config.SuspectAfter. Heartbeats arrive through other
+// routers and each message holds a limited number of them, so the time that they take to spread
+// grows with the number of routers.
 func SuspicionTimeout(routers int, period time.Duration, fanout, digest int) time.Duration {
 	rounds := 8 + 12*float64(routers)/float64(max(1, fanout*digest))
 	return time.Duration(rounds * float64(period))
@@ -73,56 +77,56 @@
 	seen := map[string]bool{}
 	for _, r := range c.Routers {
 		if r == "" || seen[r] {
-			return fmt.Errorf("%w: routers hold %q, empty or named twice", ErrConfig, r)
+			return fmt.Errorf("%w: router name %q is empty or listed twice", ErrConfig, r)
 		}
 		seen[r] = true
 	}
 	switch {
 	case !seen[c.Self]:
-		return fmt.Errorf("%w: self is %q, none of the routers", ErrConfig, c.Self)
+		return fmt.Errorf("%w: self is %q, which is not one of the routers", ErrConfig, c.Self)
 	case c.Period <= 0 || c.SuspectAfter < c.Period:
-		return fmt.Errorf("%w: period is %v and doubt_for %v, not over 0 and no shorter", ErrConfig, c.Period, c.SuspectAfter)
+		return fmt.Errorf("%w: period is %v and suspect-after %v, want a period over 0 and no longer than suspect-after", ErrConfig, c.Period, c.SuspectAfter)
 	case c.Fanout < 1 || c.Digest < 1:
-		return fmt.Errorf("%w: fanout is %d and digest %d, not 1 or more", ErrConfig, c.Fanout, c.Digest)
+		return fmt.Errorf("%w: fanout is %d and digest %d, want at least 1", ErrConfig, c.Fanout, c.Digest)
 	case c.Observers < 0:
-		return fmt.Errorf("%w: observers is %d, negative", ErrConfig, c.Observers)
+		return fmt.Errorf("%w: observers is %d, want at least 0", ErrConfig, c.Observers)
 	}
 	return nil
 }
 
-// Beat is the newest that somebody knows of a router.
+// Beat is the latest heartbeat of a router that the sender knows.
 type Beat struct {
 	Name  string `cbor:"1,keyasint"`
 	Life  uint64 `cbor:"2,keyasint"`
 	Count uint64 `cbor:"3,keyasint"`
-	Doubt bool   `cbor:"4,keyasint,omitempty"` // the sender waits for a newer one
-	Left  bool   `cbor:"5,keyasint,omitempty"` // it said that it leaves
+	Doubt bool   `cbor:"4,keyasint,omitempty"` // the sender suspects the router
+	Left  bool   `cbor:"5,keyasint,omitempty"` // the router reported that it leaves
 }
 
-// Message is what a router tells another of all.
+// Message carries heartbeats from one router to another.
 type Message struct {
 	From  string `cbor:"1,keyasint"`
 	To    string `cbor:"2,keyasint"`
 	Beats []Beat `cbor:"3,keyasint"`
 }
 
-// View is what one router thinks of the others.
+// View is one router's view of the others.
 type View struct {
 	cfg          Config
 	rng          *rand.Rand
 	self         Beat
-	countedAt    Time // when the own beat was counted last
+	countedAt    Time // when the own heartbeat was last counted up
 	startedAt    Time
 	fenced       bool
 	peers        []*peer
 	byName       map[string]*peer
-	nextInDigest int // whose beat is told next
+	nextInDigest int // index of the peer whose heartbeat is sent next
 }
 
 type peer struct {
 	Beat
 	known      bool
-	updatedAt  Time // when its beat grew here
+	updatedAt  Time // when a newer heartbeat was last received
 	suspicions []suspicion
 }
 
@@ -132,7 +136,7 @@
 	at                Time
 }
 
-// New returns a view in which nobody has been heard.
+// New returns a view in which all other routers are Unknown.
 func New(cfg Config, rng *rand.Rand, now Time) (*View, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -149,14 +153,14 @@
 	return v, nil
 }
 
-// Fenced tells whether another process with a newer life goes on under this name.
+// Fenced reports whether another process with a newer incarnation runs under this name.
 func (v *View) Fenced() bool { return v.fenced }
 
-// Leave makes the next messages say that this router leaves.
+// Leave marks this router as leaving in its next messages.
 func (v *View) Leave() { v.self.Left = true }
 
-// Tick returns the messages that are due: once a period, to routers drawn at random.
-// Silent ones are among them, or a healed link would never be noticed.
+// Tick returns the messages that are due: once per period, to routers drawn at random. These
+// include silent routers; otherwise a healed link would never be detected.
 func (v *View) Tick(now Time) []Message {
 	if v.fenced || now-v.countedAt < Time(v.cfg.Period) {
 		return nil
@@ -173,7 +177,7 @@
 	return out
 }
 
-// digest is the own beat and the next ones of the others in turn.
+// digest returns the own heartbeat and those of the next peers, round-robin.
 func (v *View) digest(now Time) []Beat {
 	out := []Beat{v.self}
 	for range v.peers {
@@ -191,12 +195,14 @@
 	return out
 }
 
+// overdue reports whether no newer heartbeat of a peer has been received for SuspectAfter. A peer
+// that has left is never overdue.
 func (v *View) overdue(o *peer, now Time) bool {
 	return !o.Left && now-o.updatedAt >= Time(v.cfg.SuspectAfter)
 }
 
-// Receive takes a message. Beats of strangers are passed over, and so is a message
-// of a stranger, or for somebody else.
+// Receive processes a message. It ignores heartbeats of routers that are not in the fleet, and
+// messages from such routers or addressed to another router.
 func (v *View) Receive(m Message, now Time) {
 	if m.To != v.cfg.Self || v.byName[m.From] == nil {
 		return
@@ -219,17 +225,18 @@
 			})
 		}
 		o.suspicions = slices.DeleteFunc(o.suspicions, func(d suspicion) bool { return d.by == m.From })
-		// A doubt of an older beat than is known here is refuted already.
+		// A suspicion of an older heartbeat than the one known here is refuted already.
 		if b.Doubt && b.Name != m.From && b.Life == o.Life && b.Count == o.Count {
 			o.suspicions = append(o.suspicions, suspicion{m.From, b.Life, b.Count, now})
 		}
 	}
 }
 
-// receiveOwnName looks at a beat under the own name that this process never had. One of its
-// own life is nonsense of somebody's, and is refuted by a newer one. A newer life is
-// another process's, and the later started of the two goes on: a process that has only
-// just started, on a clock that is behind, takes a life past the one that it hears of.
+// receiveOwnName processes a heartbeat under this router's own name. A later number of its own
+// incarnation is invalid and is refuted by a still later one. A newer incarnation belongs to
+// another process, and of the two the one that started later continues: a process that has just
+// started, with a clock that is behind, takes an incarnation beyond the one received; an older
+// process is fenced.
 func (v *View) receiveOwnName(b Beat, now Time) {
 	switch {
 	case b.Life > maxCount || b.Count > maxCount:
@@ -242,13 +249,14 @@
 	}
 }
 
-// Renew goes on under the next life.
+// Renew continues under the next incarnation.
 func (v *View) Renew() { v.self.Life++ }
 
-// Incarnation is the own incarnation. It can only grow, soon after the start and by Renew.
+// Incarnation returns the own incarnation. It only grows, soon after the start and by Renew.
 func (v *View) Incarnation() uint64 { return v.self.Life }
 
-// Isolated tells whether this router hears so few others that it must doubt itself first.
+// Isolated reports whether this router receives heartbeats of less than half of the others, in
+// which case its own link is the likely fault.
 func (v *View) Isolated(now Time) bool {
 	present, reachable := 0, 0
 	for _, o := range v.peers {
@@ -263,7 +271,7 @@
 	return 2*reachable < present
 }
 
-// State is what is thought of a router by now.
+// State returns the state of a router at time now.
 func (v *View) State(name string, now Time) State {
 	o := v.byName[name]
 	switch {
@@ -281,8 +289,8 @@
 	return Suspect
 }
 
-// confirmed tells whether enough others doubt a router, all that are heard if there are
-// no more.
+// confirmed reports whether enough other routers suspect a peer: Observers, or all reachable ones
+// if they are fewer.
 func (v *View) confirmed(o *peer, now Time) bool {
 	suspecting, reachable := 0, 0
 	for _, d := range o.suspicions {
@@ -298,17 +306,17 @@
 	return suspecting >= min(v.cfg.Observers, reachable)
 }
 
-// Router is what is known of one, for people.
+// Router is the state of one router, for display.
 type Router struct {
 	Name        string
 	State       State
 	Incarnation uint64
 	Beats       uint64
-	Age         time.Duration // since its beat grew here
-	Suspicions  int           // others that doubt it
+	Age         time.Duration // since a newer heartbeat was last received
+	Suspicions  int           // number of other routers that suspect it
 }
 
-// Routers tells of all the others, by name.
+// Routers returns the states of all other routers, ordered by name.
 func (v *View) Routers(now Time) []Router {
 	out := make([]Router, 0, len(v.peers))
 	for _, o := range v.peers {
--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -12,37 +12,37 @@
 
 const period = 500 * time.Millisecond
 
-// fleet plays views in virtual time over a network that loses and delays.
+// fleet runs views in virtual time over a network that loses and delays messages.
 type fleet struct {
-	rng    *rand.Rand
-	now    time.Duration
-	views  []*View
-	asleep map[string]bool
-	cut    func(from, to string) bool
-	loss   float64
-	post   []Message
-	sent   int
-	beats  int
+	rng      *rand.Rand
+	now      time.Duration
+	views    []*View
+	stopped  map[string]bool
+	cut      func(from, to string) bool
+	loss     float64
+	inFlight []Message
+	sent     int
+	beats    int
 }
 
 func name(i int) string { return fmt.Sprintf("r%03d", i) }
 
 func newFleet(t require.TestingT, n int, seed uint64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, asleep: map[string]bool{},
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, stopped: map[string]bool{},
 		cut: func(string, string) bool { return false }}
 	for i := range n {
-		f.views = append(f.views, f.fresh(t, i, n, 1))
+		f.views = append(f.views, f.newView(t, i, n, 1))
 	}
 	return f
 }
 
-func (f *fleet) fresh(t require.TestingT, i, n int, life uint64) *View {
+func (f *fleet) newView(t require.TestingT, i, n int, incarnation uint64) *View {
 	var all []string
 	for j := range n {
 		all = append(all, name(j))
 	}
-	v, err := New(Config{Self: name(i), Routers: all, Incarnation: life, Period: period, Fanout: 2, Digest: 32,
-		SuspectAfter: SuspicionTimeout(n, period, 2, 32), Observers: 2}, rand.New(rand.NewPCG(uint64(i), life)), Time(f.now))
+	v, err := New(Config{Self: name(i), Routers: all, Incarnation: incarnation, Period: period, Fanout: 2, Digest: 32,
+		SuspectAfter: SuspicionTimeout(n, period, 2, 32), Observers: 2}, rand.New(rand.NewPCG(uint64(i), incarnation)), Time(f.now))
 	require.NoError(t, err)
 	return v
 }
@@ -50,24 +50,24 @@
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += period / 5
-		due := f.post
-		f.post = nil
+		due := f.inFlight
+		f.inFlight = nil
 		for _, m := range due {
 			for _, v := range f.views {
-				if v.cfg.Self == m.To && !f.asleep[m.To] {
+				if v.cfg.Self == m.To && !f.stopped[m.To] {
 					v.Receive(m, Time(f.now))
 				}
 			}
 		}
 		for _, v := range f.views {
-			if f.asleep[v.cfg.Self] {
+			if f.stopped[v.cfg.Self] {
 				continue
 			}
 			for _, m := range v.Tick(Time(f.now)) {
 				f.sent++
 				f.beats += len(m.Beats)
 				if f.rng.Float64() >= f.loss && !f.cut(m.From, m.To) {
-					f.post = append(f.post, m)
+					f.inFlight = append(f.inFlight, m)
 				}
 			}
 		}
@@ -77,16 +77,17 @@
 func (f *fleet) states(of int) map[State]int {
 	out := map[State]int{}
 	for i, v := range f.views {
-		if i != of && !f.asleep[v.cfg.Self] {
+		if i != of && !f.stopped[v.cfg.Self] {
 			out[v.State(name(of), Time(f.now))]++
 		}
 	}
 	return out
 }
 
-// Nobody is doubted with a tenth of all messages lost; who is stopped is silent for all in a stated time, and alive again
-// when it goes on. Messages go with the number of routers.
-func TestStoppedRouterIsSilentForAllAndNobodyElse(t *testing.T) {
+// With a tenth of all messages lost no router is suspect. A router that stops is silent at all
+// others within three suspicion timeouts, and alive again once it continues. The number of messages
+// is proportional to the number of routers.
+func TestOnlyStoppedRouterIsSilent(t *testing.T) {
 	for _, n := range []int{3, 8, 80, 200} {
 		f := newFleet(t, n, 1)
 		f.loss = 0.1
@@ -97,49 +98,51 @@
 		for i := range n {
 			require.Equal(t, map[State]int{Alive: n - 1}, f.states(i), "%d routers, of %d", n, i)
 		}
-		t.Logf("%3d routers: %.0f messages and %.0f beats a second, doubtful after %v", n, float64(f.sent)/20, float64(f.beats)/20, wait)
+		t.Logf("%3d routers: %.0f messages and %.0f beats a second, suspect after %v", n, float64(f.sent)/20, float64(f.beats)/20, wait)
 		require.LessOrEqual(t, float64(f.sent)/20, 4.2*float64(n))
-		f.asleep[name(1)] = true
+		f.stopped[name(1)] = true
 		f.run(3 * wait)
 		require.Equal(t, map[State]int{Silent: n - 1}, f.states(1), "%d routers", n)
-		f.asleep[name(1)] = false
+		f.stopped[name(1)] = false
 		f.run(wait)
 		require.Equal(t, map[State]int{Alive: n - 1}, f.states(1), "%d routers", n)
 	}
 }
 
-// A link that is lost, or lost one way, makes nobody doubtful: others are heard over it.
-func TestLostLinkIsNoLostRouter(t *testing.T) {
+// A link that is lost, or lost in one direction, makes no router suspect: heartbeats arrive through
+// other routers.
+func TestLostLinkCausesNoSuspicion(t *testing.T) {
 	f := newFleet(t, 5, 2)
 	f.cut = func(from, to string) bool { return from == name(0) && to == name(1) }
 	f.run(time.Minute)
 	require.Equal(t, map[State]int{Alive: 4}, f.states(0))
 	f.cut = func(from, to string) bool { return from == name(0) && to != name(4) }
 	f.run(time.Minute)
-	require.Equal(t, map[State]int{Alive: 4}, f.states(0), "heard by one, it is heard by all")
+	require.Equal(t, map[State]int{Alive: 4}, f.states(0), "one router that receives its heartbeats forwards them to all")
 }
 
-// A router that hears nobody doubts itself: it calls nobody silent, and it takes nobody out for others. Those that hear
-// each other call it silent, once enough of them do.
-func TestDeafRouterDoubtsItself(t *testing.T) {
+// A router that receives nothing is isolated: it considers no router silent, and its suspicions
+// make none silent at the others. The others consider it silent once enough of them suspect it.
+func TestIsolatedRouterConsidersNoneSilent(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	f.run(10 * time.Second)
 	f.cut = func(from, to string) bool { return to == name(0) }
 	f.run(time.Minute)
-	deaf := f.views[0]
-	require.True(t, deaf.Isolated(Time(f.now)))
+	isolated := f.views[0]
+	require.True(t, isolated.Isolated(Time(f.now)))
 	for i := 1; i < 5; i++ {
-		require.Equal(t, Suspect, deaf.State(name(i), Time(f.now)))
-		require.Equal(t, map[State]int{Alive: 4}[Alive]-1, f.states(i)[Alive], "its doubts count for nobody")
+		require.Equal(t, Suspect, isolated.State(name(i), Time(f.now)))
+		require.Equal(t, map[State]int{Alive: 4}[Alive]-1, f.states(i)[Alive], "its suspicions have no effect")
 	}
-	require.Equal(t, map[State]int{Alive: 4}, f.states(0), "it is still heard")
+	require.Equal(t, map[State]int{Alive: 4}, f.states(0), "its heartbeats still arrive")
 	f.cut = func(from, to string) bool { return (from == name(0)) != (to == name(0)) }
 	f.run(time.Minute)
 	require.Equal(t, map[State]int{Silent: 4}, f.states(0))
 }
 
-// Half of five hear nothing of the others: each side keeps its own, the smaller one is deaf, and a heal mends it, ten
-// times a minute.
+// Five routers are partitioned. Partitions shorter than the suspicion timeout, ten in a minute,
+// have no effect. In a long one the smaller side is isolated and considers the others only
+// suspect, while the larger side considers them silent; all are alive again after it heals.
 func TestPartitionAndHeal(t *testing.T) {
 	f := newFleet(t, 5, 4)
 	f.run(10 * time.Second)
@@ -150,7 +153,7 @@
 		f.cut = func(string, string) bool { return false }
 		f.run(3 * time.Second)
 		for i := range 5 {
-			require.Equal(t, 4, f.states(i)[Alive], "3 s are shorter than the patience")
+			require.Equal(t, 4, f.states(i)[Alive], "3 s are shorter than the suspicion timeout")
 		}
 	}
 	f.cut = func(from, to string) bool { return side(from) != side(to) }
@@ -164,12 +167,13 @@
 	require.Equal(t, map[State]int{Alive: 4}, f.states(0))
 }
 
-// Started again under its name a router is alive at once; the earlier process, if it goes on, hears of the newer one.
-func TestNamesake(t *testing.T) {
+// A router restarted under its name is alive at once; the earlier process, if it still runs, is
+// fenced.
+func TestRestartFencesEarlierProcess(t *testing.T) {
 	f := newFleet(t, 4, 5)
 	f.run(10 * time.Second)
 	old := f.views[2]
-	f.views = append(f.views, f.fresh(t, 2, 4, 2))
+	f.views = append(f.views, f.newView(t, 2, 4, 2))
 	f.run(5 * time.Second)
 	require.True(t, old.Fenced())
 	require.Empty(t, old.Tick(Time(f.now+time.Minute)))
@@ -180,23 +184,23 @@
 	require.Equal(t, Left, f.views[0].State(name(2), Time(f.now)))
 }
 
-// A process that starts on a clock that is an hour behind goes past the life that it hears of, and the one it replaces
-// ends.
-func TestStartOnAClockThatIsBehind(t *testing.T) {
+// A process that starts with a clock behind takes an incarnation beyond the one that it receives,
+// and the process that it replaces is fenced.
+func TestStartWithClockBehind(t *testing.T) {
 	f := newFleet(t, 4, 6)
 	for _, v := range f.views {
 		v.self.Life = 1000
 	}
 	f.run(10 * time.Second)
-	f.views = append(f.views, f.fresh(t, 2, 4, 7))
+	f.views = append(f.views, f.newView(t, 2, 4, 7))
 	f.run(5 * time.Second)
 	require.True(t, f.views[2].Fenced())
 	require.False(t, f.views[4].Fenced())
 	require.EqualValues(t, 1001, f.views[4].Incarnation())
 }
 
-// Whatever comes, states follow: nobody is silent without the stated number of others, a newer beat always refutes, and a
-// liar who doubts all takes out nobody.
+// A single router that sends invalid heartbeats and suspects all others makes none of them silent,
+// since two observers are required.
 func TestALiarAndNonsense(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 5, rapid.Uint64().Draw(t, "seed"))
@@ -220,8 +224,8 @@
 func TestFaultyConfig(t *testing.T) {
 	good := Config{Self: "a", Routers: []string{"a", "b"}, Period: time.Second, SuspectAfter: time.Second, Fanout: 1, Digest: 1}
 	for want, spoil := range map[string]func(*Config){
-		`self is "x"`: func(c *Config) { c.Self = "x" }, `hold "a"`: func(c *Config) { c.Routers = []string{"a", "a"} },
-		"period is 0s": func(c *Config) { c.Period = 0 }, "doubt_for 1ms": func(c *Config) { c.SuspectAfter = time.Millisecond },
+		`self is "x"`: func(c *Config) { c.Self = "x" }, `name "a"`: func(c *Config) { c.Routers = []string{"a", "a"} },
+		"period is 0s": func(c *Config) { c.Period = 0 }, "suspect-after 1ms": func(c *Config) { c.SuspectAfter = time.Millisecond },
 		"fanout is 0": func(c *Config) { c.Fanout = 0 }, "digest 0": func(c *Config) { c.Digest = 0 },
 		"observers is -1": func(c *Config) { c.Observers = -1 },
 	} {
--- a/fleet/node/node_test.go
+++ b/fleet/node/node_test.go
@@ -193,7 +193,8 @@
 	f.run(4 * time.Second)
 	f.fronts["r-0"].Allow("w-0", true, f.now)
 	cfg := testConfig("r-1", 3)
-	cfg.Cold, cfg.Repeats, cfg.Life = 6, 5, 0 // restarted, with a clock behind that of the previous process
+	// Restarted, with a clock behind that of the previous process.
+	cfg.Cold, cfg.Repeats, cfg.Life = 6, 5, 0
 	f.start(cfg)
 	f.run(6 * time.Second)
 	require.False(t, f.nodes["r-1"].Members(f.now).Fenced, "the later process continues")
--- a/fleet/node/zones_test.go
+++ b/fleet/node/zones_test.go
@@ -132,7 +132,8 @@
 	}
 	for _, n := range sizes {
 		z := newZoned(t, n)
-		spread := 5*time.Second + time.Duration(n)*100*time.Millisecond // until reports have reached all routers
+		// Time for reports to reach all routers.
+		spread := 5*time.Second + time.Duration(n)*100*time.Millisecond
 		z.run(2 * spread)
 		require.Equal(t, map[string]int{"healthy": n}, z.states("a"))
 		_, _, deciders := z.epochs()
