--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -1,6 +1,5 @@
-// Package agent is one router's part in its fleet on sockets: it hands what comes over the
-// links to the part that decides (fleet/node), its messages to the links, and answers the
-// fronts.
+// Package agent runs one router's side of the fleet protocol over sockets. It passes messages
+// between the links (fleet/link) and the protocol state (fleet/node), and answers the fronts.
 package agent
 
 import (
@@ -20,15 +19,16 @@
 	"lichenshelf/fleet/version"
 )
 
-// ticksPerLease is how often in a lease what is due is looked for.
+// ticksPerLease is the number of ticks in a lease; each sends the messages that are due.
 const ticksPerLease = 16
 
-// Counters is told what the agent does.
+// Counters counts what the agent does.
 type Counters interface {
 	Add(name string, n int64)
 }
 
-// Agent is a router's part in its fleet. Its methods may be called from any goroutine.
+// Agent runs one router's side of the fleet protocol. Its methods may be called from any
+// goroutine.
 type Agent struct {
 	cfg   *Config
 	link  *link.Link
@@ -43,10 +43,11 @@
 	onText func(node.Text)
 }
 
-// New returns an agent; Run and Serve start it. Loans, if it is not nil, is told of what is lent and borrowed, one after
-// the other and before the other end can know of it; it must return at once. The life is a number that grows with
-// each start, such as the wall clock's; if it does not, the fleet puts it right.
-func New(cfg *Config, life, seed uint64, onMove func(budget.Move), count Counters, log logrus.FieldLogger) (*Agent, error) {
+// New returns an agent; Run and Serve start it. onMove, if not nil, is called for each loan and
+// borrowing, one at a time and before the other router can know of it; it must not block. The
+// incarnation must grow with each start, as the wall clock does; if it does not, the membership
+// protocol raises it.
+func New(cfg *Config, incarnation, seed uint64, onMove func(budget.Move), count Counters, log logrus.FieldLogger) (*Agent, error) {
 	a := &Agent{cfg: cfg, count: count, log: log, start: time.Now(), onMove: onMove}
 	zones := map[string]string{}
 	var peers []link.Peer
@@ -57,10 +58,10 @@
 		}
 	}
 	var err error
-	if a.node, err = node.New(node.Config{Self: cfg.Self, Zones: zones, Life: life, Lease: cfg.Lease.Duration, Floor: cfg.Floor,
+	if a.node, err = node.New(node.Config{Self: cfg.Self, Zones: zones, Life: incarnation, Lease: cfg.Lease.Duration, Floor: cfg.Floor,
 		Burst: cfg.Burst.Duration, Drift: cfg.Drift, Period: cfg.Period.Duration, Counts: cfg.Counts.Duration, Fanout: cfg.Fanout, Digest: cfg.Digest,
 		Observers: cfg.Observers, Quorum: cfg.Quorum, MostOut: cfg.MaxOut, Least: cfg.MinFailures, Hold: cfg.Hold.Duration,
-		Return: cfg.Return.Duration, Repeats: cfg.RepeatsPerSecond, Cold: cfg.ColdPerSecond, RecordMoves: onMove != nil}, rand.New(rand.NewPCG(seed, life)), a.now()); err != nil {
+		Return: cfg.Return.Duration, Repeats: cfg.RepeatsPerSecond, Cold: cfg.ColdPerSecond, RecordMoves: onMove != nil}, rand.New(rand.NewPCG(seed, incarnation)), a.now()); err != nil {
 		return nil, fmt.Errorf("router %s: %w", cfg.Self, err)
 	}
 	if z, ok := cfg.zones(); ok {
@@ -73,59 +74,63 @@
 	return a, nil
 }
 
-// now is monotonic, and goes on while the process is stopped.
+// now reads a monotonic clock that keeps running while the process is stopped.
 func (a *Agent) now() time.Duration { return time.Since(a.start) }
 
-// SetActs sets what the others are told that this router acts on. The vector must not be changed after.
+// SetActs sets the versions that this router reports to the others as those it acts on. The
+// vector must not be changed afterwards.
 func (a *Agent) SetActs(v version.Vector) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.SetActs(v)
 }
 
-// SetText takes a version's text as the store gave it; others may have it from this router then.
+// SetText sets a version's text, as read from the store. Other routers may request it from then
+// on.
 func (a *Agent) SetText(t node.Text) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.SetText(t)
 }
 
-// WantText has others asked for a part's text of a later version than the one that is held, until one has come. Take is told
-// of it and must return at once; the one that was handed in last is.
-func (a *Agent) WantText(part string, held uint64, take func(node.Text)) {
+// WantText requests a part's text of a later version than held from other routers, until one is
+// received. onText is called with it and must not block; it replaces the onText of earlier calls.
+func (a *Agent) WantText(part string, held uint64, onText func(node.Text)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.onText = take
+	a.onText = onText
 	a.node.RequestText(part, held)
 }
 
-// Renew goes on under a new life: what was lent to this router before is over.
+// Renew continues under a new incarnation; loans to this router end.
 func (a *Agent) Renew() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.Renew()
 }
 
-// Newest is what enough of the others act on, and how long ago they said so; false if they have not.
+// Newest returns the newest versions that enough other routers act on, and how long ago they
+// reported so; ok is false if no router has.
 func (a *Agent) Newest() (newest version.Vector, ago time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	newest, heard, ok := a.node.Newest()
-	return newest, a.now() - heard, ok
+	newest, reportedAt, ok := a.node.Newest()
+	return newest, a.now() - reportedAt, ok
 }
 
-// Terms names all that must be the same at two routers that lend each other, beside a budget's limit.
+// Terms returns a hash of the settings, other than a budget's limit, that must be equal at two
+// routers for one to lend budget to the other.
 func (a *Agent) Terms() string { return a.node.Terms() }
 
-// SetLimits sets the limits of all budgets with a prefix, in cost a second over all
-// routers; those that are not named any more are free.
+// SetLimits sets the limits of all budgets whose keys begin with prefix, in cost per second over
+// all routers. Budgets with the prefix that limits does not name become unlimited.
 func (a *Agent) SetLimits(prefix string, limits map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.SetLimits(prefix, limits, a.now())
 }
 
-// Spend takes cost out of a budget, if it is there.
+// Spend takes cost out of a budget and reports whether the budget had enough.
 func (a *Agent) Spend(key string, cost float64) bool {
 	a.mu.Lock()
 	ok := a.node.Spend(key, cost, a.now())
@@ -138,17 +143,18 @@
 	return ok
 }
 
-// Serve takes the other routers' connections.
+// Serve accepts the other routers' connections.
 func (a *Agent) Serve(l net.Listener) error { return a.link.Serve(l) }
 
-// Leave makes the next messages say that this router leaves: it is not missed then.
+// Leave marks this router as leaving in its next messages, so that the others do not suspect
+// it once its heartbeats stop.
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	a.node.Leave()
 	a.mu.Unlock()
 }
 
-// Run sends what is due until ctx ends.
+// Run sends the messages that are due until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	sending, end := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -172,7 +178,8 @@
 	}
 }
 
-// tick sends what is due, one message for each router, and confers.
+// tick sends the messages that are due, at most one per router, updates the workers and logs
+// changes.
 func (a *Agent) tick() {
 	a.mu.Lock()
 	out := a.node.Tick(a.now())
@@ -204,25 +211,25 @@
 	}
 }
 
-// logNotice logs a change.
+// logNotice logs and counts a change.
 func (a *Agent) logNotice(n node.Notice) {
 	switch n.Kind {
 	case node.Fenced:
-		a.log.WithField("router", n.Name).Error("another process with this router's name has started later: this one spends nothing any more")
+		a.log.WithField("router", n.Name).Error("another process with this router's name was started later; this one spends nothing any more")
 		a.count.Add("fleet_fenced", 1)
 	case node.Isolated, node.IsolationEnded:
-		a.log.WithField("deaf", n.Kind == node.Isolated).Warn("fleet: hearing of the other routers has changed")
+		a.log.WithField("deaf", n.Kind == node.Isolated).Warn("fleet: heartbeats of the other routers lost or received again")
 	case node.RouterChanged:
-		a.log.WithFields(logrus.Fields{"router": n.Name, "state": n.Is, "was": n.Was}).Info("fleet: router changed")
+		a.log.WithFields(logrus.Fields{"router": n.Name, "state": n.Is, "was": n.Was}).Info("fleet: router changed state")
 	case node.WorkerOut:
-		a.log.WithField("worker", n.Name).Warn("fleet: worker out for all by agreement")
+		a.log.WithField("worker", n.Name).Warn("fleet: worker taken out by agreement of the routers")
 		a.count.Add("fleet_workers_out", 1)
 	case node.WorkerBack:
-		a.log.WithField("worker", n.Name).Info("fleet: worker comes back")
+		a.log.WithField("worker", n.Name).Info("fleet: worker gets traffic again")
 	}
 }
 
-// MembersPage is what this router knows of the others.
+// MembersPage is this router's view of the fleet's members.
 type MembersPage struct {
 	Fleet   string       `json:"fleet"`
 	Self    string       `json:"self"`
@@ -237,7 +244,7 @@
 	Name   string  `json:"name"`
 	State  string  `json:"state"`
 	Life   uint64  `json:"life"`
-	AgeS   float64 `json:"age_s"` // since news of it came
+	AgeS   float64 `json:"age_s"` // since its latest heartbeat was received
 	Doubts int     `json:"doubts"`
 }
 
@@ -265,20 +272,20 @@
 	Sent      int64   `json:"sent"`
 	Dropped   int64   `json:"dropped"`
 	Heard     int64   `json:"heard"`
-	TakenS    float64 `json:"taken_s"` // since it took a message; -1: never
-	HeardS    float64 `json:"heard_s"`
+	TakenS    float64 `json:"taken_s"` // since it acknowledged a message; -1: never
+	HeardS    float64 `json:"heard_s"` // since a message of it was received; -1: never
 	Fault     string  `json:"fault,omitempty"`
 }
 
-// WorkerPage is what is known of one worker.
+// WorkerPage is the state of one worker.
 type WorkerPage struct {
 	Worker string      `json:"worker"`
 	Listed bool        `json:"listed"`
-	Part   float64     `json:"part"`   // of its traffic that it gets
-	Good   float64     `json:"good"`   // own attempts lately
-	Bad    float64     `json:"bad"`    // those that went wrong
-	Unread float64     `json:"unread"` // prompt tokens that the other routers have waiting there
-	Held   float64     `json:"held"`   // tokens that it holds for them
+	Part   float64     `json:"part"`   // share of its traffic that it gets
+	Good   float64     `json:"good"`   // recent own attempts, decaying
+	Bad    float64     `json:"bad"`    // those that failed
+	Unread float64     `json:"unread"` // prompt tokens of other routers that wait there to be read
+	Held   float64     `json:"held"`   // tokens that it holds for other routers
 	By     []JudgeLine `json:"by"`
 }
 
@@ -347,8 +354,8 @@
 	return out
 }
 
-// Page returns what there is to see under a name: members, budgets, links, or worker/
-// and a worker's name.
+// Page returns the console page of a name: members, budgets, links, zones, worker/NAME, or
+// zone/NAME, the plan without that zone.
 func (a *Agent) Page(name string) (any, bool) {
 	if worker, ok := strings.CutPrefix(name, "worker/"); ok && worker != "" {
 		return a.worker(worker), true
--- a/fleet/agent/config.go
+++ b/fleet/agent/config.go
@@ -13,12 +13,12 @@
 	"lichenshelf/fleet/zone"
 )
 
-// Config is the operator's file, deploy/fleet.toml.
+// Config is the content of the fleet's configuration file; deploy/fleet.toml describes the keys.
 type Config struct {
-	Fleet            string            `toml:"fleet"` // its name; empty: off
+	Fleet            string            `toml:"fleet"` // name of the fleet; empty: off
 	Self             string            `toml:"self"`
-	Listen           string            `toml:"listen"`   // empty: the own router's addr
-	Operator         string            `toml:"operator"` // empty: nobody can look
+	Listen           string            `toml:"listen"`   // empty: addr of the router named by self
+	Operator         string            `toml:"operator"` // address of the console; empty: off
 	Lease            conffile.Duration `toml:"lease"`
 	Floor            float64           `toml:"floor"`
 	Burst            conffile.Duration `toml:"burst"`
@@ -37,7 +37,7 @@
 	RepeatsPerSecond float64           `toml:"repeats_per_s"`
 	ColdPerSecond    float64           `toml:"cold_per_s"`
 	Straggle         Straggle          `toml:"straggler"`
-	Trail            string            `toml:"trail"` // directory; empty: no trail is kept
+	Trail            string            `toml:"trail"` // directory of the event log; empty: off
 	TrailMax         int64             `toml:"trail_bytes"`
 	Routers          []Router          `toml:"router"`
 	Shift            Shift             `toml:"shift"`
@@ -45,48 +45,53 @@
 	ZoneLink         []ZoneLink        `toml:"zone_link"`
 }
 
-// Shift says how traffic is moved between zones; it is off without zones.
+// Shift holds the settings for moving traffic between zones. They have no effect without zones.
 type Shift struct {
-	MinAttempts float64           `toml:"least"`   // attempts of late, of one zone's routers at another, that say something
-	Failing     float64           `toml:"failing"` // part of them that goes wrong
-	Lost        float64           `toml:"lost"`
-	Confirm     conffile.Duration `toml:"confirm"`
-	Hold        conffile.Duration `toml:"hold"`
-	Return      conffile.Duration `toml:"return"`
-	Trial       float64           `toml:"trial"`
-	Safe        float64           `toml:"safe"`
-	Up          float64           `toml:"up"`
-	Back        float64           `toml:"back"`
-	Every       conffile.Duration `toml:"every"`
-	PerMin      float64           `toml:"maps_per_min"`
-	Spill       float64           `toml:"spill"`
-	Fresh       conffile.Duration `toml:"fresh"`
-	Fade        conffile.Duration `toml:"fade"`
+	// MinAttempts is the number of recent attempts, by one zone's routers at another zone, below
+	// which the zone is not judged by them.
+	MinAttempts float64 `toml:"least"`
+	// Failing and Lost are the shares of failed attempts from which a zone is failing, and lost.
+	Failing float64           `toml:"failing"`
+	Lost    float64           `toml:"lost"`
+	Confirm conffile.Duration `toml:"confirm"`
+	Hold    conffile.Duration `toml:"hold"`
+	Return  conffile.Duration `toml:"return"`
+	Trial   float64           `toml:"trial"`
+	Safe    float64           `toml:"safe"`
+	Up      float64           `toml:"up"`
+	Back    float64           `toml:"back"`
+	Every   conffile.Duration `toml:"every"`
+	PerMin  float64           `toml:"maps_per_min"`
+	Spill   float64           `toml:"spill"`
+	Fresh   conffile.Duration `toml:"fresh"`
+	Fade    conffile.Duration `toml:"fade"`
 }
 
-// Zone is what a zone takes with all of its workers warm, in requests a second.
+// Zone holds the capacity of a zone with all of its workers warm, in requests per second.
 type Zone struct {
 	Name  string  `toml:"name"`
 	Read  float64 `toml:"read"`
 	Write float64 `toml:"write"`
 }
 
-// ZoneLink is what lies between two zones, either way.
+// ZoneLink describes the link between two zones, for both directions.
 type ZoneLink struct {
 	From string  `toml:"from"`
 	To   string  `toml:"to"`
-	Far  float64 `toml:"far"`  // cost of distance, 0 to 1
-	Room float64 `toml:"room"` // requests a second whose states may go over it; negative: not bounded
+	Far  float64 `toml:"far"` // cost of distance, 0 to 1
+	// Room is the number of requests per second whose read states may pass over the link;
+	// negative: no limit.
+	Room float64 `toml:"room"`
 }
 
 const (
-	defaultFar = 0.5 // between zones whose link is not listed
+	defaultFar = 0.5 // cost of distance between zones whose link is not listed
 	mapBurst   = 12
-	mapReserve = 4 // of them, for zones that are lost
+	mapReserve = 4 // maps of the burst that are reserved for lost zones
 	mapBand    = 0.02
 )
 
-// zones is the node's part of the file; false where no zones are listed.
+// zones returns the zone settings for the node, and false if no zones are listed.
 func (c *Config) zones() (node.ZoneConfig, bool) {
 	n, s := len(c.Zones), &c.Shift
 	z := node.ZoneConfig{Safe: s.Safe, Capacity: map[string]solver.Zone{}, Terms: traffic.Terms{Fresh: s.Fresh.Duration, Fade: s.Fade.Duration, Spill: s.Spill},
@@ -113,7 +118,7 @@
 	return z, n > 0
 }
 
-// checkZones names what makes no sense in the zones' part of the file.
+// checkZones returns an error for the first invalid value of the zones' settings.
 func (c *Config) checkZones(f *conffile.File) error {
 	names := map[string]bool{}
 	for i, z := range c.Zones {
@@ -176,16 +181,16 @@
 	return nil
 }
 
-// Straggle says what becomes of a router that lies behind the published configuration.
+// Straggle holds the settings for a router that lags behind the published configuration.
 type Straggle struct {
-	Grace    conffile.Duration `toml:"grace"` // 0: nothing
+	Grace    conffile.Duration `toml:"grace"` // 0: off
 	MostAge  conffile.Duration `toml:"most_age"`
 	MostShut float64           `toml:"most_shut"`
 	Rate     float64           `toml:"rate"`
 	Steady   conffile.Duration `toml:"steady"`
 }
 
-// Rank is this router's place among all by their names, from 0.
+// Rank returns this router's index among all routers ordered by name.
 func (c *Config) Rank() (rank int) {
 	for _, r := range c.Routers {
 		if r.Name < c.Self {
@@ -202,7 +207,8 @@
 	Zone string `toml:"zone"`
 }
 
-// SelfEnv goes before the file's self, so that all routers can have the same file.
+// SelfEnv is the environment variable that overrides the file's self, so that all routers can use
+// the same file.
 const SelfEnv = "LICHENSHELF_FLEET_SELF"
 
 const (
@@ -212,7 +218,8 @@
 	maxTrailBytes = 1 << 40
 )
 
-// LoadConfig reads the file and checks it whole. One without a fleet's name is off.
+// LoadConfig reads and checks the file. Without a name of the fleet the file is not checked
+// further and the fleet is off.
 func LoadConfig(path string) (*Config, error) {
 	d := func(v time.Duration) conffile.Duration { return conffile.Duration{Duration: v} }
 	c := &Config{Lease: d(2 * time.Second), Floor: 0.1, Burst: d(time.Second), Drift: 0.01, Period: d(500 * time.Millisecond), Counts: d(100 * time.Millisecond),
--- a/fleet/agent/config_test.go
+++ b/fleet/agent/config_test.go
@@ -45,7 +45,7 @@
 	require.Empty(t, c.Fleet)
 }
 
-// Each fault names file, line, key and value.
+// Errors name the file, line, key and value.
 func TestFaultyConfigs(t *testing.T) {
 	for _, tc := range []struct{ old, new, want string }{
 		{`self = "a"`, `self = "c"`, `fleet.toml:2: self = "c": none of the routers`},
--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -15,47 +15,49 @@
 	"lichenshelf/router"
 )
 
-// Core is what is told of the workers and of others' load there.
+// Core is the router's core, which gets the workers, other routers' load there, and the zones'
+// figures.
 type Core interface {
 	Discovered(members []router.Member, whole bool)
 	Told(server logic.ServerID, l logic.Load)
 	SetZones(figures []float64)
 }
 
-// Front is one front's part in the fleet: a permit for its core's attempts, what stands
-// before its core, and what looks at its attempts on their way.
+// Front connects one front to the fleet. It permits the attempts of the front's core, filters the
+// lists of workers that the core gets, and observes the attempts.
 type Front struct {
-	agent *Agent
-	cfg   node.FrontConfig
-	part  *node.Front // behind the agent's lock; nil before Take
-	gate  *cordon.Gate
-	core  Core
-	trail Recorder // nil: nothing is kept
-	zones zoneTraffic
+	agent    *Agent
+	cfg      node.FrontConfig
+	part     *node.Front // guarded by the agent's lock; nil before Take
+	gate     *cordon.Gate
+	core     Core
+	recorder Recorder // nil: no event log
+	zones    zoneTraffic
 }
 
-// Recorder keeps what a front does. Its methods must return at once.
+// Recorder writes a front's events to the event log. Its methods must not block.
 type Recorder interface {
-	// Sent notes an attempt that goes out now, to a worker of this incarnation.
+	// Sent records an attempt that is sent now to the worker that started at since.
 	Sent(worker string, since int64)
-	// Failed notes how one ended.
+	// Failed records how an attempt failed.
 	Failed(worker string, since int64, request, how string)
-	// Out notes that a worker gets nothing new any more, grace later at the latest; with
-	// false, that it may get something again.
+	// Out records that a worker gets no new attempts from at most grace later on or, if out is
+	// false, that it may get attempts again.
 	Out(worker string, since int64, out bool, grace time.Duration)
 }
 
-// Front lets a front's workers be judged together with the other routers, and its
-// attempts be spent from what all share. Take is to be called before anything is sent.
-// A trail of nil keeps nothing.
-func (a *Agent) Front(cfg node.FrontConfig, trail Recorder) *Front {
-	return &Front{agent: a, cfg: cfg, trail: trail}
+// Front adds a front. Its workers are judged together with the other routers, and its attempts
+// are taken out of the budgets that all routers share. Take must be called before anything is
+// sent. If recorder is nil, no events are recorded.
+func (a *Agent) Front(cfg node.FrontConfig, recorder Recorder) *Front {
+	return &Front{agent: a, cfg: cfg, recorder: recorder}
 }
 
-// Take returns what stands before the core: what lists workers tells it instead.
+// Take connects the front to its core and returns the front as the taker of the lists of workers
+// that would otherwise go to the core.
 func (f *Front) Take(core Core) cordon.Taker {
 	f.core, f.gate = core, cordon.NewGate(core)
-	if f.trail != nil {
+	if f.recorder != nil {
 		f.gate = cordon.NewGate(&outRecorder{core: core, front: f, out: map[string]bool{}, known: map[string]int64{}})
 	}
 	a := f.agent
@@ -66,23 +68,24 @@
 	return f
 }
 
-// outRecorder stands between the gate and the core, and keeps who is out. The gate calls it one at a
-// time.
+// outRecorder passes lists of workers from the gate to the core and records workers that go out or
+// come back. The gate does not call it concurrently.
 type outRecorder struct {
 	core  Core
 	front *Front
-	out   map[string]bool  // that are out, and still listed
+	out   map[string]bool  // listed workers that are out
 	known map[string]int64 // the incarnation of each worker that is listed
 }
 
-// Discovered implements cordon.Taker. What is taken out is noted once the core's senders know;
-// what comes back, before they do.
+// Discovered implements cordon.Taker. It records that a worker is out after the core has the list,
+// and that a worker is back before that, so that no attempt is sent while the worker is on record
+// as out.
 func (n *outRecorder) Discovered(members []router.Member, whole bool) {
 	grace, listed := n.front.cfg.Settings.DrainGrace, map[string]bool{}
 	for _, m := range members {
 		listed[m.Name] = true
 		if m.Health == logic.Ready && n.out[m.Name] {
-			n.front.trail.Out(m.Name, int64(m.Since), false, grace)
+			n.front.recorder.Out(m.Name, int64(m.Since), false, grace)
 			delete(n.out, m.Name)
 		}
 	}
@@ -90,10 +93,10 @@
 	for _, m := range members {
 		switch was, known := n.known[m.Name]; {
 		case m.Health != logic.Ready && known && !n.out[m.Name]:
-			n.front.trail.Out(m.Name, was, true, grace)
+			n.front.recorder.Out(m.Name, was, true, grace)
 			n.out[m.Name] = true
-		case m.Health == logic.Ready && known && was != int64(m.Since): // another process by now
-			n.front.trail.Out(m.Name, was, true, grace)
+		case m.Health == logic.Ready && known && was != int64(m.Since): // restarted: another process
+			n.front.recorder.Out(m.Name, was, true, grace)
 		}
 		n.known[m.Name] = int64(m.Since)
 		if m.Health == logic.Gone {
@@ -107,7 +110,7 @@
 	for _, name := range slices.Sorted(maps.Keys(n.known)) {
 		if !listed[name] {
 			if !n.out[name] {
-				n.front.trail.Out(name, n.known[name], true, grace)
+				n.front.recorder.Out(name, n.known[name], true, grace)
 			}
 			delete(n.known, name)
 			delete(n.out, name)
@@ -123,8 +126,8 @@
 	return out
 }
 
-// Discovered implements cordon.Taker. A cold worker's budget is there before the core
-// hears of the worker.
+// Discovered implements cordon.Taker. It creates a cold worker's budget before the core gets the
+// worker.
 func (f *Front) Discovered(members []router.Member, whole bool) {
 	a := f.agent
 	a.mu.Lock()
@@ -149,7 +152,7 @@
 	return router.MayGo
 }
 
-// Watch returns a transport that sends by t and notes what becomes of each attempt.
+// Watch returns a transport that sends by t and observes the result of each attempt.
 func (f *Front) Watch(t router.Transport) router.Transport { return &observingTransport{t, f} }
 
 type observingTransport struct {
@@ -165,9 +168,9 @@
 	s.agent.node.Charge(s.worker, s.work)
 	w.front.zones.sent(s.worker, w.front.cfg.Settings.Kinds, s.agent.now())
 	s.agent.mu.Unlock()
-	if w.front.trail != nil {
+	if w.front.recorder != nil {
 		s.request = at.Request.Name
-		w.front.trail.Sent(s.worker, int64(s.since))
+		w.front.recorder.Sent(s.worker, int64(s.since))
 	}
 	cancel := w.Transport.Send(at, s)
 	return func() <-chan struct{} {
@@ -176,7 +179,7 @@
 	}
 }
 
-// observedAttempt is the sink of an attempt that is looked at on its way.
+// observedAttempt is the sink of an attempt that is observed.
 type observedAttempt struct {
 	router.Sink
 	agent  *Agent
@@ -184,14 +187,15 @@
 	worker string
 	since  logic.Time
 	prompt float64 // tokens
-	// request is its name, where a trail is kept.
+	// request is the request's name, set if events are recorded.
 	request string
 
 	mu   sync.Mutex
-	work counts.Work // that is still out
+	work counts.Work // not yet finished
 }
 
-// finish notes that work is no longer out.
+// finish subtracts the work that take returns from the worker's open work. take removes it from
+// the work that is passed to it.
 func (s *observedAttempt) finish(take func(*counts.Work) counts.Work) {
 	s.mu.Lock()
 	done := take(&s.work)
@@ -201,7 +205,7 @@
 	s.agent.mu.Unlock()
 }
 
-// promptRead notes that the prompt waits there no longer.
+// promptRead records that the worker has read the prompt.
 func (s *observedAttempt) promptRead() {
 	s.finish(func(w *counts.Work) counts.Work {
 		done := counts.Work{Unread: w.Unread}
@@ -210,7 +214,7 @@
 	})
 }
 
-// finished notes that nothing of it is there any more.
+// finished records that all work of the attempt is done.
 func (s *observedAttempt) finished() {
 	s.finish(func(w *counts.Work) counts.Work {
 		done := *w
@@ -226,7 +230,8 @@
 	s.Sink.Started(&observedAnswer{a, s})
 }
 
-// observedAnswer is one that has begun; its worker holds it until it is closed.
+// observedAnswer is an answer that has started. Its tokens count as held by the worker until it is
+// closed.
 type observedAnswer struct {
 	router.Answer
 	attempt *observedAttempt
@@ -238,7 +243,7 @@
 	return a.Answer.Close()
 }
 
-// Ended implements router.Sink. A stale connection says nothing of its worker.
+// Ended implements router.Sink. A stale connection is no evidence about its worker.
 func (s *observedAttempt) Ended(o router.Outcome) {
 	s.finished()
 	if o.Status == logic.PromptRead {
@@ -250,7 +255,7 @@
 	s.Sink.Ended(o)
 }
 
-// kept notes how much of the prompt was there already.
+// kept records how many tokens of the prompt the worker already had in memory.
 func (s *observedAttempt) kept(tokens float64) {
 	s.agent.mu.Lock()
 	s.front.part.Kept(s.prompt, tokens)
@@ -262,8 +267,8 @@
 	if !says {
 		return
 	}
-	if s.front.trail != nil && fault != outlier.None {
-		s.front.trail.Failed(s.worker, int64(s.since), s.request, fault.String())
+	if s.front.recorder != nil && fault != outlier.None {
+		s.front.recorder.Failed(s.worker, int64(s.since), s.request, fault.String())
 	}
 	s.agent.mu.Lock()
 	s.agent.node.Observe(s.worker, int64(s.since), fault, s.agent.now())
@@ -271,7 +276,7 @@
 	s.agent.mu.Unlock()
 }
 
-// updateWorkers judges anew, and tells the cores what has come of it and of others' work.
+// updateWorkers judges the workers and passes the result and other routers' loads to the cores.
 func (a *Agent) updateWorkers() {
 	a.mu.Lock()
 	fronts := a.fronts
--- a/fleet/agent/zones.go
+++ b/fleet/agent/zones.go
@@ -15,18 +15,18 @@
 	"lichenshelf/router"
 )
 
-// zoneTraffic is a front's part in the traffic between zones: where its workers are, and where its requests were sent. It is
-// behind the agent's lock.
+// zoneTraffic holds a front's workers by zone and the balance of its requests between zones. It is
+// guarded by the agent's lock.
 type zoneTraffic struct {
 	places     map[string]place // by worker
 	starts     router.Starts
-	maxWorkers map[string]int // the most workers that each zone ever had
+	maxWorkers map[string]int // the highest number of workers that each zone has had
 	balance    traffic.Balance
 }
 
 type place struct {
 	zone  string
-	index int // as the front numbers zones
+	index int // of the zone in FrontConfig.Zones
 	kind  int
 	began time.Time // zero: long ago
 	ready bool
@@ -59,14 +59,15 @@
 	return out
 }
 
-// sent notes where a request is read.
+// sent records in which zone a request is read.
 func (s *zoneTraffic) sent(worker string, kinds []logic.Kind, now time.Duration) {
 	if p, ok := s.places[worker]; ok && (p.kind >= len(kinds) || kinds[p.kind].Role != logic.RoleWrite) {
 		s.balance.Sent(p.index, p.index+1, traffic.Time(now))
 	}
 }
 
-// serving is the part of each zone's workers that serve, as warm as they are by the settings.
+// serving returns the share of each zone's workers that serve, weighted by how warm they are by the
+// settings.
 func (s *zoneTraffic) serving(set logic.Settings, now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for zone := range s.maxWorkers {
@@ -85,8 +86,8 @@
 	return out
 }
 
-// applyZones tells the node of the zones' workers, takes those of barred zones out, and gives the figures by front; nil where no
-// zones were set. The lock is held.
+// applyZones reports the zones' workers to the node, sets the parts of workers in barred zones to
+// 0, and returns the zones' figures by front, nil if no zones are set. The caller holds the lock.
 func (a *Agent) applyZones(parts map[string]float64) (map[string]float64, [][]float64) {
 	way, ok := a.node.ZoneWay(a.now())
 	names := way.Names
@@ -97,11 +98,12 @@
 	if parts == nil {
 		parts = map[string]float64{}
 	}
-	up, figures := map[string]float64{}, make([][]float64, len(a.fronts))
+	serving, figures := map[string]float64{}, make([][]float64, len(a.fronts))
 	for i, f := range a.fronts {
 		for zone, part := range f.zones.serving(f.cfg.Settings, time.Now()) {
-			if was, ok := up[zone]; !ok || part < was { // a request needs all that its front needs
-				up[zone] = part
+			// The lowest share over the fronts counts: a request needs the workers of its own front.
+			if was, ok := serving[zone]; !ok || part < was {
+				serving[zone] = part
 			}
 		}
 		for worker, p := range f.zones.places {
@@ -112,42 +114,42 @@
 		if len(f.cfg.Zones) == 0 {
 			continue
 		}
-		mine, may, own := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
+		shares, usable, own := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
 		for j, name := range f.cfg.Zones {
 			if z := slices.Index(names, name); z >= 0 {
-				mine[j], may[j] = way.Shares[z], way.May[z]
+				shares[j], usable[j] = way.Shares[z], way.May[z]
 				if z == way.Own {
 					own = j
 				}
 			}
 		}
-		figures[i] = f.zones.balance.Figures(mine, may, own, traffic.Time(a.now()))
+		figures[i] = f.zones.balance.Figures(shares, usable, own, traffic.Time(a.now()))
 		for j, name := range f.cfg.Zones {
 			if !slices.Contains(names, name) {
-				figures[i][j] = 0 // the map says nothing of it: the usual cost of distance
+				figures[i][j] = 0 // not in the map: the default cost of distance applies
 			}
 		}
 	}
-	a.node.ZoneUp(up)
+	a.node.ZoneUp(serving)
 	return parts, figures
 }
 
-// Arrived notes a request that came to this router.
+// Arrived records a request that arrived at this router.
 func (a *Agent) Arrived() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.ZoneArrived(a.now())
 }
 
-// ZonesPage is what there is to see of the zones.
+// ZonesPage is the state of the zones.
 type ZonesPage struct {
 	Self    string       `json:"self"`
 	Decides bool         `json:"decides"`
 	Zones   []ZoneLine   `json:"zones"`
 	Map     *traffic.Map `json:"map"`
-	AgeS    float64      `json:"age_s"`  // since it was renewed
+	AgeS    float64      `json:"age_s"`  // since the map was renewed
 	Shares  []float64    `json:"shares"` // of this router's traffic
-	Best    *solver.Plan `json:"best"`   // what the map moves towards
+	Best    *solver.Plan `json:"best"`   // the plan that the map moves towards
 }
 
 // ZoneLine is one zone.
@@ -172,7 +174,7 @@
 	return p, ok
 }
 
-// Do is an operator's call: zone/NAME/drain, zone/NAME/force, zone/NAME/return.
+// Do executes an operator's command: zone/NAME/drain, zone/NAME/force or zone/NAME/return.
 func (a *Agent) Do(name string) error {
 	rest, ok := strings.CutPrefix(name, "zone/")
 	zone, verb, found := strings.Cut(rest, "/")
@@ -185,7 +187,7 @@
 	return a.node.SetZoneOut(zone, verb != "return", verb == "force", a.now())
 }
 
-// planWithoutZone is where traffic would go without a zone.
+// planWithoutZone returns where traffic would go without a zone.
 func (a *Agent) planWithoutZone(zone string) (*solver.Plan, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
