--- a/fleet/link/link.go
+++ b/fleet/link/link.go
@@ -1,14 +1,14 @@
 // Package link carries messages between the routers of a fleet.
 //
-// Each router listens, and has at most one connection of its own to each other: what
-// it sends goes over that one, what it hears comes over theirs. A message is a frame
-// with length and checksum around CBOR; fields that a reader does not know are passed
-// over, so a newer version can add some. Each frame is acknowledged with one byte, so
-// that a connection whose other end has vanished is noticed and replaced.
+// Each router listens, and opens at most one connection to each other router. It sends over the
+// connections that it opened and receives over those that it accepted. A message is a frame of
+// length, checksum and CBOR; readers ignore unknown fields, so newer versions can add some. Each
+// frame is acknowledged with one byte, so that a connection whose other end no longer responds is
+// detected and replaced.
 //
-// Nothing is sent twice and nothing is kept for long: a message that finds no
-// connection is dropped, as is one that has waited longer than it is worth. What is
-// sent has to bear loss, doubling and any order; the link does not hide them.
+// A link does not retransmit and buffers only briefly: a message is dropped if there is no
+// connection or if it has waited longer than StaleAfter. Protocols over a link must tolerate loss,
+// duplicates and reordering.
 package link
 
 import (
@@ -35,15 +35,15 @@
 	accepting "lichenshelf/internal/listener"
 )
 
-// Version is what this program writes.
+// Version is the version of the messages that this program writes.
 const Version = 1
 
 const (
-	maxFrameBytes = 1 << 20 // bytes of a message: the work at 4,096 workers of long names
+	maxFrameBytes = 1 << 20 // fits the work at 4,096 workers with long names
 	maxQueued     = 64      // messages that wait for one router
 	headerSize    = 8       // length and checksum
 	ack           = 0x06
-	idleTimeout   = time.Minute // without a frame a connection that others opened is closed
+	idleTimeout   = time.Minute // accepted connections without a frame for this long are closed
 	minBackoff    = 100 * time.Millisecond
 	maxBackoff    = 3 * time.Second
 )
@@ -54,16 +54,16 @@
 // Peer is another router of the fleet.
 type Peer struct{ Name, Addr string }
 
-// Config is what a Link is made of.
+// Config holds the settings of a Link.
 type Config struct {
 	Fleet, Self string
-	Peers       []Peer        // the others
-	Timeout     time.Duration // for a connection to come up, and for a frame to be taken
-	StaleAfter  time.Duration // a message that has waited longer is dropped
+	Peers       []Peer        // the other routers
+	Timeout     time.Duration // for opening a connection, and for the acknowledgement of a frame
+	StaleAfter  time.Duration // messages that have waited longer are dropped
 	Seed        uint64
 	Counters    interface{ Add(name string, n int64) }
 	Log         logrus.FieldLogger
-	// Receive takes what has come. It must return soon.
+	// Receive is called with each message received. It must not block for long.
 	Receive func(Envelope)
 }
 
@@ -73,10 +73,10 @@
 	peers map[string]*peer
 
 	mu       sync.Mutex
-	accepted map[net.Conn]bool // that others opened
+	accepted map[net.Conn]bool // open connections from other routers
 }
 
-// peer is the way to one other router.
+// peer is the sending side of the link to one other router.
 type peer struct {
 	Peer
 	queue chan queuedFrame
@@ -90,15 +90,15 @@
 	queuedAt time.Time
 }
 
-// Status is what is known of a link, for people.
+// Status is the state of a link, for display.
 type Status struct {
 	Name, Addr          string
 	Connected           bool
-	Sent                int64         // frames that the other end has taken
-	Dropped             int64         // that found no connection, no room, or were too old
-	Received            int64         // frames that came from it
-	SinceAcked          time.Duration // since it took one; -1: never
-	SinceReceived       time.Duration // since one came; -1: never
+	Sent                int64         // frames that the other end has acknowledged
+	Dropped             int64         // messages without a connection or room in the queue, or stale
+	Received            int64         // messages received
+	SinceAcked          time.Duration // since the last acknowledgement; -1: never
+	SinceReceived       time.Duration // since the last message was received; -1: never
 	LastFault           string
 	ackedAt, receivedAt time.Time
 }
@@ -120,7 +120,7 @@
 	return m
 }()
 
-// decoder bounds what a message may make this router hold.
+// decoder limits the memory that a message can make this router use.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 4096, MaxMapPairs: 4096, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
@@ -131,7 +131,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode makes a frame of a message.
+// Encode returns the frame of a message.
 func Encode(e Envelope) ([]byte, error) {
 	body, err := encoder.Marshal(e)
 	if err != nil {
@@ -146,11 +146,11 @@
 	return append(frame, body...), nil
 }
 
-// ErrFrame is for a frame that can't be taken; the connection can't be followed
-// any further.
+// ErrFrame is returned for an invalid frame. The start of the next frame is unknown, so the
+// connection must be closed.
 var ErrFrame = errors.New("fleet frame")
 
-// ErrMessage is for a message that is passed over: the next one may be good.
+// ErrMessage is returned for a message that is ignored; the connection remains usable.
 var ErrMessage = errors.New("fleet message")
 
 // Decode reads the next message.
@@ -164,7 +164,7 @@
 	if size == 0 || size > maxFrameBytes {
 		return e, fmt.Errorf("%w: %d bytes", ErrFrame, size)
 	}
-	// Memory is taken as bytes arrive, not as a head promises.
+	// Memory is allocated as bytes arrive, not in advance for the size that the header states.
 	var got bytes.Buffer
 	if _, err := io.CopyN(&got, r, int64(size)); err != nil {
 		if errors.Is(err, io.EOF) {
@@ -185,8 +185,7 @@
 	return e, nil
 }
 
-// Send puts a message on its way. It never waits; a message that can't go is dropped
-// and counted.
+// Send queues a message. It never blocks; a message that can't be queued is dropped and counted.
 func (l *Link) Send(e Envelope) {
 	e.Version, e.Need, e.Fleet, e.From = Version, Version, l.cfg.Fleet, l.cfg.Self
 	p := l.peers[e.To]
@@ -216,7 +215,7 @@
 	f(&p.status)
 }
 
-// Run sends until ctx ends.
+// Run sends queued messages until ctx ends.
 func (l *Link) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, p := range l.peers {
@@ -225,7 +224,8 @@
 	all.Wait()
 }
 
-// sendLoop keeps a connection to one router while there is something to send.
+// sendLoop sends the messages that are queued for one router. It connects when there is a message
+// to send, and after a failure no sooner than the backoff allows.
 func (l *Link) sendLoop(ctx context.Context, p *peer) {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, uint64(crc32.ChecksumIEEE([]byte(p.Name)))))
 	retry := backoff.NewExponentialBackOff()
@@ -276,7 +276,7 @@
 	}
 }
 
-// linkLost logs a link that was lost, once.
+// linkLost records that a link is down, and logs the first failure only.
 func (l *Link) linkLost(p *peer, err error) {
 	p.mu.Lock()
 	first := p.status.Connected || p.status.LastFault == ""
@@ -287,7 +287,7 @@
 	}
 }
 
-// sendFrame writes a frame and waits until the other end has taken it.
+// sendFrame writes a frame and waits for its acknowledgement.
 func (l *Link) sendFrame(conn net.Conn, frame []byte) error {
 	if err := conn.SetDeadline(time.Now().Add(l.cfg.Timeout)); err != nil {
 		return fmt.Errorf("send a frame: %w", err)
@@ -305,7 +305,7 @@
 	return nil
 }
 
-// Serve takes others' connections until the listener is closed.
+// Serve accepts other routers' connections until the listener is closed.
 func (l *Link) Serve(listener net.Listener) error {
 	maxConns := 2*len(l.peers) + 8
 	accepter := accepting.Resilient(listener, func(error) { l.cfg.Counters.Add("accepts_failed", 1) })
@@ -315,7 +315,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("accept a router: %w", err)
+			return fmt.Errorf("accept a connection of a router: %w", err)
 		}
 		l.mu.Lock()
 		full := len(l.accepted) >= maxConns
@@ -332,7 +332,7 @@
 	}
 }
 
-// Close ends the connections that others opened.
+// Close closes the connections that other routers opened.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -356,7 +356,8 @@
 		if _, err := br.Peek(1); err != nil {
 			return
 		}
-		// A frame that has begun must end soon: half of one must not hold a connection.
+		// The rest of a frame must follow within Timeout, so that an incomplete frame does not occupy
+		// a connection.
 		if err := c.SetReadDeadline(time.Now().Add(l.cfg.Timeout)); err != nil {
 			return
 		}
@@ -384,15 +385,16 @@
 	}
 }
 
-// check passes over what is not meant for this router, or speaks for another.
+// check rejects messages for another fleet or router or from an unknown router, and removes parts
+// whose stated origin is not the sender.
 func (l *Link) check(e *Envelope) error {
 	switch {
 	case e.Fleet != l.cfg.Fleet:
-		return fmt.Errorf("%w: of fleet %.40q", ErrMessage, e.Fleet)
+		return fmt.Errorf("%w: for fleet %.40q", ErrMessage, e.Fleet)
 	case e.To != l.cfg.Self:
 		return fmt.Errorf("%w: for router %.40q", ErrMessage, e.To)
 	case l.peers[e.From] == nil:
-		return fmt.Errorf("%w: from the unknown router %.40q", ErrMessage, e.From)
+		return fmt.Errorf("%w: from unknown router %.40q", ErrMessage, e.From)
 	}
 	e.DropForged()
 	return nil
@@ -403,7 +405,7 @@
 	l.cfg.Log.WithError(err).WithField("from", c.RemoteAddr().String()).Debug("fleet message refused")
 }
 
-// Statuses tells of all links, by name.
+// Statuses returns the state of all links, ordered by the name of the peer.
 func (l *Link) Statuses() []Status {
 	out := make([]Status, 0, len(l.peers))
 	for _, p := range l.peers {
--- a/fleet/link/link_test.go
+++ b/fleet/link/link_test.go
@@ -28,7 +28,7 @@
 		Budget:  []budget.Message{{Kind: budget.Ask, From: "a", To: "b", Epoch: 1, Life: 2, Key: "k", Seq: 3, Amount: 4.5, Using: 2}}}
 }
 
-func TestFrameThereAndBack(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	frame, err := Encode(example())
 	require.NoError(t, err)
 	got, err := Decode(bytes.NewReader(frame))
@@ -37,8 +37,9 @@
 	t.Logf("%d bytes", len(frame))
 }
 
-// The work at 4,096 workers of long names is one message; what its head promises takes no memory before it comes.
-func TestALargeFleetsWorkFitsAMessage(t *testing.T) {
+// The work at 4,096 workers with long names fits into one message, and a message that is cut off is
+// reported as such.
+func TestWorkOfLargeFleetFitsAMessage(t *testing.T) {
 	e := example()
 	e.Counts = &counts.State{Router: "a", Life: 1, Version: 2, Work: map[string]counts.Work{}}
 	for i := range 4096 {
@@ -54,7 +55,7 @@
 	t.Logf("%d bytes", len(frame))
 }
 
-// framed puts any text into a frame whose head fits.
+// framed returns a frame with a matching header for any body.
 func framed(t *testing.T, body []byte) []byte {
 	head := make([]byte, headerSize)
 	binary.BigEndian.PutUint32(head, uint32(len(body)))
@@ -62,9 +63,9 @@
 	return append(head, body...)
 }
 
-// A frame that is cut or spoilt ends the connection; a message that makes no sense is passed over; one of a newer version
-// is read if it says that this one can.
-func TestSpoiltFramesAndOtherVersions(t *testing.T) {
+// A truncated or corrupt frame gives an error that ends the connection; an invalid message in a
+// valid frame gives ErrMessage. A message of a newer version is read if its Need allows it.
+func TestInvalidFramesAndOtherVersions(t *testing.T) {
 	good, err := Encode(example())
 	require.NoError(t, err)
 	as := func(v any) []byte {
@@ -81,13 +82,13 @@
 		"empty":             {nil, io.EOF},
 		"head cut":          {good[:5], io.ErrUnexpectedEOF},
 		"body cut":          {good[:len(good)-3], io.ErrUnexpectedEOF},
-		"one bit off":       {flip, ErrFrame},
+		"one bit flipped":   {flip, ErrFrame},
 		"no size":           {make([]byte, headerSize), ErrFrame},
 		"3 GB announced":    {[]byte{0xc0, 0, 0, 0, 1, 2, 3, 4}, ErrFrame},
 		"no CBOR":           {framed(t, []byte("GET / HTTP/1.1")), ErrMessage},
 		"another shape":     {as([]int{1, 2}), ErrMessage},
 		"a wrong type":      {as(map[int]any{3: 17}), ErrMessage},
-		"doubled key":       {framed(t, []byte{0xa2, 0x03, 0x61, 'f', 0x03, 0x61, 'g'}), ErrMessage},
+		"duplicate key":     {framed(t, []byte{0xa2, 0x03, 0x61, 'f', 0x03, 0x61, 'g'}), ErrMessage},
 		"too many budgets":  {as(map[int]any{11: make([]int, 5000)}), ErrMessage},
 		"needs a newer one": {as(map[int]any{1: 9, 2: 9, 3: "f"}), ErrMessage},
 		"newer, with more":  {as(map[int]any{1: 9, 2: 1, 3: "f", 4: "a", 5: "b", 40: "what is new"}), nil},
@@ -103,13 +104,13 @@
 	require.ErrorIs(t, err, ErrFrame)
 }
 
-// ends are two routers that are linked over a relay.
+// ends are two routers that are linked through a relay.
 type ends struct {
-	a, b  *Link
-	relay *relay.Relay // from a to b
-	heard chan Envelope
-	count *metrics.Set
-	addr  string
+	a, b     *Link
+	relay    *relay.Relay // from a to b
+	received chan Envelope
+	count    *metrics.Set
+	addr     string
 }
 
 func newEnds(t *testing.T) *ends {
@@ -117,12 +118,12 @@
 	require.NoError(t, err)
 	r, err := relay.New(l.Addr().String())
 	require.NoError(t, err)
-	e := &ends{relay: r, heard: make(chan Envelope, 64), count: &metrics.Set{}, addr: l.Addr().String()}
+	e := &ends{relay: r, received: make(chan Envelope, 64), count: &metrics.Set{}, addr: l.Addr().String()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	make1 := func(self, peer, addr string) *Link {
 		return New(Config{Fleet: "f", Self: self, Peers: []Peer{{peer, addr}}, Timeout: 100 * time.Millisecond, StaleAfter: time.Minute,
-			Seed: 1, Counters: e.count, Log: log, Receive: func(m Envelope) { e.heard <- m }})
+			Seed: 1, Counters: e.count, Log: log, Receive: func(m Envelope) { e.received <- m }})
 	}
 	e.a, e.b = make1("a", "b", r.Addr()), make1("b", "a", "127.0.0.1:1")
 	go func() { _ = e.b.Serve(l) }()
@@ -131,14 +132,14 @@
 	return e
 }
 
-// until sends messages until one is heard.
-func (e *ends) until(t *testing.T) Envelope {
+// sendUntilReceived sends messages until one is received.
+func (e *ends) sendUntilReceived(t *testing.T) Envelope {
 	t.Helper()
 	var got Envelope
 	require.Eventually(t, func() bool {
 		e.a.Send(Envelope{To: "b"})
 		select {
-		case got = <-e.heard:
+		case got = <-e.received:
 			return true
 		default:
 			return false
@@ -147,12 +148,13 @@
 	return got
 }
 
-// A connection whose bytes vanish, one that is cut and one whose answers alone are lost are each replaced once the link is
-// good again, and what was lost stays lost.
+// A connection that loses all bytes in one direction, or in both while new ones are refused, is
+// detected by missing acknowledgements and replaced once the link works again. Lost messages are
+// not sent again.
 func TestLostConnectionsAreReplaced(t *testing.T) {
 	e := newEnds(t)
-	require.Equal(t, "a", e.until(t).From)
-	// A message is heard before its sender has been told so.
+	require.Equal(t, "a", e.sendUntilReceived(t).From)
+	// A message is received before its sender gets the acknowledgement.
 	require.Eventually(t, func() bool { return e.a.Statuses()[0].Connected }, 20*time.Second, time.Millisecond)
 	for _, f := range []relay.Fault{{Drop: [2]bool{true, false}}, {Drop: [2]bool{false, true}}, {Refuse: true, Drop: [2]bool{true, true}}} {
 		e.relay.Set(f)
@@ -160,25 +162,25 @@
 		require.Eventually(t, func() bool {
 			e.a.Send(Envelope{To: "b"})
 			return e.a.Statuses()[0].Dropped > dropped && e.a.Statuses()[0].LastFault != ""
-		}, 20*time.Second, 5*time.Millisecond, "%+v is noticed", f)
+		}, 20*time.Second, 5*time.Millisecond, "%+v is detected", f)
 		e.relay.Set(relay.Fault{})
 		e.relay.Cut()
-		for len(e.heard) > 0 {
-			<-e.heard
+		for len(e.received) > 0 {
+			<-e.received
 		}
-		e.until(t)
+		e.sendUntilReceived(t)
 	}
 	require.Positive(t, e.count.Get("fleet_messages_dropped"))
 }
 
-// What is of another fleet, for another router, of a stranger, or speaks for somebody else is passed over, and the
-// connection goes on.
-func TestMessagesThatAreNotMeant(t *testing.T) {
+// Messages for another fleet or router, from an unknown router or from the receiver itself are
+// refused, parts of another origin than the sender are removed, and the connection stays open.
+func TestMisaddressedMessages(t *testing.T) {
 	e := newEnds(t)
 	c, err := net.Dial("tcp4", e.addr)
 	require.NoError(t, err)
 	defer c.Close()
-	give := func(m Envelope) {
+	sendAcked := func(m Envelope) {
 		frame, err := Encode(m)
 		require.NoError(t, err)
 		_, err = c.Write(frame)
@@ -192,17 +194,17 @@
 		func(m *Envelope) { m.From = "c" }, func(m *Envelope) { m.From = "b" }} {
 		m := example()
 		spoil(&m)
-		give(m)
+		sendAcked(m)
 	}
-	require.Empty(t, e.heard)
+	require.Empty(t, e.received)
 	require.EqualValues(t, 4, e.count.Get("fleet_messages_refused"))
 	m := example()
 	m.Members.From, m.Budget = "c", append(m.Budget, budget.Message{Kind: budget.Grant, From: "c", To: "b"})
-	give(m)
-	got := <-e.heard
+	sendAcked(m)
+	got := <-e.received
 	require.Nil(t, got.Members)
 	require.Len(t, got.Budget, 1)
-	// Half a frame holds a connection for no longer than a whole one may take.
+	// An incomplete frame occupies the connection only until the timeout.
 	_, err = c.Write([]byte{0, 0, 0, 9, 1})
 	require.NoError(t, err)
 	_, err = c.Read(make([]byte, 1))
