--- a/fleet/eventlog/archive.go
+++ b/fleet/eventlog/archive.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// Flush has all that was noted until now written, as far as the disk takes it. It waits
-// for the writing goroutine, so it is not for the requests' path.
+// Flush writes all records noted so far, as far as the disk accepts them. It waits for the writing
+// goroutine and so must not be called on the path of requests.
 func (w *Writer) Flush() {
 	done := make(chan struct{})
 	w.mu.Lock()
@@ -28,9 +28,9 @@
 	}
 }
 
-// Archive writes the segments of a trail as a tar, each as long as it is when its turn
-// comes: one that is written to meanwhile ends between two records or in a torn one, which
-// Read tells. A segment that goes meanwhile is left out.
+// Archive writes the segments of an event log as a tar archive, each with the size that it has
+// when it is reached. A segment that is being written may end in a torn record, which Read reports.
+// A segment that is removed in the meantime is left out.
 func Archive(dir string, to io.Writer) error {
 	names, err := Segments(dir)
 	if err != nil {
@@ -62,11 +62,11 @@
 	return err
 }
 
-// ErrArchive is for an archive that holds what no trail does.
+// ErrArchive is returned for an invalid archive of an event log.
 var ErrArchive = errors.New("trail archive")
 
-// Unpack writes the segments of an archive into dir, which it makes, most bytes in all.
-// Segments that are there already are replaced. It returns how many there were.
+// Unpack writes the segments of an archive into dir, which it creates if needed, up to maxBytes in
+// all. Existing segments are replaced. It returns the number of segments written.
 func Unpack(from io.Reader, dir string, maxBytes int64) (int, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return 0, fmt.Errorf("trail: %w", err)
@@ -81,10 +81,10 @@
 			return n, fmt.Errorf("%w: %w", ErrArchive, err)
 		}
 		if h.Typeflag != tar.TypeReg || h.Name != filepath.Base(h.Name) || !strings.HasSuffix(h.Name, segmentSuffix) {
-			return n, fmt.Errorf("%w: %q is no segment", ErrArchive, h.Name)
+			return n, fmt.Errorf("%w: %q is not a segment", ErrArchive, h.Name)
 		}
 		if maxBytes -= h.Size; maxBytes < 0 {
-			return n, fmt.Errorf("%w: %s goes past the bytes that are allowed", ErrArchive, h.Name)
+			return n, fmt.Errorf("%w: %s exceeds the limit of bytes", ErrArchive, h.Name)
 		}
 		if err := unpackSegment(t, filepath.Join(dir, h.Name)); err != nil {
 			return n, err
--- a/fleet/eventlog/archive_test.go
+++ b/fleet/eventlog/archive_test.go
@@ -12,8 +12,9 @@
 	"lichenshelf/fleet/audit"
 )
 
-// A trail that is being written is copied as it stands; what was noted before the copy is in it.
-func TestArchiveOfALivingTrail(t *testing.T) {
+// An event log can be archived while it is written. The copy holds all records noted before the
+// flush that precedes it.
+func TestArchiveOfOpenLog(t *testing.T) {
 	dir, other := t.TempDir(), filepath.Join(t.TempDir(), "copy")
 	w, _ := open(t, dir, 1, segmentCount*maxRecordBytes)
 	for i := range 400 { // over several segments
@@ -29,17 +30,17 @@
 	a, b := read(t, dir), read(t, other)
 	require.Empty(t, b.Damages)
 	require.Len(t, b.Entries, len(a.Entries))
-	require.Equal(t, uint64(400), b.Entries[len(b.Entries)-1].Number, "the last sends are there")
+	require.Equal(t, uint64(400), b.Entries[len(b.Entries)-1].Number, "the last sends are included")
 	require.NoError(t, w.Close())
-	w.Flush() // after the end: nothing to wait for
+	w.Flush() // after Close it must return at once
 
-	// Written to meanwhile, its end may be torn, and is told so.
+	// A truncated archive is an error.
 	cut := bytes.Clone(text.Bytes()[:text.Len()/2])
 	_, err = Unpack(bytes.NewReader(cut), filepath.Join(t.TempDir(), "cut"), 1<<20)
 	require.Error(t, err)
 }
 
-func TestArchivesThatAreNone(t *testing.T) {
+func TestInvalidArchives(t *testing.T) {
 	as := func(name string, size int) []byte {
 		var text bytes.Buffer
 		w := tar.NewWriter(&text)
@@ -51,7 +52,7 @@
 	}
 	for what, text := range map[string][]byte{
 		"another place": as("../00000000000000000001.trail", 8), "another file": as("passwd", 8),
-		"too much": as("00000000000000000001.trail", 2000), "noise": bytes.Repeat([]byte{7}, 1024),
+		"too much": as("00000000000000000001.trail", 2000), "random bytes": bytes.Repeat([]byte{7}, 1024),
 	} {
 		dir := filepath.Join(t.TempDir(), "x")
 		_, err := Unpack(bytes.NewReader(text), dir, 1000)
--- a/fleet/eventlog/eventlog.go
+++ b/fleet/eventlog/eventlog.go
@@ -1,10 +1,11 @@
-// Package eventlog keeps the records of one router on disk: what it took, acknowledged, refused
-// and sent under which version (fleet/audit says what they mean).
+// Package eventlog writes one router's event log to disk: which versions it adopted and
+// acknowledged, and what it refused and sent under which version. Package audit defines the
+// records.
 //
-// Records are appended to segments of bounded size, the oldest of which go. Each has its
-// length and an XXH3 checksum, so that a torn tail, a flipped byte and a cut are found and
-// named. Nothing waits for the disk: a record that finds the writer behind is dropped and
-// counted, and a disk that is full or gone stops nothing but the trail.
+// Records are appended to segments of limited size; the oldest segments are removed. Each record
+// has its length and an XXH3 checksum, so that a torn tail, a flipped byte and a truncation are
+// detected and located. Callers never wait for the disk: a record is dropped and counted if the
+// queue of the writing goroutine is full, and a disk that is full or missing stops only the log.
 package eventlog
 
 import (
@@ -30,43 +31,44 @@
 	headerSize     = 12      // length and checksum
 	maxRecordBytes = 4 << 10 // bytes
 	maxQueued      = 4096    // records that wait for the disk
-	maxSummaries   = 4096    // workers and numbers of which sends are summed up at a time
-	segmentCount   = 8       // that the bound is divided over
+	maxSummaries   = 4096    // records of sends that are summed up at a time
+	segmentCount   = 8       // segments that Config.Bytes is divided into
 	segmentSuffix  = ".trail"
 	flushEvery     = 500 * time.Millisecond
-	closeTimeout   = time.Second // for a disk that may not answer
+	closeTimeout   = time.Second // limit on waiting for a disk that does not respond
 )
 
-// ErrNotWritten says that the last records may not be on the disk, which does not answer.
-var ErrNotWritten = errors.New("trail: the last records are not written, the disk may not answer")
+// ErrNotWritten is returned if the last records may not be on disk because the disk does not
+// respond.
+var ErrNotWritten = errors.New("trail: last records not written, the disk may not respond")
 
-// Config says where a trail is kept.
+// Config holds the settings of an event log.
 type Config struct {
 	Dir    string
 	Router string
 	Life   uint64
-	Bytes  int64 // of all segments together; the oldest go
-	// Count is told of what was written, lost or failed.
+	Bytes  int64 // limit for all segments together; the oldest are removed
+	// Count counts records written and lost, and errors of the disk.
 	Count interface{ Add(name string, n int64) }
 }
 
-// Writer appends to a router's trail. Its methods may be called from any goroutine and
-// never wait for the disk.
+// Writer appends to a router's event log. Its methods may be called from any goroutine. Only Flush
+// and Close wait for the disk.
 type Writer struct {
 	cfg   Config
 	start time.Time
 	queue chan audit.Record
 
-	flushes chan chan struct{} // who waits for all to be written
-	stopped chan struct{}      // closed when the writing has ended
+	flushes chan chan struct{} // requests of Flush; each is closed when done
+	stopped chan struct{}      // closed when the writing goroutine has ended
 
 	mu     sync.Mutex
-	seq    uint64 // counts what is lost as well, so that it shows as a gap
-	number uint64
+	seq    uint64 // also counts lost records, so that they show as a gap
+	number uint64 // of the last record of kind Taken
 	sends  map[sendKey]*audit.Record
 	closed bool
 
-	// Of the writing goroutine.
+	// Used by the writing goroutine only.
 	file *os.File
 	buf  *bufio.Writer
 	size int64
@@ -78,10 +80,10 @@
 	number uint64
 }
 
-// Open begins a router's part of a trail, in a segment of its own. The directory is made.
+// Open starts writing an event log in a new segment. It creates the directory if needed.
 func Open(cfg Config) (*Writer, error) {
 	if cfg.Bytes < segmentCount*maxRecordBytes {
-		return nil, fmt.Errorf("trail: %d bytes are too few, %d are the least", cfg.Bytes, segmentCount*maxRecordBytes)
+		return nil, fmt.Errorf("trail: %d bytes are too few, at least %d are needed", cfg.Bytes, segmentCount*maxRecordBytes)
 	}
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("trail: %w", err)
@@ -99,17 +101,17 @@
 		flushes: make(chan chan struct{}), stopped: make(chan struct{})}
 }
 
-// startWriting starts the writing.
+// startWriting starts the writing goroutine and notes the start.
 func (w *Writer) startWriting() {
 	go w.run()
 	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Life: w.cfg.Life, Wall: w.start.UnixMilli()})
 }
 
-// Now is the time on the trail's clock.
+// Now returns the time since the log was opened.
 func (w *Writer) Now() time.Duration { return time.Since(w.start) }
 
-// Note appends a record, at this time unless it has one. A version that is taken begins a
-// number of its own, which is returned by Number from then on.
+// Note appends a record, with the present time unless it has one. The Number of a record of kind
+// Taken stands for all versions acted on from then on, and applies to the sends that follow.
 func (w *Writer) Note(r audit.Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,7 +119,7 @@
 		r.At = w.Now()
 	}
 	if r.Kind == audit.Taken {
-		w.flushSends() // what was sent until now rests on what was held until now
+		w.flushSends() // sends so far were made under the previous versions
 		w.number = r.Number
 	}
 	if r.Kind == audit.Out || r.Kind == audit.ShutOut || r.Kind == audit.Back || r.Kind == audit.Acknowledged {
@@ -126,8 +128,8 @@
 	w.enqueue(r)
 }
 
-// Sent notes an attempt that goes out now. Attempts to one worker under one number are summed
-// up for a moment.
+// Sent records an attempt that is sent now. Attempts at one worker under one Number are summed up
+// in one record until the next flush.
 func (w *Writer) Sent(worker string, since int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -145,7 +147,7 @@
 	s.Until = now
 }
 
-// flushSends hands on what was summed up, in the order of the workers' names. The lock is held.
+// flushSends queues the summed-up sends, ordered by the workers' names. The caller holds the lock.
 func (w *Writer) flushSends() {
 	if len(w.sends) == 0 {
 		return
@@ -161,7 +163,8 @@
 	clear(w.sends)
 }
 
-// enqueue queues a record. The lock is held, so that records stand in the order of their times.
+// enqueue queues a record. The caller holds the lock, so that records are in the order of their
+// times.
 func (w *Writer) enqueue(r audit.Record) {
 	if w.closed {
 		return
@@ -175,7 +178,8 @@
 	}
 }
 
-// Close writes what is left and ends the trail in good order. It waits for closeTimeout at most, and is ErrNotWritten then.
+// Close writes the remaining records and a final one. It waits for at most closeTimeout and returns
+// ErrNotWritten after that.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
@@ -198,7 +202,7 @@
 	return w.file.Close()
 }
 
-// run writes until the queue is closed.
+// run writes records until the queue is closed.
 func (w *Writer) run() {
 	defer close(w.stopped)
 	tick := time.NewTicker(flushEvery)
@@ -220,7 +224,8 @@
 			}
 			w.write(r)
 			if r.Kind != audit.Sent && r.Kind != audit.Failed && len(w.queue) == 0 {
-				w.flushBuffer() // these are few, and a process that is killed loses what it has not handed on
+				// These are rare, and a process that is killed loses what is in the buffer.
+				w.flushBuffer()
 			}
 		case <-tick.C:
 			w.mu.Lock()
@@ -239,8 +244,8 @@
 	}
 }
 
-// handleError takes note of a disk that does not take what it is given: the segment is given up,
-// and another one is tried with the next record.
+// handleError counts an error of the disk and abandons the segment; the next record starts another
+// one.
 func (w *Writer) handleError(err error) {
 	if err == nil {
 		return
@@ -276,7 +281,7 @@
 	w.cfg.Count.Add("trail_records", 1)
 }
 
-// newSegment begins a segment and removes the oldest ones.
+// newSegment starts a segment and removes the oldest ones.
 func (w *Writer) newSegment() error {
 	if w.buf != nil {
 		if err := w.buf.Flush(); err != nil {
@@ -309,7 +314,7 @@
 	return nil
 }
 
-// Segments are the files of a trail, the oldest first.
+// Segments returns the files of an event log, the oldest first.
 func Segments(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -325,7 +330,7 @@
 	return out, nil
 }
 
-// ErrRecord is for a record that can't be read.
+// ErrRecord is returned for a record that can't be read.
 var ErrRecord = errors.New("trail record")
 
 var decoder = func() cbor.DecMode {
@@ -336,7 +341,7 @@
 	return m
 }()
 
-// Encode makes a frame of a record. Texts that are too long are cut.
+// Encode returns the frame of a record. Texts that are too long are truncated.
 func Encode(r audit.Record) ([]byte, error) {
 	for _, s := range []*string{&r.Text, &r.Request, &r.Worker, &r.Part, &r.Router} {
 		if len(*s) > maxRecordBytes/16 {
@@ -353,7 +358,8 @@
 	return append(frame, body...), nil
 }
 
-// Decode reads the next record of a segment. io.EOF is its end, between two records.
+// Decode reads the next record of a segment. It returns io.EOF if the segment ends between two
+// records.
 func Decode(r io.Reader) (audit.Record, error) {
 	var rec audit.Record
 	var head [headerSize]byte
@@ -380,7 +386,8 @@
 	return rec, nil
 }
 
-// ReadAll reads one trail for each directory; one that does not name its router goes by its directory.
+// ReadAll reads the event log of each directory. A log that does not name its router gets the name
+// of its directory.
 func ReadAll(dirs []string) ([]audit.Trail, error) {
 	var trails []audit.Trail
 	for _, dir := range dirs {
@@ -396,9 +403,8 @@
 	return trails, nil
 }
 
-// Read reads a whole trail. A record that can't be read ends its segment: what lies behind
-// it can't be told from noise. Segments that are missing between two show as a gap in the
-// records' numbers.
+// Read reads a whole event log. A record that can't be read ends its segment, since the start of
+// the next record is unknown. Missing segments show as a gap in the sequence numbers.
 func Read(dir string) (audit.Trail, error) {
 	var t audit.Trail
 	names, err := Segments(dir)
@@ -406,7 +412,7 @@
 		return t, err
 	}
 	if len(names) == 0 {
-		return t, fmt.Errorf("trail: %s holds no segment", dir)
+		return t, fmt.Errorf("trail: directory %s has no segment", dir)
 	}
 	for _, name := range names {
 		if err := readSegment(name, &t); err != nil {
@@ -440,7 +446,7 @@
 	}
 }
 
-// countingReader knows how far it has been read.
+// countingReader counts the bytes that have been read.
 type countingReader struct {
 	r io.Reader
 	n int64
--- a/fleet/eventlog/eventlog_test.go
+++ b/fleet/eventlog/eventlog_test.go
@@ -17,9 +17,9 @@
 	"lichenshelf/metrics"
 )
 
-func open(t testing.TB, dir string, life uint64, most int64) (*Writer, *metrics.Set) {
+func open(t testing.TB, dir string, incarnation uint64, maxBytes int64) (*Writer, *metrics.Set) {
 	counters := &metrics.Set{}
-	w, err := Open(Config{Dir: dir, Router: "r", Life: life, Bytes: most, Count: counters})
+	w, err := Open(Config{Dir: dir, Router: "r", Life: incarnation, Bytes: maxBytes, Count: counters})
 	require.NoError(t, err)
 	return w, counters
 }
@@ -30,11 +30,12 @@
 	return tr
 }
 
-// What is noted stands there in order, sends summed up under the number that they went out under, over two starts.
-func TestThereAndBack(t *testing.T) {
+// Records are read back in order, with sends summed up under the Number that they were sent under,
+// across two starts.
+func TestRoundTrip(t *testing.T) {
 	dir := t.TempDir()
-	for life := range uint64(2) {
-		w, _ := open(t, dir, life+1, 1<<20)
+	for previous := range uint64(2) {
+		w, _ := open(t, dir, previous+1, 1<<20)
 		w.Sent("w", 5)
 		w.Sent("w", 5)
 		w.Note(audit.Record{Kind: audit.Taken, Part: "config", Version: 3, Number: 1})
@@ -67,9 +68,9 @@
 	require.ErrorContains(t, err, "no segment")
 }
 
-// Cut anywhere, a trail gives what stands whole before the cut, and names the place; a flipped byte is found wherever it is;
-// a segment that is gone shows as a gap.
-func TestDamageIsFoundAndNamed(t *testing.T) {
+// A log truncated at any byte gives all records before the cut and reports its place. A flipped bit
+// in any byte is detected. A missing segment shows as a gap.
+func TestDamageIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	w, _ := open(t, dir, 1, 1<<20)
 	for i := range 20 {
@@ -119,11 +120,11 @@
 
 func TestBounded(t *testing.T) {
 	dir := t.TempDir()
-	const most = 1 << 17
-	w, counters := open(t, dir, 1, most)
+	const maxBytes = 1 << 17
+	w, counters := open(t, dir, 1, maxBytes)
 	for i := range 20_000 {
 		w.Note(audit.Record{Kind: audit.Failed, Worker: "w", Request: fmt.Sprint(i)})
-		if i%100 == 0 { // the writer is not to be outrun here, however slow the disk is
+		if i%100 == 0 { // a slow disk must not make the queue overflow
 			require.Eventually(t, func() bool { return counters.Get("trail_records") >= int64(i) }, time.Minute, 100*time.Microsecond)
 		}
 	}
@@ -136,23 +137,25 @@
 		require.NoError(t, err)
 		sum += info.Size()
 	}
-	require.LessOrEqual(t, sum, int64(most))
-	require.Greater(t, sum, int64(most/2))
+	require.LessOrEqual(t, sum, int64(maxBytes))
+	require.Greater(t, sum, int64(maxBytes/2))
 	tr := read(t, dir)
-	require.Equal(t, audit.Ended, tr.Entries[len(tr.Entries)-1].Kind, "the newest are kept")
+	require.Equal(t, audit.Ended, tr.Entries[len(tr.Entries)-1].Kind, "the newest records are kept")
 	require.Empty(t, audit.Check([]audit.Trail{tr}))
 	_, err = Open(Config{Dir: dir, Bytes: 10})
 	require.ErrorContains(t, err, "10 bytes are too few")
 }
 
-// A disk that takes nothing stops nobody; what it lost is counted and shows as a gap.
-func TestDiskThatFails(t *testing.T) {
+// A disk that fails blocks no caller. Lost records are counted and show as a gap, and writing
+// resumes when the disk works again.
+func TestFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "trail")
 	w, counters := open(t, dir, 1, 1<<16)
 	w.Note(audit.Record{Kind: audit.Failed, Request: "before"})
 	require.Eventually(t, func() bool { return counters.Get("trail_records") >= 2 }, 10*time.Second, time.Millisecond)
 	require.NoError(t, os.RemoveAll(dir))
-	require.NoError(t, os.WriteFile(dir, nil, 0o600)) // no segment can be made any more
+	// With a file in place of the directory no segment can be created.
+	require.NoError(t, os.WriteFile(dir, nil, 0o600))
 	began := time.Now()
 	for i := range 5000 {
 		w.Note(audit.Record{Kind: audit.Failed, Request: fmt.Sprint(i)})
@@ -172,10 +175,10 @@
 		head := audit.Entry{Record: audit.Record{Kind: audit.Started, Router: "r", Seq: 1}}
 		tr.Entries = append([]audit.Entry{head}, tr.Entries...)
 		return tr
-	}()}), "what was lost shows")
+	}()}), "lost records show as a gap")
 }
 
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentSends(t *testing.T) {
 	dir := t.TempDir()
 	w, counters := open(t, dir, 1, 1<<24)
 	var all sync.WaitGroup
@@ -226,7 +229,7 @@
 	})
 }
 
-// What an attempt costs that is noted.
+// BenchmarkSent measures what recording costs an attempt.
 func BenchmarkSent(b *testing.B) {
 	w, _ := open(b, b.TempDir(), 1, 1<<26)
 	b.ReportAllocs()
@@ -245,8 +248,9 @@
 	require.NoError(b, w.Close())
 }
 
-// A file that takes nothing and returns no error, as on a disk that does not answer, keeps nobody waiting who closes the trail.
-func TestAFileThatHangsDoesNotHoldClose(t *testing.T) {
+// A write that neither completes nor fails, as on a disk that does not respond, must not block
+// Close.
+func TestHangingFileDoesNotBlockClose(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	defer reader.Close()
@@ -266,6 +270,6 @@
 	case err := <-closed:
 		require.ErrorIs(t, err, ErrNotWritten)
 	case <-time.After(10 * time.Second):
-		t.Fatal("Close waits for the file")
+		t.Fatal("Close waits for the write that hangs")
 	}
 }
