--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -28,7 +28,7 @@
 type Front struct {
 	agent    *Agent
 	cfg      node.FrontConfig
-	part     *node.Front // guarded by the agent's lock; nil before Take
+	part     *node.Front // guarded by the agent's lock; nil until the core is connected
 	gate     *cordon.Gate
 	core     Core
 	recorder Recorder // nil: no event log
@@ -47,8 +47,8 @@
 }
 
 // Front adds a front. Its workers are judged together with the other routers, and its attempts
-// are taken out of the budgets that all routers share. Take must be called before anything is
-// sent. If recorder is nil, no events are recorded.
+// are taken out of the budgets that all routers share. The core must be connected
+// before anything is sent. If recorder is nil, no events are recorded.
 func (a *Agent) Front(cfg node.FrontConfig, recorder Recorder) *Front {
 	return &Front{agent: a, cfg: cfg, recorder: recorder}
 }
--- a/fleet/node/front.go
+++ b/fleet/node/front.go
@@ -11,9 +11,9 @@
 	Name     string
 	Settings logic.Settings
 	// Reports is set where workers report their load themselves. Their reports include the load
-	// of other routers, so Confer does not return it a second time.
+	// of other routers, so the node does not report it a second time.
 	Reports bool
-	Zones   []string // zone names, indexed by Line.Zone; nil: not known
+	Zones   []string // zone names, indexed by a worker's Zone; nil: not known
 }
 
 // Front is one front's state in the fleet protocol.
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -103,7 +103,7 @@
 	isolated        bool
 	rng             *rand.Rand
 	countsSentAt    Time // when own work was last sent to others
-	loadsReportedAt Time // when others' work was last returned by Confer
+	loadsReportedAt Time // when others' work was last returned as load
 	notices         []Notice
 	versions        version.Vector // sent to the other routers
 	peerVersions    map[string]reportedVersions
@@ -197,7 +197,7 @@
 func (n *Node) Leave() { n.members.Leave() }
 
 // Tick returns the messages that are due. It must be called several times per lease, and at
-// least as often as work is reported (Config.Counts).
+// least as often as work is reported.
 func (n *Node) Tick(now Time) []Envelope {
 	var out []Envelope
 	to := func(name string) *Envelope {
--- a/fleet/node/node_test.go
+++ b/fleet/node/node_test.go
@@ -267,7 +267,8 @@
 	}
 }
 
-// BenchmarkTick measures Tick and Confer, which run at least ten times per second.
+// BenchmarkTick measures a tick with the evaluation of workers, which runs at least ten times per
+// second.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{100, 1000} {
 		for _, n := range []int{3, 200} {
