--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -58,10 +58,10 @@
 		}
 	}
 	var err error
-	if a.node, err = node.New(node.Config{Self: cfg.Self, Zones: zones, Life: incarnation, Lease: cfg.Lease.Duration, Floor: cfg.Floor,
-		Burst: cfg.Burst.Duration, Drift: cfg.Drift, Period: cfg.Period.Duration, Counts: cfg.Counts.Duration, Fanout: cfg.Fanout, Digest: cfg.Digest,
-		Observers: cfg.Observers, Quorum: cfg.Quorum, MostOut: cfg.MaxOut, Least: cfg.MinFailures, Hold: cfg.Hold.Duration,
-		Return: cfg.Return.Duration, Repeats: cfg.RepeatsPerSecond, Cold: cfg.ColdPerSecond, RecordMoves: onMove != nil}, rand.New(rand.NewPCG(seed, incarnation)), a.now()); err != nil {
+	if a.node, err = node.New(node.Config{Self: cfg.Self, Zones: zones, Incarnation: incarnation, Lease: cfg.Lease.Duration, Floor: cfg.Floor,
+		Burst: cfg.Burst.Duration, Drift: cfg.Drift, Period: cfg.Period.Duration, CountsPeriod: cfg.CountsPeriod.Duration, Fanout: cfg.Fanout, Digest: cfg.Digest,
+		Observers: cfg.Observers, Quorum: cfg.Quorum, MaxOut: cfg.MaxOut, MinFailures: cfg.MinFailures, Hold: cfg.Hold.Duration,
+		Return: cfg.Return.Duration, RepeatsPerSecond: cfg.RepeatsPerSecond, ColdPerSecond: cfg.ColdPerSecond, RecordMoves: onMove != nil}, rand.New(rand.NewPCG(seed, incarnation)), a.now()); err != nil {
 		return nil, fmt.Errorf("router %s: %w", cfg.Self, err)
 	}
 	if z, ok := cfg.zones(); ok {
@@ -77,12 +77,12 @@
 // now reads a monotonic clock that keeps running while the process is stopped.
 func (a *Agent) now() time.Duration { return time.Since(a.start) }
 
-// SetActs sets the versions that this router reports to the others as those it acts on. The
+// SetVersions sets the versions that this router reports to the others as those it acts on. The
 // vector must not be changed afterwards.
-func (a *Agent) SetActs(v version.Vector) {
+func (a *Agent) SetVersions(v version.Vector) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.node.SetActs(v)
+	a.node.SetVersions(v)
 }
 
 // SetText sets a version's text, as read from the store. Other routers may request it from then
@@ -93,9 +93,9 @@
 	a.node.SetText(t)
 }
 
-// WantText requests a part's text of a later version than held from other routers, until one is
+// RequestText requests a part's text of a later version than held from other routers, until one is
 // received. onText is called with it and must not block; it replaces the onText of earlier calls.
-func (a *Agent) WantText(part string, held uint64, onText func(node.Text)) {
+func (a *Agent) RequestText(part string, held uint64, onText func(node.Text)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.onText = onText
@@ -163,7 +163,7 @@
 	defer end()
 	defer a.link.Close()
 	every := a.cfg.Lease.Duration / ticksPerLease
-	if c := a.cfg.Counts.Duration; c > 0 {
+	if c := a.cfg.CountsPeriod.Duration; c > 0 {
 		every = min(every, c)
 	}
 	tick := time.NewTicker(every)
@@ -231,21 +231,21 @@
 
 // MembersPage is this router's view of the fleet's members.
 type MembersPage struct {
-	Fleet   string       `json:"fleet"`
-	Self    string       `json:"self"`
-	Life    uint64       `json:"life"`
-	Fenced  bool         `json:"fenced"`
-	Deaf    bool         `json:"deaf"`
-	Routers []MemberLine `json:"routers"`
+	Fleet       string       `json:"fleet"`
+	Self        string       `json:"self"`
+	Incarnation uint64       `json:"life"`
+	Fenced      bool         `json:"fenced"`
+	Isolated    bool         `json:"deaf"`
+	Routers     []MemberLine `json:"routers"`
 }
 
 // MemberLine is one other router.
 type MemberLine struct {
-	Name   string  `json:"name"`
-	State  string  `json:"state"`
-	Life   uint64  `json:"life"`
-	AgeS   float64 `json:"age_s"` // since its latest heartbeat was received
-	Doubts int     `json:"doubts"`
+	Name        string  `json:"name"`
+	State       string  `json:"state"`
+	Incarnation uint64  `json:"life"`
+	AgeS        float64 `json:"age_s"` // since its latest heartbeat was received
+	Doubts      int     `json:"doubts"`
 }
 
 // BudgetLine is one budget.
@@ -317,7 +317,7 @@
 	a.mu.Lock()
 	v := a.node.Members(a.now())
 	a.mu.Unlock()
-	p := MembersPage{Fleet: a.cfg.Fleet, Self: a.cfg.Self, Life: v.Incarnation, Fenced: v.Fenced, Deaf: v.Isolated, Routers: []MemberLine{}}
+	p := MembersPage{Fleet: a.cfg.Fleet, Self: a.cfg.Self, Incarnation: v.Incarnation, Fenced: v.Fenced, Isolated: v.Isolated, Routers: []MemberLine{}}
 	for _, r := range v.Routers {
 		p.Routers = append(p.Routers, MemberLine{r.Name, r.State.String(), r.Incarnation, r.Age.Seconds(), r.Suspicions})
 	}
--- a/fleet/agent/config.go
+++ b/fleet/agent/config.go
@@ -24,7 +24,7 @@
 	Burst            conffile.Duration `toml:"burst"`
 	Drift            float64           `toml:"drift"`
 	Period           conffile.Duration `toml:"period"`
-	Counts           conffile.Duration `toml:"counts_every"`
+	CountsPeriod     conffile.Duration `toml:"counts_every"`
 	Fanout           int               `toml:"fanout"`
 	Digest           int               `toml:"digest"`
 	Timeout          conffile.Duration `toml:"timeout"`
@@ -36,9 +36,9 @@
 	Return           conffile.Duration `toml:"return"`
 	RepeatsPerSecond float64           `toml:"repeats_per_s"`
 	ColdPerSecond    float64           `toml:"cold_per_s"`
-	Straggle         Straggle          `toml:"straggler"`
+	Straggler        Straggler         `toml:"straggler"`
 	Trail            string            `toml:"trail"` // directory of the event log; empty: off
-	TrailMax         int64             `toml:"trail_bytes"`
+	TrailBytes       int64             `toml:"trail_bytes"`
 	Routers          []Router          `toml:"router"`
 	Shift            Shift             `toml:"shift"`
 	Zones            []Zone            `toml:"zone"`
@@ -181,13 +181,13 @@
 	return nil
 }
 
-// Straggle holds the settings for a router that lags behind the published configuration.
-type Straggle struct {
-	Grace    conffile.Duration `toml:"grace"` // 0: off
-	MostAge  conffile.Duration `toml:"most_age"`
-	MostShut float64           `toml:"most_shut"`
-	Rate     float64           `toml:"rate"`
-	Steady   conffile.Duration `toml:"steady"`
+// Straggler holds the settings for a router that lags behind the published configuration.
+type Straggler struct {
+	Grace   conffile.Duration `toml:"grace"` // 0: off
+	MaxAge  conffile.Duration `toml:"most_age"`
+	MaxShut float64           `toml:"most_shut"`
+	Rate    float64           `toml:"rate"`
+	Steady  conffile.Duration `toml:"steady"`
 }
 
 // Rank returns this router's index among all routers ordered by name.
@@ -222,10 +222,10 @@
 // further and the fleet is off.
 func LoadConfig(path string) (*Config, error) {
 	d := func(v time.Duration) conffile.Duration { return conffile.Duration{Duration: v} }
-	c := &Config{Lease: d(2 * time.Second), Floor: 0.1, Burst: d(time.Second), Drift: 0.01, Period: d(500 * time.Millisecond), Counts: d(100 * time.Millisecond),
+	c := &Config{Lease: d(2 * time.Second), Floor: 0.1, Burst: d(time.Second), Drift: 0.01, Period: d(500 * time.Millisecond), CountsPeriod: d(100 * time.Millisecond),
 		Fanout: 2, Digest: 32, Timeout: d(time.Second), Observers: 2,
-		Quorum: 2, MaxOut: 0.3, MinFailures: 3, Hold: d(3 * time.Second), Return: d(10 * time.Second), TrailMax: 64 << 20,
-		Straggle: Straggle{MostShut: 0.25, Rate: 20, Steady: d(2 * time.Second)},
+		Quorum: 2, MaxOut: 0.3, MinFailures: 3, Hold: d(3 * time.Second), Return: d(10 * time.Second), TrailBytes: 64 << 20,
+		Straggler: Straggler{MaxShut: 0.25, Rate: 20, Steady: d(2 * time.Second)},
 		Shift: Shift{MinAttempts: 5, Failing: 0.2, Lost: 0.8, Confirm: d(time.Second), Hold: d(5 * time.Second), Return: d(20 * time.Second), Trial: 0.05,
 			Safe: 0.8, Up: 0.2, Back: 0.05, Every: d(time.Second), PerMin: 20, Spill: 0.1, Fresh: d(5 * time.Second), Fade: d(30 * time.Second)}}
 	f, err := conffile.Read(path, c)
@@ -264,7 +264,7 @@
 		{"burst", c.Burst, c.Burst.Duration > time.Minute, "over 1m"},
 		{"drift", c.Drift, !(c.Drift >= 0 && c.Drift <= 0.2), "not from 0 to 0.2"},
 		{"period", c.Period, c.Period.Duration < 10*time.Millisecond || c.Period.Duration > time.Minute, "not from 10ms to 1m"},
-		{"counts_every", c.Counts, c.Counts.Duration != 0 && c.Counts.Duration < 10*time.Millisecond || c.Counts.Duration > time.Minute, "not 0, nor from 10ms to 1m"},
+		{"counts_every", c.CountsPeriod, c.CountsPeriod.Duration != 0 && c.CountsPeriod.Duration < 10*time.Millisecond || c.CountsPeriod.Duration > time.Minute, "not 0, nor from 10ms to 1m"},
 		{"fanout", c.Fanout, c.Fanout < 1 || c.Fanout > 16, "not from 1 to 16"},
 		{"digest", c.Digest, c.Digest < 1 || c.Digest > 512, "not from 1 to 512"},
 		{"timeout", c.Timeout, c.Timeout.Duration < 10*time.Millisecond || c.Timeout.Duration > time.Minute, "not from 10ms to 1m"},
@@ -274,12 +274,12 @@
 		{"hold", c.Hold, c.Hold.Duration < 100*time.Millisecond || c.Hold.Duration > time.Minute, "not from 100ms to 1m"},
 		{"return", c.Return, c.Return.Duration > time.Hour, "over 1h"},
 		{"observers", c.Observers, c.Observers < 0, "negative"},
-		{"straggler.grace", c.Straggle.Grace, c.Straggle.Grace.Duration != 0 && c.Straggle.Grace.Duration < 100*time.Millisecond || c.Straggle.Grace.Duration > time.Hour, "not 0, nor from 100ms to 1h"},
-		{"straggler.most_age", c.Straggle.MostAge, c.Straggle.MostAge.Duration > 24*time.Hour, "over 24h"},
-		{"straggler.most_shut", c.Straggle.MostShut, !(c.Straggle.MostShut >= 0 && c.Straggle.MostShut <= 0.5), "not from 0 to 0.5"},
-		{"straggler.rate", c.Straggle.Rate, !(c.Straggle.Rate > 0 && c.Straggle.Rate <= maxRate), "not over 0 and up to 1000000"},
-		{"straggler.steady", c.Straggle.Steady, c.Straggle.Steady.Duration > time.Hour, "over 1h"},
-		{"trail_bytes", c.TrailMax, c.TrailMax < minTrailBytes || c.TrailMax > maxTrailBytes, "not from 1048576 to 1099511627776"},
+		{"straggler.grace", c.Straggler.Grace, c.Straggler.Grace.Duration != 0 && c.Straggler.Grace.Duration < 100*time.Millisecond || c.Straggler.Grace.Duration > time.Hour, "not 0, nor from 100ms to 1h"},
+		{"straggler.most_age", c.Straggler.MaxAge, c.Straggler.MaxAge.Duration > 24*time.Hour, "over 24h"},
+		{"straggler.most_shut", c.Straggler.MaxShut, !(c.Straggler.MaxShut >= 0 && c.Straggler.MaxShut <= 0.5), "not from 0 to 0.5"},
+		{"straggler.rate", c.Straggler.Rate, !(c.Straggler.Rate > 0 && c.Straggler.Rate <= maxRate), "not over 0 and up to 1000000"},
+		{"straggler.steady", c.Straggler.Steady, c.Straggler.Steady.Duration > time.Hour, "over 1h"},
+		{"trail_bytes", c.TrailBytes, c.TrailBytes < minTrailBytes || c.TrailBytes > maxTrailBytes, "not from 1048576 to 1099511627776"},
 		{"repeats_per_s", c.RepeatsPerSecond, !(c.RepeatsPerSecond >= 0 && c.RepeatsPerSecond <= maxRate), "not from 0 to 1000000"},
 		{"cold_per_s", c.ColdPerSecond, !(c.ColdPerSecond >= 0 && c.ColdPerSecond <= maxRate), "not from 0 to 1000000"},
 	} {
--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -53,9 +53,9 @@
 	return &Front{agent: a, cfg: cfg, recorder: recorder}
 }
 
-// Take connects the front to its core and returns the front as the taker of the lists of workers
+// Attach connects the front to its core and returns the front as the taker of the lists of workers
 // that would otherwise go to the core.
-func (f *Front) Take(core Core) cordon.MemberReceiver {
+func (f *Front) Attach(core Core) cordon.MemberReceiver {
 	f.core, f.gate = core, cordon.NewGate(core)
 	if f.recorder != nil {
 		f.gate = cordon.NewGate(&outRecorder{core: core, front: f, out: map[string]bool{}, known: map[string]int64{}})
@@ -118,10 +118,10 @@
 	}
 }
 
-func lines(members []router.Member) []node.Line {
-	out := make([]node.Line, len(members))
+func lines(members []router.Member) []node.ListedWorker {
+	out := make([]node.ListedWorker, len(members))
 	for i, m := range members {
-		out[i] = node.Line{Name: m.Name, Server: m.Server, Since: int64(m.Since), Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, Gone: m.Health == logic.Gone}
+		out[i] = node.ListedWorker{Name: m.Name, Server: m.Server, Since: int64(m.Since), Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, Removed: m.Health == logic.Gone}
 	}
 	return out
 }
@@ -131,7 +131,7 @@
 func (f *Front) Discovered(members []router.Member, whole bool) {
 	a := f.agent
 	a.mu.Lock()
-	f.part.Listed(lines(members), whole, time.Now().UnixNano(), a.now())
+	f.part.UpdateWorkers(lines(members), whole, time.Now().UnixNano(), a.now())
 	f.zones.update(f.cfg.Zones, members, whole, time.Now())
 	a.mu.Unlock()
 	f.gate.Discovered(members, whole)
@@ -152,8 +152,8 @@
 	return router.AttemptAllowed
 }
 
-// Watch returns a transport that sends by t and observes the result of each attempt.
-func (f *Front) Watch(t router.Transport) router.Transport { return &observingTransport{t, f} }
+// WrapTransport returns a transport that sends by t and observes the result of each attempt.
+func (f *Front) WrapTransport(t router.Transport) router.Transport { return &observingTransport{t, f} }
 
 type observingTransport struct {
 	router.Transport
@@ -272,7 +272,7 @@
 	}
 	s.agent.mu.Lock()
 	s.agent.node.Observe(s.worker, int64(s.since), fault, s.agent.now())
-	s.agent.node.ZoneTried(s.front.zones.places[s.worker].zone, fault != outlier.None, s.agent.now())
+	s.agent.node.ObserveZoneAttempt(s.front.zones.places[s.worker].zone, fault != outlier.None, s.agent.now())
 	s.agent.mu.Unlock()
 }
 
@@ -284,12 +284,12 @@
 	if len(fronts) == 0 {
 		return
 	}
-	lists := make([][]node.Line, len(fronts))
+	lists := make([][]node.ListedWorker, len(fronts))
 	for i, f := range fronts {
 		lists[i] = lines(f.gate.Members())
 	}
 	a.mu.Lock()
-	parts, loads := a.node.Confer(lists, a.now())
+	parts, loads := a.node.EvaluateWorkers(lists, a.now())
 	parts, figures := a.applyZones(parts)
 	a.mu.Unlock()
 	for i, f := range fronts {
--- a/fleet/agent/zones.go
+++ b/fleet/agent/zones.go
@@ -89,7 +89,7 @@
 // applyZones reports the zones' workers to the node, sets the parts of workers in barred zones to
 // 0, and returns the zones' figures by front, nil if no zones are set. The caller holds the lock.
 func (a *Agent) applyZones(parts map[string]float64) (map[string]float64, [][]float64) {
-	way, ok := a.node.ZoneWay(a.now())
+	way, ok := a.node.ZoneRouting(a.now())
 	names := way.Names
 	if !ok {
 		return parts, nil
@@ -117,7 +117,7 @@
 		shares, usable, own := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
 		for j, name := range f.cfg.Zones {
 			if z := slices.Index(names, name); z >= 0 {
-				shares[j], usable[j] = way.Shares[z], way.May[z]
+				shares[j], usable[j] = way.Shares[z], way.Usable[z]
 				if z == way.Own {
 					own = j
 				}
@@ -130,15 +130,15 @@
 			}
 		}
 	}
-	a.node.ZoneUp(serving)
+	a.node.SetZoneServing(serving)
 	return parts, figures
 }
 
-// Arrived records a request that arrived at this router.
-func (a *Agent) Arrived() {
+// ObserveArrival records a request that arrived at this router.
+func (a *Agent) ObserveArrival() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.node.ZoneArrived(a.now())
+	a.node.ObserveArrival(a.now())
 }
 
 // ZonesPage is the state of the zones.
--- a/fleet/eventlog/eventlog.go
+++ b/fleet/eventlog/eventlog.go
@@ -44,10 +44,10 @@
 
 // Config holds the settings of an event log.
 type Config struct {
-	Dir    string
-	Router string
-	Life   uint64
-	Bytes  int64 // limit for all segments together; the oldest are removed
+	Dir         string
+	Router      string
+	Incarnation uint64
+	Bytes       int64 // limit for all segments together; the oldest are removed
 	// Count counts records written and lost, and errors of the disk.
 	Count interface{ Add(name string, n int64) }
 }
@@ -104,7 +104,7 @@
 // startWriting starts the writing goroutine and notes the start.
 func (w *Writer) startWriting() {
 	go w.run()
-	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Life: w.cfg.Life, Wall: w.start.UnixMilli()})
+	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Life: w.cfg.Incarnation, Wall: w.start.UnixMilli()})
 }
 
 // Now returns the time since the log was opened.
@@ -170,7 +170,7 @@
 		return
 	}
 	w.seq++
-	r.Life, r.Seq = w.cfg.Life, w.seq
+	r.Life, r.Seq = w.cfg.Incarnation, w.seq
 	select {
 	case w.queue <- r:
 	default:
--- a/fleet/eventlog/eventlog_test.go
+++ b/fleet/eventlog/eventlog_test.go
@@ -19,7 +19,7 @@
 
 func open(t testing.TB, dir string, incarnation uint64, maxBytes int64) (*Writer, *metrics.Set) {
 	counters := &metrics.Set{}
-	w, err := Open(Config{Dir: dir, Router: "r", Life: incarnation, Bytes: maxBytes, Count: counters})
+	w, err := Open(Config{Dir: dir, Router: "r", Incarnation: incarnation, Bytes: maxBytes, Count: counters})
 	require.NoError(t, err)
 	return w, counters
 }
@@ -261,7 +261,7 @@
 	}
 	require.NoError(t, writer.SetWriteDeadline(time.Time{}))
 
-	w := newWriter(Config{Dir: t.TempDir(), Router: "r", Life: 1, Bytes: 1 << 20, Count: &metrics.Set{}})
+	w := newWriter(Config{Dir: t.TempDir(), Router: "r", Incarnation: 1, Bytes: 1 << 20, Count: &metrics.Set{}})
 	w.file, w.buf = writer, bufio.NewWriter(writer)
 	w.startWriting()
 	closed := make(chan error, 1)
--- a/fleet/link/link_test.go
+++ b/fleet/link/link_test.go
@@ -24,7 +24,7 @@
 
 func example() Envelope {
 	return Envelope{Version: Version, Need: Version, Fleet: "f", From: "a", To: "b",
-		Members: &members.Message{From: "a", To: "b", Beats: []members.Beat{{Name: "a", Life: 7, Count: 9}, {Name: "c", Doubt: true}}},
+		Members: &members.Message{From: "a", To: "b", Heartbeats: []members.Heartbeat{{Name: "a", Incarnation: 7, Count: 9}, {Name: "c", Suspect: true}}},
 		Budget:  []budget.Message{{Kind: budget.Ask, From: "a", To: "b", Epoch: 1, Life: 2, Key: "k", Seq: 3, Amount: 4.5, Using: 2}}}
 }
 
--- a/fleet/members/members.go
+++ b/fleet/members/members.go
@@ -94,27 +94,27 @@
 	return nil
 }
 
-// Beat is the latest heartbeat of a router that the sender knows.
-type Beat struct {
-	Name  string `cbor:"1,keyasint"`
-	Life  uint64 `cbor:"2,keyasint"`
-	Count uint64 `cbor:"3,keyasint"`
-	Doubt bool   `cbor:"4,keyasint,omitempty"` // the sender suspects the router
-	Left  bool   `cbor:"5,keyasint,omitempty"` // the router reported that it leaves
+// Heartbeat is the latest heartbeat of a router that the sender knows.
+type Heartbeat struct {
+	Name        string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Count       uint64 `cbor:"3,keyasint"`
+	Suspect     bool   `cbor:"4,keyasint,omitempty"` // the sender suspects the router
+	Left        bool   `cbor:"5,keyasint,omitempty"` // the router reported that it leaves
 }
 
 // Message carries heartbeats from one router to another.
 type Message struct {
-	From  string `cbor:"1,keyasint"`
-	To    string `cbor:"2,keyasint"`
-	Beats []Beat `cbor:"3,keyasint"`
+	From       string      `cbor:"1,keyasint"`
+	To         string      `cbor:"2,keyasint"`
+	Heartbeats []Heartbeat `cbor:"3,keyasint"`
 }
 
 // View is one router's view of the others.
 type View struct {
 	cfg          Config
 	rng          *rand.Rand
-	self         Beat
+	self         Heartbeat
 	countedAt    Time // when the own heartbeat was last counted up
 	startedAt    Time
 	fenced       bool
@@ -124,7 +124,7 @@
 }
 
 type peer struct {
-	Beat
+	Heartbeat
 	known      bool
 	updatedAt  Time // when a newer heartbeat was last received
 	suspicions []suspicion
@@ -142,10 +142,10 @@
 		return nil, err
 	}
 	v := &View{cfg: cfg, rng: rng, startedAt: now, countedAt: now - Time(cfg.Period), byName: map[string]*peer{},
-		self: Beat{Name: cfg.Self, Life: cfg.Incarnation}}
+		self: Heartbeat{Name: cfg.Self, Incarnation: cfg.Incarnation}}
 	for _, name := range slices.Sorted(slices.Values(cfg.Routers)) {
 		if name != cfg.Self {
-			o := &peer{Beat: Beat{Name: name}, updatedAt: now}
+			o := &peer{Heartbeat: Heartbeat{Name: name}, updatedAt: now}
 			v.peers = append(v.peers, o)
 			v.byName[name] = o
 		}
@@ -172,14 +172,14 @@
 		if len(out) == v.cfg.Fanout {
 			break
 		}
-		out = append(out, Message{From: v.cfg.Self, To: v.peers[i].Name, Beats: v.digest(now)})
+		out = append(out, Message{From: v.cfg.Self, To: v.peers[i].Name, Heartbeats: v.digest(now)})
 	}
 	return out
 }
 
 // digest returns the own heartbeat and those of the next peers, round-robin.
-func (v *View) digest(now Time) []Beat {
-	out := []Beat{v.self}
+func (v *View) digest(now Time) []Heartbeat {
+	out := []Heartbeat{v.self}
 	for range v.peers {
 		if len(out) >= v.cfg.Digest {
 			break
@@ -187,8 +187,8 @@
 		o := v.peers[v.nextInDigest%len(v.peers)]
 		v.nextInDigest++
 		if o.known {
-			b := o.Beat
-			b.Doubt = v.overdue(o, now) && !v.Isolated(now)
+			b := o.Heartbeat
+			b.Suspect = v.overdue(o, now) && !v.Isolated(now)
 			out = append(out, b)
 		}
 	}
@@ -207,27 +207,27 @@
 	if m.To != v.cfg.Self || v.byName[m.From] == nil {
 		return
 	}
-	for _, b := range m.Beats {
+	for _, b := range m.Heartbeats {
 		if b.Name == v.cfg.Self {
 			v.receiveOwnName(b, now)
 			continue
 		}
 		o := v.byName[b.Name]
-		if o == nil || b.Life > maxCount || b.Count > maxCount {
+		if o == nil || b.Incarnation > maxCount || b.Count > maxCount {
 			continue
 		}
-		newer := b.Life > o.Life || b.Life == o.Life && b.Count > o.Count
-		if newer || b.Life == o.Life && b.Left && !o.Left {
-			o.Life, o.Count, o.Left = b.Life, b.Count, b.Left
+		newer := b.Incarnation > o.Incarnation || b.Incarnation == o.Incarnation && b.Count > o.Count
+		if newer || b.Incarnation == o.Incarnation && b.Left && !o.Left {
+			o.Incarnation, o.Count, o.Left = b.Incarnation, b.Count, b.Left
 			o.known, o.updatedAt = true, now
 			o.suspicions = slices.DeleteFunc(o.suspicions, func(d suspicion) bool {
-				return d.incarnation < o.Life || d.incarnation == o.Life && d.beat < o.Count
+				return d.incarnation < o.Incarnation || d.incarnation == o.Incarnation && d.beat < o.Count
 			})
 		}
 		o.suspicions = slices.DeleteFunc(o.suspicions, func(d suspicion) bool { return d.by == m.From })
 		// A suspicion of an older heartbeat than the one known here is refuted already.
-		if b.Doubt && b.Name != m.From && b.Life == o.Life && b.Count == o.Count {
-			o.suspicions = append(o.suspicions, suspicion{m.From, b.Life, b.Count, now})
+		if b.Suspect && b.Name != m.From && b.Incarnation == o.Incarnation && b.Count == o.Count {
+			o.suspicions = append(o.suspicions, suspicion{m.From, b.Incarnation, b.Count, now})
 		}
 	}
 }
@@ -237,23 +237,23 @@
 // another process, and of the two the one that started later continues: a process that has just
 // started, with a clock that is behind, takes an incarnation beyond the one received; an older
 // process is fenced.
-func (v *View) receiveOwnName(b Beat, now Time) {
+func (v *View) receiveOwnName(b Heartbeat, now Time) {
 	switch {
-	case b.Life > maxCount || b.Count > maxCount:
-	case b.Life > v.self.Life && now-v.startedAt < Time(v.cfg.SuspectAfter):
-		v.self.Life = b.Life + 1
-	case b.Life > v.self.Life:
+	case b.Incarnation > maxCount || b.Count > maxCount:
+	case b.Incarnation > v.self.Incarnation && now-v.startedAt < Time(v.cfg.SuspectAfter):
+		v.self.Incarnation = b.Incarnation + 1
+	case b.Incarnation > v.self.Incarnation:
 		v.fenced = true
-	case b.Life == v.self.Life && b.Count > v.self.Count:
+	case b.Incarnation == v.self.Incarnation && b.Count > v.self.Count:
 		v.self.Count = b.Count + 1
 	}
 }
 
 // Renew continues under the next incarnation.
-func (v *View) Renew() { v.self.Life++ }
+func (v *View) Renew() { v.self.Incarnation++ }
 
 // Incarnation returns the own incarnation. It only grows, soon after the start and by Renew.
-func (v *View) Incarnation() uint64 { return v.self.Life }
+func (v *View) Incarnation() uint64 { return v.self.Incarnation }
 
 // Isolated reports whether this router receives heartbeats of less than half of the others, in
 // which case its own link is the likely fault.
@@ -320,7 +320,7 @@
 func (v *View) Routers(now Time) []Router {
 	out := make([]Router, 0, len(v.peers))
 	for _, o := range v.peers {
-		out = append(out, Router{o.Name, v.State(o.Name, now), o.Life, o.Count, time.Duration(now - o.updatedAt), len(o.suspicions)})
+		out = append(out, Router{o.Name, v.State(o.Name, now), o.Incarnation, o.Count, time.Duration(now - o.updatedAt), len(o.suspicions)})
 	}
 	return out
 }
--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -65,7 +65,7 @@
 			}
 			for _, m := range v.Tick(Time(f.now)) {
 				f.sent++
-				f.beats += len(m.Beats)
+				f.beats += len(m.Heartbeats)
 				if f.rng.Float64() >= f.loss && !f.cut(m.From, m.To) {
 					f.inFlight = append(f.inFlight, m)
 				}
@@ -189,7 +189,7 @@
 func TestStartWithClockBehind(t *testing.T) {
 	f := newFleet(t, 4, 6)
 	for _, v := range f.views {
-		v.self.Life = 1000
+		v.self.Incarnation = 1000
 	}
 	f.run(10 * time.Second)
 	f.views = append(f.views, f.newView(t, 2, 4, 7))
@@ -209,8 +209,8 @@
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
 			m := Message{From: name(4), To: name(0)}
 			for range rapid.IntRange(0, 6).Draw(t, "beats") {
-				m.Beats = append(m.Beats, Beat{Name: rapid.SampledFrom([]string{name(1), name(2), "stranger", ""}).Draw(t, "name"),
-					Life: rapid.SampledFrom([]uint64{0, 1}).Draw(t, "life"), Count: rapid.Uint64().Draw(t, "count"), Doubt: true})
+				m.Heartbeats = append(m.Heartbeats, Heartbeat{Name: rapid.SampledFrom([]string{name(1), name(2), "stranger", ""}).Draw(t, "name"),
+					Incarnation: rapid.SampledFrom([]uint64{0, 1}).Draw(t, "life"), Count: rapid.Uint64().Draw(t, "count"), Suspect: true})
 			}
 			v.Receive(m, Time(f.now))
 			f.run(period)
--- a/fleet/node/front.go
+++ b/fleet/node/front.go
@@ -25,39 +25,39 @@
 	freshShare float64        // moving average of the share of a prompt that no worker has in memory
 }
 
-// Line is a worker in a front's list.
-type Line struct {
+// ListedWorker is a worker in a front's list.
+type ListedWorker struct {
 	Name       string
 	Server     logic.ServerID
 	Since      int64 // wall clock of its latest start, in nanoseconds; 0: long ago
 	Kind, Cell int
 	Zone       int
-	Gone       bool
+	Removed    bool
 }
 
 // Front adds a front. Its workers are judged together with the other routers, and its attempts
 // are taken out of the budgets that all routers share.
 func (n *Node) Front(cfg FrontConfig, now Time) *Front {
 	f := &Front{cfg: cfg, node: n, kinds: map[string]int{}, freshShare: 1, rules: attempts.New(attempts.Config{Front: cfg.Name,
-		RepeatsPerSecond: n.cfg.Repeats, ColdPerSecond: n.cfg.Cold, WarmWithin: cfg.Settings.WarmWithin})}
-	if n.cfg.Repeats > 0 {
-		n.SetLimits(f.rules.Repeats(), map[string]float64{f.rules.Repeats(): n.cfg.Repeats}, now)
+		RepeatsPerSecond: n.cfg.RepeatsPerSecond, ColdPerSecond: n.cfg.ColdPerSecond, WarmWithin: cfg.Settings.WarmWithin})}
+	if n.cfg.RepeatsPerSecond > 0 {
+		n.SetLimits(f.rules.Repeats(), map[string]float64{f.rules.Repeats(): n.cfg.RepeatsPerSecond}, now)
 	}
 	n.fronts = append(n.fronts, f)
 	return f
 }
 
-// Listed processes a list of workers, or changes to the list if whole is false. It must be
+// UpdateWorkers processes a list of workers, or changes to the list if whole is false. It must be
 // called before the router's core gets the list, so that a cold worker's budget exists first.
-func (f *Front) Listed(lines []Line, whole bool, wall int64, now Time) {
+func (f *Front) UpdateWorkers(lines []ListedWorker, whole bool, wall int64, now Time) {
 	if whole {
 		clear(f.kinds)
 	}
 	list := make([]attempts.Worker, len(lines))
 	for i, l := range lines {
-		list[i] = attempts.Worker{Name: l.Name, Since: l.Since, Gone: l.Gone}
+		list[i] = attempts.Worker{Name: l.Name, Since: l.Since, Gone: l.Removed}
 		f.kinds[l.Name] = l.Kind
-		if l.Gone {
+		if l.Removed {
 			delete(f.kinds, l.Name)
 		}
 	}
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -38,9 +38,9 @@
 	To      string           `cbor:"5,keyasint"`
 	Members *members.Message `cbor:"10,keyasint,omitempty"`
 	Budget  []budget.Message `cbor:"11,keyasint,omitempty"`
-	// Judged holds the sender's judgements and those that it forwards.
-	Judged []outlier.Judgement `cbor:"12,keyasint,omitempty"`
-	Counts *counts.State       `cbor:"13,keyasint,omitempty"`
+	// Judgements holds the sender's judgements and those that it forwards.
+	Judgements []outlier.Judgement `cbor:"12,keyasint,omitempty"`
+	Counts     *counts.State       `cbor:"13,keyasint,omitempty"`
 	// Versions, ZoneReport and Checksums accompany Members. Versions are those of the data that
 	// the sender acts on.
 	Versions    version.Vector      `cbor:"14,keyasint,omitempty"`
@@ -65,26 +65,26 @@
 // incarnation: it must grow with each start under the name Self, as the wall clock does. If it
 // does not, the membership protocol raises it.
 type Config struct {
-	Self        string
-	Zones       map[string]string // zone of each router, Self included
-	Life        uint64
-	Lease       time.Duration
-	Floor       float64
-	Burst       time.Duration
-	Drift       float64
-	Period      time.Duration // between heartbeats, which carry judgements
-	Counts      time.Duration // between reports of work; 0: work is not reported
-	Fanout      int           // routers that get a message per period
-	Digest      int
-	Observers   int
-	Quorum      int
-	MostOut     float64
-	Least       float64
-	Hold        time.Duration
-	Return      time.Duration
-	Repeats     float64 // repeated attempts per second over all routers; 0: no limit
-	Cold        float64 // attempts per second to one cold worker; 0: no limit
-	RecordMoves bool    // Moves returns loans and returns of budgets
+	Self             string
+	Zones            map[string]string // zone of each router, Self included
+	Incarnation      uint64
+	Lease            time.Duration
+	Floor            float64
+	Burst            time.Duration
+	Drift            float64
+	Period           time.Duration // between heartbeats, which carry judgements
+	CountsPeriod     time.Duration // between reports of work; 0: work is not reported
+	Fanout           int           // routers that get a message per period
+	Digest           int
+	Observers        int
+	Quorum           int
+	MaxOut           float64
+	MinFailures      float64
+	Hold             time.Duration
+	Return           time.Duration
+	RepeatsPerSecond float64 // repeated attempts per second over all routers; 0: no limit
+	ColdPerSecond    float64 // attempts per second to one cold worker; 0: no limit
+	RecordMoves      bool    // Moves returns loans and returns of budgets
 }
 
 // Node is one router's state in the fleet protocol.
@@ -137,20 +137,20 @@
 	n := &Node{cfg: cfg, rng: rng, limits: map[string]float64{}, states: map[string]members.State{}, peerVersions: map[string]reportedVersions{}, texts: newTexts()}
 	n.names = slices.Sorted(maps.Keys(cfg.Zones))
 	var err error
-	if n.ledger, err = budget.New(budget.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Life, Epoch: cfg.settingsHash(n.names),
+	if n.ledger, err = budget.New(budget.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Incarnation, Epoch: cfg.settingsHash(n.names),
 		Lease: cfg.Lease, Drift: cfg.Drift, Floor: cfg.Floor, Burst: cfg.Burst, Tell: cfg.RecordMoves}, budget.Time(now)); err != nil {
 		return nil, err
 	}
-	if n.members, err = members.New(members.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Life, Period: cfg.Period,
+	if n.members, err = members.New(members.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Incarnation, Period: cfg.Period,
 		Fanout: cfg.Fanout, Digest: cfg.Digest, Observers: cfg.Observers,
 		SuspectAfter: members.SuspicionTimeout(len(n.names), cfg.Period, cfg.Fanout, cfg.Digest)}, rng, members.Time(now)); err != nil {
 		return nil, err
 	}
-	if n.outliers, err = outlier.New(outlier.Config{Self: cfg.Self, Zones: cfg.Zones, Quorum: cfg.Quorum, MostOut: cfg.MostOut, Least: cfg.Least,
-		Hold: cfg.Hold, Return: cfg.Return}, cfg.Life); err != nil {
+	if n.outliers, err = outlier.New(outlier.Config{Self: cfg.Self, Zones: cfg.Zones, Quorum: cfg.Quorum, MostOut: cfg.MaxOut, Least: cfg.MinFailures,
+		Hold: cfg.Hold, Return: cfg.Return}, cfg.Incarnation); err != nil {
 		return nil, err
 	}
-	n.work = counts.New(cfg.Self, n.names, cfg.Life, 2*max(cfg.Counts, time.Millisecond))
+	n.work = counts.New(cfg.Self, n.names, cfg.Incarnation, 2*max(cfg.CountsPeriod, time.Millisecond))
 	return n, nil
 }
 
@@ -216,10 +216,10 @@
 			e.ZoneReport = n.zones.report(now)
 		}
 		if len(n.fronts) > 0 {
-			e.Judged = n.outliers.Tell(outlier.Time(now))
+			e.Judgements = n.outliers.Tell(outlier.Time(now))
 		}
 	}
-	if len(n.fronts) > 0 && n.cfg.Counts > 0 && now-n.countsSentAt >= n.cfg.Counts && !n.fenced {
+	if len(n.fronts) > 0 && n.cfg.CountsPeriod > 0 && now-n.countsSentAt >= n.cfg.CountsPeriod && !n.fenced {
 		n.countsSentAt = now
 		state := n.work.Tell()
 		left := n.cfg.Fanout
@@ -257,7 +257,7 @@
 			n.zones.receive(e.From, *e.ZoneReport, now)
 		}
 	}
-	n.outliers.Receive(e.Judged, outlier.Time(now))
+	n.outliers.Receive(e.Judgements, outlier.Time(now))
 	if e.Counts != nil {
 		n.work.Receive(*e.Counts, counts.Time(now))
 	}
@@ -284,9 +284,9 @@
 	n.ledger.SetIncarnation(n.members.Incarnation())
 }
 
-// SetActs sets the versions that this router reports to the others as those it acts on. The
+// SetVersions sets the versions that this router reports to the others as those it acts on. The
 // vector must not be changed afterwards.
-func (n *Node) SetActs(v version.Vector) { n.versions = v }
+func (n *Node) SetVersions(v version.Vector) { n.versions = v }
 
 // isPeer reports whether name is another router of the fleet.
 func (n *Node) isPeer(name string) bool {
--- a/fleet/node/node_test.go
+++ b/fleet/node/node_test.go
@@ -20,8 +20,8 @@
 )
 
 func testConfig(self string, n int) Config {
-	c := Config{Self: self, Zones: map[string]string{}, Life: 1, Lease: 2 * time.Second, Floor: 0.1, Burst: time.Second, Drift: 0.01,
-		Period: 500 * time.Millisecond, Counts: 100 * time.Millisecond, Fanout: 2, Digest: 32, Observers: 1, Quorum: 2, MostOut: 0.5, Least: 2,
+	c := Config{Self: self, Zones: map[string]string{}, Incarnation: 1, Lease: 2 * time.Second, Floor: 0.1, Burst: time.Second, Drift: 0.01,
+		Period: 500 * time.Millisecond, CountsPeriod: 100 * time.Millisecond, Fanout: 2, Digest: 32, Observers: 1, Quorum: 2, MaxOut: 0.5, MinFailures: 2,
 		Hold: 3 * time.Second, Return: 4 * time.Second}
 	for i := range n {
 		c.Zones[fmt.Sprintf("r-%d", i)] = ""
@@ -36,19 +36,19 @@
 	t       testing.TB
 	nodes   map[string]*Node
 	fronts  map[string]*Front
-	lines   []Line
+	lines   []ListedWorker
 	now     Time
 	cut     func(from, to string) bool
 	alter   func(*Envelope) // changes a message in transit
-	loads   map[string][]Told
+	loads   map[string][]PeerLoad
 	parts   map[string]map[string]float64
 	notices []Notice
 }
 
 func newFleet(t testing.TB, n, workers int, change func(*Config)) *fleet {
-	f := &fleet{t: t, nodes: map[string]*Node{}, fronts: map[string]*Front{}, now: time.Hour, loads: map[string][]Told{}, parts: map[string]map[string]float64{}}
+	f := &fleet{t: t, nodes: map[string]*Node{}, fronts: map[string]*Front{}, now: time.Hour, loads: map[string][]PeerLoad{}, parts: map[string]map[string]float64{}}
 	for i := range workers {
-		f.lines = append(f.lines, Line{Name: fmt.Sprintf("w-%d", i), Server: logic.ServerID(i), Kind: 1})
+		f.lines = append(f.lines, ListedWorker{Name: fmt.Sprintf("w-%d", i), Server: logic.ServerID(i), Kind: 1})
 	}
 	for i := range n {
 		cfg := testConfig(fmt.Sprintf("r-%d", i), n)
@@ -61,11 +61,11 @@
 }
 
 func (f *fleet) start(cfg Config) {
-	n, err := New(cfg, rand.New(rand.NewPCG(cfg.Life, xxh3.HashString(cfg.Self))), f.now)
+	n, err := New(cfg, rand.New(rand.NewPCG(cfg.Incarnation, xxh3.HashString(cfg.Self))), f.now)
 	require.NoError(f.t, err)
 	f.nodes[cfg.Self] = n
 	f.fronts[cfg.Self] = n.Front(FrontConfig{Name: "p", Settings: kinds}, f.now)
-	f.fronts[cfg.Self].Listed(f.lines, true, int64(f.now), f.now)
+	f.fronts[cfg.Self].UpdateWorkers(f.lines, true, int64(f.now), f.now)
 }
 
 func (f *fleet) run(d time.Duration) {
@@ -74,7 +74,7 @@
 			name := fmt.Sprintf("r-%d", i)
 			n := f.nodes[name]
 			f.send(n.Tick(f.now))
-			parts, loads := n.Confer([][]Line{f.lines}, f.now)
+			parts, loads := n.EvaluateWorkers([][]ListedWorker{f.lines}, f.now)
 			f.parts[name] = parts
 			if loads != nil {
 				f.loads[name] = loads[0]
@@ -123,7 +123,7 @@
 	f.run(2 * time.Second)
 	require.InDelta(t, 0.1, f.loads["r-2"][0].Load.MemoryShare, 0.05)
 
-	silent := newFleet(t, 3, 2, func(c *Config) { c.Counts = 0 })
+	silent := newFleet(t, 3, 2, func(c *Config) { c.CountsPeriod = 0 })
 	silent.run(3 * time.Second)
 	require.Empty(t, silent.loads, "switched off")
 	for _, n := range silent.nodes {
@@ -136,7 +136,7 @@
 func TestWorkOfAnAttempt(t *testing.T) {
 	f := newFleet(t, 1, 0, nil)
 	p := f.fronts["r-0"]
-	p.Listed([]Line{{Name: "r", Kind: 0}, {Name: "w", Kind: 1}, {Name: "b", Kind: 2}, {Name: "odd", Kind: 9}}, true, 0, f.now)
+	p.UpdateWorkers([]ListedWorker{{Name: "r", Kind: 0}, {Name: "w", Kind: 1}, {Name: "b", Kind: 2}, {Name: "odd", Kind: 9}}, true, 0, f.now)
 	q := &logic.Request{PromptTokens: 1000, MaxTokens: 100}
 	for name, want := range map[string]counts.Work{"r": {Unread: 1000}, "w": {Held: 1030}, "b": {Unread: 1000, Held: 1030},
 		"odd": {Unread: 1000, Held: 1030}, "unknown": {Unread: 1000}} {
@@ -189,18 +189,18 @@
 // incarnation becomes the newest through the membership protocol, and a worker counts as cold
 // there for as long as elsewhere.
 func TestWallClockAnHourOff(t *testing.T) {
-	f := newFleet(t, 3, 2, func(c *Config) { c.Cold, c.Repeats = 6, 5 })
+	f := newFleet(t, 3, 2, func(c *Config) { c.ColdPerSecond, c.RepeatsPerSecond = 6, 5 })
 	f.run(4 * time.Second)
 	f.fronts["r-0"].Allow("w-0", true, f.now)
 	cfg := testConfig("r-1", 3)
 	// Restarted, with a clock behind that of the previous process.
-	cfg.Cold, cfg.Repeats, cfg.Life = 6, 5, 0
+	cfg.ColdPerSecond, cfg.RepeatsPerSecond, cfg.Incarnation = 6, 5, 0
 	f.start(cfg)
 	f.run(6 * time.Second)
 	require.False(t, f.nodes["r-1"].Members(f.now).Fenced, "the later process continues")
 	require.Greater(t, f.nodes["r-1"].Members(f.now).Incarnation, uint64(1))
 	for name, wall := range map[string]time.Duration{"r-0": f.now, "r-1": f.now - time.Hour, "r-2": f.now + time.Hour} {
-		f.fronts[name].Listed([]Line{{Name: "w-9", Since: int64(f.now), Kind: 1}}, false, int64(wall), f.now)
+		f.fronts[name].UpdateWorkers([]ListedWorker{{Name: "w-9", Since: int64(f.now), Kind: 1}}, false, int64(wall), f.now)
 	}
 	sent, began := 0, f.now
 	for range 100 {
@@ -247,12 +247,12 @@
 func BenchmarkAttempt(b *testing.B) {
 	for _, n := range []int{3, 200} {
 		b.Run(fmt.Sprint(n, " routers"), func(b *testing.B) {
-			f := newFleet(b, 1, 0, func(c *Config) { *c = testConfig("r-0", n); c.Repeats, c.Cold = 1e6, 1e6 })
+			f := newFleet(b, 1, 0, func(c *Config) { *c = testConfig("r-0", n); c.RepeatsPerSecond, c.ColdPerSecond = 1e6, 1e6 })
 			for i := range 100 {
-				f.lines = append(f.lines, Line{Name: fmt.Sprintf("w-%d", i), Kind: 1, Since: int64(f.now)})
+				f.lines = append(f.lines, ListedWorker{Name: fmt.Sprintf("w-%d", i), Kind: 1, Since: int64(f.now)})
 			}
 			node, p := f.nodes["r-0"], f.fronts["r-0"]
-			p.Listed(f.lines, false, int64(f.now), f.now)
+			p.UpdateWorkers(f.lines, false, int64(f.now), f.now)
 			q := &logic.Request{PromptTokens: 1000, MaxTokens: 100}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -290,7 +290,7 @@
 					now := f.now + Time(i%10)*time.Millisecond
 					node.Tick(now)
 					node.loadsReportedAt = 0
-					node.Confer([][]Line{f.lines}, now)
+					node.EvaluateWorkers([][]ListedWorker{f.lines}, now)
 				}
 			})
 		}
@@ -303,9 +303,9 @@
 	for _, n := range []int{1, 8, 80} {
 		f := newFleet(t, n, 0, func(c *Config) { c.Observers = 2 })
 		for name, node := range f.nodes {
-			node.SetActs(version.Vector{"config": 7, "only/" + name: 1})
+			node.SetVersions(version.Vector{"config": 7, "only/" + name: 1})
 		}
-		f.nodes["r-0"].SetActs(version.Vector{"config": 3})
+		f.nodes["r-0"].SetVersions(version.Vector{"config": 3})
 		f.run(time.Duration(n)*time.Second/8 + 5*time.Second)
 		newest, _, ok := f.nodes["r-0"].Newest()
 		require.Equal(t, n > 1, ok, "%d routers", n)
@@ -313,13 +313,13 @@
 			continue
 		}
 		require.Equal(t, version.Vector{"config": 7}, newest, "%d routers", n)
-		f.nodes["r-1"].SetActs(version.Vector{"config": 1 << 60})
+		f.nodes["r-1"].SetVersions(version.Vector{"config": 1 << 60})
 		f.run(time.Duration(n)*time.Second/8 + 5*time.Second)
 		newest, _, _ = f.nodes["r-0"].Newest()
 		require.Equal(t, version.Vector{"config": 7}, newest, "one false report of %d", n)
 	}
 	n := newFleet(t, 3, 0, nil).nodes["r-0"]
-	n.SetActs(version.Vector{"config": 3})
+	n.SetVersions(version.Vector{"config": 3})
 	many := version.Vector{}
 	for i := range maxParts + 1 {
 		many[fmt.Sprint(i)] = 1
--- a/fleet/node/workers.go
+++ b/fleet/node/workers.go
@@ -39,16 +39,16 @@
 	return outlier.None, false
 }
 
-// Told is the load of other routers at a worker, in the form that the router's core takes.
-type Told struct {
+// PeerLoad is the load of other routers at a worker, in the form that the router's core takes.
+type PeerLoad struct {
 	Server logic.ServerID
 	Load   logic.Load
 }
 
-// Confer judges the workers. It returns the share of its traffic that each restricted worker
+// EvaluateWorkers judges the workers. It returns the share of its traffic that each restricted worker
 // gets and, when they are due, the loads of other routers, by front. lists holds the list of
 // each front, in the order of the fronts.
-func (n *Node) Confer(lists [][]Line, now Time) (parts map[string]float64, loads [][]Told) {
+func (n *Node) EvaluateWorkers(lists [][]ListedWorker, now Time) (parts map[string]float64, loads [][]PeerLoad) {
 	var workers []outlier.Worker
 	known := map[string]bool{}
 	for i, lines := range lists {
@@ -71,18 +71,18 @@
 		}
 	}
 	n.parts = parts
-	if n.cfg.Counts > 0 && now-n.loadsReportedAt >= n.cfg.Counts && len(n.names) > 1 && (n.loadsReportedAt > 0 || n.work.Heard(counts.Time(now)) > 0) {
+	if n.cfg.CountsPeriod > 0 && now-n.loadsReportedAt >= n.cfg.CountsPeriod && len(n.names) > 1 && (n.loadsReportedAt > 0 || n.work.Heard(counts.Time(now)) > 0) {
 		n.loadsReportedAt = now
 		loads = n.peerLoads(lists, now)
 	}
 	return parts, loads
 }
 
-func (n *Node) peerLoads(lists [][]Line, now Time) [][]Told {
+func (n *Node) peerLoads(lists [][]ListedWorker, now Time) [][]PeerLoad {
 	peers := map[string]counts.Work{}
 	n.work.Peers(counts.Time(now), func(w string, v counts.Work) { peers[w] = v })
 	all := float64(len(n.names))
-	out := make([][]Told, len(lists))
+	out := make([][]PeerLoad, len(lists))
 	for i, lines := range lists {
 		f := n.fronts[i]
 		if f.cfg.Reports {
@@ -95,7 +95,7 @@
 			if memory := f.kind(l.Kind).MemoryTokens; memory > 0 {
 				load.HasMemory, load.MemoryShare = true, (n.work.Own(l.Name).Held+peers[l.Name].Held)/memory
 			}
-			out[i] = append(out[i], Told{l.Server, load})
+			out[i] = append(out[i], PeerLoad{l.Server, load})
 		}
 	}
 	return out
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -131,16 +131,16 @@
 	z.at = now
 }
 
-// ZoneArrived records a request that arrived at this router.
-func (n *Node) ZoneArrived(now Time) {
+// ObserveArrival records a request that arrived at this router.
+func (n *Node) ObserveArrival(now Time) {
 	if z := n.zones; z != nil {
 		z.fade(now)
 		z.ownReport.Load += 1 / zoneTimeConstant.Seconds()
 	}
 }
 
-// ZoneTried records whether an attempt at a worker of a zone failed.
-func (n *Node) ZoneTried(of string, failed bool, now Time) {
+// ObserveZoneAttempt records whether an attempt at a worker of a zone failed.
+func (n *Node) ObserveZoneAttempt(of string, failed bool, now Time) {
 	if z := n.zones; z != nil && slices.Contains(z.cfg.Judge.Zones, of) {
 		z.fade(now)
 		z.ownReport.Attempts[of]++
@@ -150,8 +150,8 @@
 	}
 }
 
-// ZoneUp sets the share of each zone's workers that serve, weighted by how warm they are.
-func (n *Node) ZoneUp(serving map[string]float64) {
+// SetZoneServing sets the share of each zone's workers that serve, weighted by how warm they are.
+func (n *Node) SetZoneServing(serving map[string]float64) {
 	if z := n.zones; z != nil {
 		z.ownReport.Serving = serving
 	}
@@ -226,17 +226,17 @@
 	return attempts < z.cfg.Judge.Least || z.ownReport.Failures[name] < z.cfg.Judge.Lost*attempts
 }
 
-// ZoneWay says where this router's traffic goes, by zone.
-type ZoneWay struct {
+// ZoneRouting says where this router's traffic goes, by zone.
+type ZoneRouting struct {
 	Names  []string
 	Shares []float64 // shares of the requests that are read there
 	Barred []bool    // its workers get nothing new
-	May    []bool    // it may be used: it is not barred, and own attempts reach it
+	Usable []bool    // it may be used: it is not barred, and own attempts reach it
 	Own    int       // index of the router's zone
 }
 
-// ZoneWay returns where this router's traffic goes; ok is false if no zones are set.
-func (n *Node) ZoneWay(now Time) (way ZoneWay, ok bool) {
+// ZoneRouting returns where this router's traffic goes; ok is false if no zones are set.
+func (n *Node) ZoneRouting(now Time) (way ZoneRouting, ok bool) {
 	z := n.zones
 	if z == nil {
 		return way, false
@@ -246,7 +246,7 @@
 	way.Shares = z.keeper.Shares(way.Names, z.reaches, traffic.Time(now))
 	for _, name := range way.Names {
 		barred := z.keeper.Barred(name, traffic.Time(now))
-		way.Barred, way.May = append(way.Barred, barred), append(way.May, !barred && z.reaches(name))
+		way.Barred, way.Usable = append(way.Barred, barred), append(way.Usable, !barred && z.reaches(name))
 	}
 	way.Own = slices.Index(way.Names, z.own)
 	return way, true
@@ -270,7 +270,7 @@
 	}
 	v := ZoneView{States: z.states, Best: z.plan, Decides: n.isDecider(now)}
 	v.Map, v.Age = z.keeper.Map(traffic.Time(now))
-	way, _ := n.ZoneWay(now)
+	way, _ := n.ZoneRouting(now)
 	v.Shares = way.Shares
 	return v, true
 }
--- a/fleet/node/zones_test.go
+++ b/fleet/node/zones_test.go
@@ -50,7 +50,7 @@
 	})
 	for _, node := range z.nodes {
 		require.NoError(t, node.Zones(zoneConfig(), z.now))
-		node.ZoneUp(map[string]float64{"a": 1, "b": 1, "c": 1})
+		node.SetZoneServing(map[string]float64{"a": 1, "b": 1, "c": 1})
 	}
 	return z
 }
@@ -67,12 +67,12 @@
 			if z.dead[name] {
 				continue
 			}
-			way, ok := node.ZoneWay(z.now)
+			way, ok := node.ZoneRouting(z.now)
 			shares, barred := way.Shares, way.Barred
 			require.True(z.t, ok)
 			z.sent[name] = shares
 			// Adds the expected numbers of requests and attempts of this tick, as fractions, in place
-			// of calls of ZoneArrived and ZoneTried.
+			// of calls of ObserveArrival and ObserveZoneAttempt.
 			node.zones.fade(z.now)
 			node.zones.ownReport.Load += each / zoneTimeConstant.Seconds()
 			for k, of := range zoneNames {
@@ -147,7 +147,7 @@
 			z.run(100 * time.Millisecond)
 			barred = 0
 			for _, node := range z.nodes {
-				if way, _ := node.ZoneWay(z.now); way.Barred[0] {
+				if way, _ := node.ZoneRouting(z.now); way.Barred[0] {
 					shares := way.Shares
 					barred++
 					require.Zero(t, shares[0], "nothing is sent to a barred zone")
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -112,12 +112,12 @@
 	switch {
 	case p.Fenced:
 		state = "fenced: a later process has this name"
-	case p.Deaf:
+	case p.Isolated:
 		state = "deaf: hears less than half of the others, calls nobody silent"
 	}
-	fmt.Fprintf(w, "fleet %s\nROUTER\tSTATE\tNEWS\tDOUBTED BY\tLIFE\n%s (this)\t%s\t-\t-\t%d\n", p.Fleet, p.Self, state, p.Life)
+	fmt.Fprintf(w, "fleet %s\nROUTER\tSTATE\tNEWS\tDOUBTED BY\tLIFE\n%s (this)\t%s\t-\t-\t%d\n", p.Fleet, p.Self, state, p.Incarnation)
 	for _, r := range p.Routers {
-		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\n", r.Name, r.State, r.AgeS, r.Doubts, r.Life)
+		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\n", r.Name, r.State, r.AgeS, r.Doubts, r.Incarnation)
 	}
 	return nil
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -38,8 +38,8 @@
 	}
 	d.fleet, d.fleetOf, d.fleetCfg = a, len(cfg.Routers), cfg
 	d.acts.count("fleet/terms", a.Terms())
-	d.acts.tellOthers(a.SetActs)
-	if g := cfg.Straggle.Grace.Duration; g > 0 {
+	d.acts.tellOthers(a.SetVersions)
+	if g := cfg.Straggler.Grace.Duration; g > 0 {
 		d.fence = newFence(g)
 	}
 	go func() {
@@ -102,7 +102,7 @@
 	if s.front == nil {
 		return t
 	}
-	return s.front.Watch(t)
+	return s.front.WrapTransport(t)
 }
 
 // counted is a handler of calls that also tells the fleet of them, where it shares.
@@ -111,7 +111,7 @@
 		return handle
 	}
 	return func(call *downstream.Call) {
-		d.fleet.Arrived()
+		d.fleet.ObserveArrival()
 		handle(call)
 	}
 }
@@ -127,5 +127,5 @@
 	if s.front == nil {
 		return core
 	}
-	return s.front.Take(core)
+	return s.front.Attach(core)
 }
--- a/internal/daemon/straggler.go
+++ b/internal/daemon/straggler.go
@@ -72,13 +72,13 @@
 
 // watchStraggling starts it, where the fleet's file gives a grace.
 func (d *daemon) watchStraggling(ctx context.Context, cfg *agent.Config) error {
-	c := cfg.Straggle
+	c := cfg.Straggler
 	if c.Grace.Duration == 0 {
 		return nil
 	}
 	s := &straggling{d: d, start: time.Now(), every: max(c.Grace.Duration/looks, leastLook),
-		cfg: straggler.Config{Routers: len(cfg.Routers), Rank: cfg.Rank(), Versions: 1, Grace: c.Grace.Duration, MostAge: c.MostAge.Duration,
-			MostShut: c.MostShut, Rate: c.Rate, Steady: c.Steady.Duration}}
+		cfg: straggler.Config{Routers: len(cfg.Routers), Rank: cfg.Rank(), Versions: 1, Grace: c.Grace.Duration, MostAge: c.MaxAge.Duration,
+			MostShut: c.MaxShut, Rate: c.Rate, Steady: c.Steady.Duration}}
 	var err error
 	if s.machine, err = straggler.New(s.cfg, rand.New(rand.NewPCG(uint64(s.start.UnixNano()), uint64(s.cfg.Rank)))); err != nil {
 		return fmt.Errorf("%s: %w", d.files.Fleet, err)
@@ -187,7 +187,7 @@
 	if s.d.follow != nil && s.view.Held[configPart] < s.view.Newest[configPart] {
 		s.d.follow.again()
 		if !s.sure { // then others that it could tell have it
-			s.d.fleet.WantText(configPart, s.view.Held[configPart], s.d.follow.give)
+			s.d.fleet.RequestText(configPart, s.view.Held[configPart], s.d.follow.give)
 		}
 	}
 	for part, v := range s.view.Newest {
--- a/internal/daemon/trail.go
+++ b/internal/daemon/trail.go
@@ -33,7 +33,7 @@
 	if cfg.Trail == "" {
 		return nil
 	}
-	w, err := eventlog.Open(eventlog.Config{Dir: filepath.Join(cfg.Trail, cfg.Self), Router: cfg.Self, Life: life, Bytes: cfg.TrailMax, Count: d.counters})
+	w, err := eventlog.Open(eventlog.Config{Dir: filepath.Join(cfg.Trail, cfg.Self), Router: cfg.Self, Incarnation: life, Bytes: cfg.TrailBytes, Count: d.counters})
 	if err != nil {
 		return err
 	}
--- a/lab/virtual/exchange.go
+++ b/lab/virtual/exchange.go
@@ -48,7 +48,7 @@
 	w.jobs[ex.job.ID] = ex
 	w.second(w.now).Asked++
 	if r.node != nil {
-		r.node.ZoneArrived(w.now)
+		r.node.ObserveArrival(w.now)
 	}
 	if w.now >= w.cfg.Warm {
 		w.Result.Asked++
@@ -245,7 +245,7 @@
 		if fault, says := node.FaultOf(status); says {
 			r.node.Observe(at.name, at.since, fault, w.now)
 			if w.cfg.Zones != nil {
-				r.node.ZoneTried(w.cfg.Zones.Judge.Zones[w.cfg.Site.Servers[at.server].Zone], fault != outlier.None, w.now)
+				r.node.ObserveZoneAttempt(w.cfg.Zones.Judge.Zones[w.cfg.Site.Servers[at.server].Zone], fault != outlier.None, w.now)
 			}
 		}
 	}
--- a/lab/virtual/router.go
+++ b/lab/virtual/router.go
@@ -23,7 +23,7 @@
 	open    map[logic.RequestID]*exchange
 	last    logic.RequestID
 	members []logic.Member
-	lines   []node.Line
+	lines   []node.ListedWorker
 	node    *node.Node
 	front   *node.Front
 	parts   map[string]float64
@@ -54,7 +54,7 @@
 		return r, nil
 	}
 	cfg := *w.cfg.Fleet
-	cfg.Self, cfg.Life, cfg.Zones = r.name, 1, map[string]string{}
+	cfg.Self, cfg.Incarnation, cfg.Zones = r.name, 1, map[string]string{}
 	for j := range w.cfg.Routers {
 		cfg.Zones[fmt.Sprintf("r-%d", j)] = ""
 		if w.cfg.Zones != nil {
@@ -77,7 +77,7 @@
 
 func (r *gateway) every() time.Duration {
 	d := r.w.cfg.Fleet.Lease / perTTL
-	if c := r.w.cfg.Fleet.Counts; c > 0 {
+	if c := r.w.cfg.Fleet.CountsPeriod; c > 0 {
 		d = min(d, c)
 	}
 	return d
@@ -87,7 +87,7 @@
 func (r *gateway) tick() {
 	w := r.w
 	r.post(r.node.Tick(w.now))
-	parts, told := r.node.Confer([][]node.Line{r.lines}, w.now)
+	parts, told := r.node.EvaluateWorkers([][]node.ListedWorker{r.lines}, w.now)
 	r.gate(r.spread(parts))
 	if told != nil {
 		for _, t := range told[0] {
@@ -104,7 +104,7 @@
 // spread is what the fleet's agent does with the map: it tells the node of the zones' workers, takes those of barred zones out,
 // and hands a figure for each zone to the decisions.
 func (r *gateway) spread(parts map[string]float64) map[string]float64 {
-	way, ok := r.node.ZoneWay(r.w.now)
+	way, ok := r.node.ZoneRouting(r.w.now)
 	if !ok {
 		return parts
 	}
@@ -131,8 +131,8 @@
 	for zone, n := range all {
 		up[zone] /= n
 	}
-	r.node.ZoneUp(up)
-	r.decide.SetZones(r.balance.Figures(way.Shares, way.May, way.Own, traffic.Time(r.w.now)))
+	r.node.SetZoneServing(up)
+	r.decide.SetZones(r.balance.Figures(way.Shares, way.Usable, way.Own, traffic.Time(r.w.now)))
 	return parts
 }
 
@@ -155,10 +155,10 @@
 	}
 }
 
-func (r *gateway) listed(members []logic.Member, lines []node.Line, whole bool) {
+func (r *gateway) listed(members []logic.Member, lines []node.ListedWorker, whole bool) {
 	r.members, r.lines = members, lines
 	if r.front != nil {
-		r.front.Listed(lines, whole, int64(epoch)+int64(r.w.now), r.w.now)
+		r.front.UpdateWorkers(lines, whole, int64(epoch)+int64(r.w.now), r.w.now)
 	}
 	r.hand()
 }
--- a/lab/virtual/virtual.go
+++ b/lab/virtual/virtual.go
@@ -192,7 +192,7 @@
 // list tells all routers what discovery says by now, each a moment later.
 func (w *World) list(whole bool) {
 	var members []logic.Member
-	var lines []node.Line
+	var lines []node.ListedWorker
 	for i, l := range w.Site.List() {
 		m := logic.Member{Server: logic.ServerID(i), Weight: 1, Cell: l.Cell, Zone: l.Zone, Kind: l.Kind}
 		if l.Since > -w.cfg.Site.Cold.WarmWithin {
@@ -202,7 +202,7 @@
 			m.Health = logic.Gone
 		}
 		members = append(members, m)
-		lines = append(lines, node.Line{Name: l.Name, Server: m.Server, Since: int64(m.Since), Kind: l.Kind, Cell: l.Cell, Gone: !l.Up})
+		lines = append(lines, node.ListedWorker{Name: l.Name, Server: m.Server, Since: int64(m.Since), Kind: l.Kind, Cell: l.Cell, Removed: !l.Up})
 	}
 	for _, r := range w.routers {
 		late := time.Duration(0)
--- a/lab/virtual/virtual_test.go
+++ b/lab/virtual/virtual_test.go
@@ -21,8 +21,8 @@
 
 // terms are those of a fleet, as deploy/fleet.toml has them.
 func terms() *node.Config {
-	return &node.Config{Lease: 2 * time.Second, Floor: 0.1, Burst: time.Second, Drift: 0.01, Period: 500 * time.Millisecond, Counts: 100 * time.Millisecond, Fanout: 2, Digest: 32,
-		Observers: 2, Quorum: 2, MostOut: 0.3, Least: 3, Hold: 3 * time.Second, Return: 10 * time.Second}
+	return &node.Config{Lease: 2 * time.Second, Floor: 0.1, Burst: time.Second, Drift: 0.01, Period: 500 * time.Millisecond, CountsPeriod: 100 * time.Millisecond, Fanout: 2, Digest: 32,
+		Observers: 2, Quorum: 2, MaxOut: 0.3, MinFailures: 3, Hold: 3 * time.Second, Return: 10 * time.Second}
 }
 
 // usual is the demonstration's site before n routers, at a rate over all of them.
@@ -70,8 +70,8 @@
 		}}}
 		free := play(t, cfg)
 		cfg.Fleet = terms()
-		cfg.Fleet.MostOut = 0 // nobody is taken out, so that there is something to send again
-		cfg.Fleet.Repeats = limit
+		cfg.Fleet.MaxOut = 0 // nobody is taken out, so that there is something to send again
+		cfg.Fleet.RepeatsPerSecond = limit
 		r := play(t, cfg)
 		t.Logf("%2d routers: %d repeats without a budget, %d with; served %d and %d of %d", n, free.Repeats, r.Repeats, free.Served, r.Served, r.Asked)
 		require.LessOrEqual(t, float64(r.Repeats), limit*(cfg.For+cfg.Patience).Seconds()+limit+float64(n))
@@ -86,7 +86,7 @@
 	for _, n := range []int{1, 8, 40} {
 		cfg := usual(n, 40, uint64(n))
 		cfg.Fleet = terms()
-		cfg.Fleet.Cold = limit
+		cfg.Fleet.ColdPerSecond = limit
 		kill := Fault{8 * time.Second, func(w *World) { w.Kill("reader-0", 2*time.Second) }}
 		cfg.Faults = []Fault{kill}
 		cfg.Loss = 0.3
@@ -102,7 +102,7 @@
 				after++
 			}
 		}
-		cfg.Fleet.Cold = 0
+		cfg.Fleet.ColdPerSecond = 0
 		free := 0
 		for _, at := range play(t, cfg).Arrivals["reader-0"] {
 			if at >= up && at < warm {
@@ -214,7 +214,7 @@
 	for _, n := range []int{3, 10, 80, 200} {
 		cfg := usual(n, 60, 9)
 		cfg.Fleet, cfg.Warm, cfg.For = terms(), 4*time.Second, 10*time.Second
-		cfg.Fleet.Repeats = 20
+		cfg.Fleet.RepeatsPerSecond = 20
 		r := play(t, cfg)
 		span := (cfg.For + cfg.Patience - cfg.Warm).Seconds()
 		each[n] = float64(r.Messages) / span / float64(n)
@@ -239,7 +239,7 @@
 // mapped has the map of zones decided in common.
 func mapped(cfg Config) Config {
 	cfg.Fleet = terms()
-	cfg.Fleet.MostOut = 0 // what goes out by agreement on single workers is another matter
+	cfg.Fleet.MaxOut = 0 // what goes out by agreement on single workers is another matter
 	zones := node.ZoneConfig{Safe: 0.8, Capacity: map[string]solver.Zone{}, Terms: traffic.Terms{Fresh: 5 * time.Second, Fade: 20 * time.Second, Spill: 0.2},
 		Judge: zone.Config{Zones: []string{"a", "b", "c"}, Least: 3, Failing: 0.2, Lost: 0.8, Strain: 0.8, Confirm: time.Second, Hold: 5 * time.Second,
 			Return: 5 * time.Second, Trial: 0.1},
--- a/test/lab_test.go
+++ b/test/lab_test.go
@@ -252,8 +252,8 @@
 					Bad: 500, LeftMs: 2000})
 			}
 			for _, p := range peers {
-				tongue.Send(link.Envelope{To: p.Name, Judged: all, Members: &members.Message{From: l.layout.Routers[liar].Name, To: p.Name,
-					Beats: []members.Beat{{Name: l.layout.Routers[liar].Name, Life: 1, Count: seq}}}})
+				tongue.Send(link.Envelope{To: p.Name, Judgements: all, Members: &members.Message{From: l.layout.Routers[liar].Name, To: p.Name,
+					Heartbeats: []members.Heartbeat{{Name: l.layout.Routers[liar].Name, Incarnation: 1, Count: seq}}}})
 			}
 			time.Sleep(soon)
 		}
