--- a/store/reads.go
+++ b/store/reads.go
@@ -145,7 +145,7 @@
 			}
 		}
 	}
-	return fmt.Errorf("%w: no majority is peerTerm term %d", ErrNotLeader, term)
+	return fmt.Errorf("%w: no majority is at term %d", ErrNotLeader, term)
 }
 
 // askPeer sends a request without a body to a replica.
