--- a/discovery/zkrule/entry.go
+++ b/discovery/zkrule/entry.go
@@ -1,6 +1,6 @@
-// Package zkrule decides what the nodes of a ZooKeeper-style service say of
-// workers: which nodes to read, what their data means, which incarnation a node
-// that was made again is of. It does no I/O.
+// Package zkrule derives workers from the nodes of a ZooKeeper-style service: it determines which
+// nodes to read, parses their data, and decides whether a recreated node belongs to the same
+// incarnation of its worker. It does no I/O.
 package zkrule
 
 import (
@@ -14,26 +14,27 @@
 	"lichenshelf/discovery/membership"
 )
 
-// Format is the form of a node's data.
+// Format is the format of a node's data.
 type Format string
 
-// The forms of data.
+// The supported formats.
 const (
-	// JSON is our own: {"addr":"host:port"} with cell, weight, draining and
-	// started_at_ms. The node's name is the worker's.
+	// JSON is the format of this project: {"addr":"host:port"} with the optional fields cell,
+	// weight, draining and started_at_ms. The name of the node is the name of the worker.
 	JSON Format = "json"
-	// Serverset is that of Twitter's and Finagle's serversets: serviceEndpoint and
-	// status. The address is the worker's identity.
+	// Serverset is the format of the serversets of Twitter and Finagle, with serviceEndpoint and
+	// status. The address identifies the worker.
 	Serverset Format = "serverset"
-	// Curator is that of Apache Curator's service discovery. Its id names the worker.
+	// Curator is the format of Apache Curator's service discovery. The id is the name of the
+	// worker.
 	Curator Format = "curator"
 )
 
-// Known tells whether there is such a form.
+// Known reports whether f is a supported format.
 func (f Format) Known() bool { return f == JSON || f == Serverset || f == Curator }
 
-// Parse reads a node's data. What it does not tell comes from the template; the
-// start is 0 if it tells none.
+// Parse parses the data of a node. Fields that the data omits are taken from the template; Since is
+// 0 if the data has no start time.
 func (f Format) Parse(node string, data []byte, template membership.Entry) (membership.Entry, error) {
 	e := template
 	var err error
@@ -55,27 +56,27 @@
 
 func decode(data []byte, into any) error {
 	if len(data) == 0 {
-		return errors.New("the node is empty")
+		return errors.New("node data is empty")
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return fmt.Errorf("not the JSON expected: %w", err)
+		return fmt.Errorf("node data is not the JSON expected: %w", err)
 	}
 	return nil
 }
 
-// Registration is the data of our own form, as workers write it, to ZooKeeper-style
-// services and to the store alike.
+// Registration is the data in the JSON format. Workers write it to ZooKeeper-style services and to
+// the store.
 type Registration struct {
 	Addr     string  `json:"addr"`
 	Cell     int     `json:"cell"`
 	Weight   float64 `json:"weight,omitempty"`
-	Draining bool    `json:"draining"` // finishes what it has, gets nothing new
-	// StartedAtMs is when it last started, in Unix milliseconds; 0: not known.
+	Draining bool    `json:"draining"` // finishes its open requests and accepts no new ones
+	// StartedAtMs is the last start of the worker in Unix milliseconds; 0: unknown.
 	StartedAtMs int64 `json:"started_at_ms"`
 }
 
 func parseJSON(e *membership.Entry, node string, data []byte) error {
-	v := Registration{Cell: e.Cell, Weight: e.Weight} // which stay where nothing is said
+	v := Registration{Cell: e.Cell, Weight: e.Weight} // defaults for omitted fields
 	if err := decode(data, &v); err != nil {
 		return err
 	}
@@ -100,9 +101,9 @@
 	switch v.Status {
 	case "ALIVE":
 	case "STARTING", "WARMING", "STOPPING", "STOPPED", "DEAD":
-		e.Word = membership.Draining // it says itself that it takes nothing new
+		e.Word = membership.Draining // in these states the worker accepts no new requests
 	default:
-		return fmt.Errorf("status %q is none of a serverset's", v.Status)
+		return fmt.Errorf("unknown serverset status %q", v.Status)
 	}
 	var err error
 	e.Name = ""
@@ -134,7 +135,7 @@
 		return err
 	}
 	if v.ID != node {
-		return fmt.Errorf("id %q is not the node's name %q", v.ID, node)
+		return fmt.Errorf("id %q differs from the node name %q", v.ID, node)
 	}
 	if v.Port == nil {
 		return errors.New("port is missing")
--- a/discovery/zkrule/tracker.go
+++ b/discovery/zkrule/tracker.go
@@ -8,92 +8,93 @@
 	"lichenshelf/discovery/membership"
 )
 
-// Stat is what the service tells of a node.
+// Stat is the part of a node's metadata that the rules need.
 type Stat struct {
-	Czxid, Mzxid int64 // the changes that created it and that set its data
-	Ctime        int64 // when it was created, in Unix milliseconds, by the service's clock
+	Czxid, Mzxid int64 // the transactions that created the node and that last set its data
+	Ctime        int64 // creation time in Unix milliseconds, by the clock of the service
 }
 
-// Tracker follows the nodes below one parent. It is not safe for concurrent use.
+// Tracker tracks the nodes below one parent. It is not safe for concurrent use.
 //
-// Lists and nodes are told as they were read; a read that was overtaken by a
-// later one is recognised by its zxid and dropped.
+// Results of reads may be passed to it in any order: a result that is older than one already
+// processed is recognized by its zxid and ignored.
 type Tracker struct {
-	format   Format
-	template membership.Entry
-	within   time.Duration
-
-	nodes   map[string]*node
-	workers map[string]*worker // by identity
-	left    []*worker          // vanished, the first to go first; may hold some that are back
-	listed  int64              // the parent's pzxid at the latest list
+	format     Format
+	template   membership.Entry
+	flapWindow time.Duration
+
+	nodes           map[string]*node
+	workers         map[string]*worker // by identity
+	recentlyRemoved []*worker          // by time of removal; may contain workers that have returned
+	listPzxid       int64              // pzxid of the parent in the latest list
 }
 
-// node is a node that the parent lists.
+// node is a child of the parent.
 type node struct {
 	name   string
 	read   bool
 	stat   Stat
-	worker *worker // nil: its data has never made sense
+	worker *worker // nil: no valid data has been read yet
 	entry  membership.Entry
 	data   string
 }
 
-// worker is an identity, with the nodes that stand for it.
+// worker is one worker identity and the nodes that register it.
 type worker struct {
-	key    string
-	nodes  []*node // by czxid, the latest last
-	since  int64   // the start of its incarnation, in Unix nanoseconds
-	data   string  // as it was last
-	goneAt time.Time
-	told   membership.Entry
+	key       string
+	nodes     []*node // by czxid, the latest last
+	since     int64   // the start of its incarnation, in Unix nanoseconds
+	data      string  // the latest data of its current node
+	removedAt time.Time
+	reported  membership.Entry
 }
 
-// New returns a tracker. A node that is made again within the given time, with
-// the same data and no start time in it, is the same incarnation.
-func New(format Format, template membership.Entry, within time.Duration) *Tracker {
-	return &Tracker{format: format, template: template, within: within, nodes: map[string]*node{}, workers: map[string]*worker{}}
+// New returns a tracker. A worker whose node is recreated within flapWindow, with the same data and
+// no start time in it, keeps its incarnation.
+func New(format Format, template membership.Entry, flapWindow time.Duration) *Tracker {
+	return &Tracker{format: format, template: template, flapWindow: flapWindow, nodes: map[string]*node{}, workers: map[string]*worker{}}
 }
 
-// List takes the names below the parent, read when its last change of children
-// was pzxid. It returns the nodes that have to be read, and what to tell of those
-// that have vanished.
-func (t *Tracker) List(now time.Time, names []string, pzxid int64) (read []string, tell []membership.Entry) {
-	if pzxid < t.listed {
-		return nil, nil // overtaken
+// List processes a list of the parent's children; pzxid is the transaction that last changed the
+// children when the list was read. List returns the nodes that have to be read, and the membership
+// changes that result from removed nodes.
+func (t *Tracker) List(now time.Time, names []string, pzxid int64) (toRead []string, changes []membership.Entry) {
+	if pzxid < t.listPzxid {
+		return nil, nil // older than a list already processed
 	}
-	t.listed = pzxid
-	named := make(map[string]bool, len(names))
+	t.listPzxid = pzxid
+	listed := make(map[string]bool, len(names))
 	for _, name := range names {
-		named[name] = true
+		listed[name] = true
 		n := t.nodes[name]
 		if n == nil {
 			n = &node{name: name}
 			t.nodes[name] = n
 		}
 		if !n.read {
-			read = append(read, name)
+			toRead = append(toRead, name)
 		}
 	}
 	for name, n := range t.nodes {
-		// One that is known to have been created after this list can't be on it.
-		if !named[name] && n.stat.Czxid <= pzxid {
-			tell = append(tell, t.Vanished(now, name)...)
+		// A node that was created after this list was read can't be on it.
+		if !listed[name] && n.stat.Czxid <= pzxid {
+			changes = append(changes, t.NodeRemoved(now, name)...)
 		}
 	}
-	return read, tell
+	return toRead, changes
 }
 
-// NoParent takes that the parent itself is not there, nor then any node.
-func (t *Tracker) NoParent(now time.Time) (tell []membership.Entry) {
-	t.listed = 0
+// ParentRemoved processes that the parent does not exist, so that no node below it exists either.
+// It returns the resulting membership changes.
+func (t *Tracker) ParentRemoved(now time.Time) (changes []membership.Entry) {
+	t.listPzxid = 0
 	for name := range t.nodes {
-		tell = append(tell, t.Vanished(now, name)...)
+		changes = append(changes, t.NodeRemoved(now, name)...)
 	}
-	return tell
+	return changes
 }
 
-// Names are the nodes that are known.
+// Names returns the names of all known nodes.
 func (t *Tracker) Names() []string {
 	out := make([]string, 0, len(t.nodes))
 	for name := range t.nodes {
@@ -102,17 +103,18 @@
 	return out
 }
 
-// Vanished takes that a node is not there (any more).
-func (t *Tracker) Vanished(now time.Time, name string) []membership.Entry {
+// NodeRemoved processes that a node does not exist, and returns the resulting membership changes.
+func (t *Tracker) NodeRemoved(now time.Time, name string) []membership.Entry {
 	n := t.nodes[name]
 	if n == nil {
 		return nil
 	}
 	delete(t.nodes, name)
-	return t.leave(now, n)
+	return t.detach(now, n)
 }
 
-// Node takes a node's data. An error is about the data: its worker stays as it was.
+// Node processes the data of a node and returns the resulting membership changes. It returns an
+// error if the data is invalid; the worker of the node then remains unchanged.
 func (t *Tracker) Node(now time.Time, name string, data []byte, stat Stat) ([]membership.Entry, error) {
 	n := t.nodes[name]
 	if n == nil {
@@ -120,26 +122,26 @@
 		t.nodes[name] = n
 	}
 	if n.read && stat.Mzxid < n.stat.Mzxid {
-		return nil, nil // overtaken
+		return nil, nil // older than data already processed
 	}
-	var tell []membership.Entry
+	var changes []membership.Entry
 	if n.read && stat.Czxid != n.stat.Czxid {
-		// Made again between two reads: the old one has vanished, unseen.
-		tell = t.leave(now, n)
+		// Recreated between two reads: the removal of the old node was not observed.
+		changes = t.detach(now, n)
 		*n = node{name: name}
 		t.nodes[name] = n
 	}
 	n.read, n.stat = true, stat
 	e, err := t.format.Parse(name, data, t.template)
 	if err != nil {
-		return tell, fmt.Errorf("node %s, version of zxid %d: %w", name, stat.Mzxid, err)
+		return changes, fmt.Errorf("node %s, data of zxid %d: %w", name, stat.Mzxid, err)
 	}
 	key := "=" + e.Name
 	if e.Name == "" {
 		key = "@" + e.Addr
 	}
 	if n.worker != nil && n.worker.key != key {
-		tell = append(tell, t.leave(now, n)...)
+		changes = append(changes, t.detach(now, n)...)
 	}
 	n.entry, n.data = e, string(data)
 	w := t.workers[key]
@@ -152,11 +154,11 @@
 		at, _ := slices.BinarySearchFunc(w.nodes, stat.Czxid, func(o *node, czxid int64) int { return int(min(max(o.stat.Czxid-czxid, -1), 1)) })
 		w.nodes = slices.Insert(w.nodes, at, n)
 	}
-	return append(tell, t.speak(now, w)...), nil
+	return append(changes, t.report(now, w)...), nil
 }
 
-// leave takes a node away from its worker.
-func (t *Tracker) leave(now time.Time, n *node) []membership.Entry {
+// detach removes a node from its worker and returns the resulting membership changes.
+func (t *Tracker) detach(now time.Time, n *node) []membership.Entry {
 	w := n.worker
 	if w == nil {
 		return nil
@@ -164,48 +166,49 @@
 	n.worker = nil
 	w.nodes = slices.DeleteFunc(w.nodes, func(o *node) bool { return o == n })
 	if len(w.nodes) > 0 {
-		return t.speak(now, w)
-	}
-	w.goneAt = now
-	t.left = append(t.left, w)
-	t.forget(now)
-	gone := membership.Entry{Name: w.told.Name, Addr: w.told.Addr, Word: membership.Gone}
-	w.told = gone
-	return []membership.Entry{gone}
+		return t.report(now, w)
+	}
+	w.removedAt = now
+	t.recentlyRemoved = append(t.recentlyRemoved, w)
+	t.forgetExpired(now)
+	removal := membership.Entry{Name: w.reported.Name, Addr: w.reported.Addr, Word: membership.Gone}
+	w.reported = removal
+	return []membership.Entry{removal}
 }
 
-// speak tells what the latest node of a worker says, if that is new.
-func (t *Tracker) speak(now time.Time, w *worker) []membership.Entry {
+// report returns the entry of the latest node of a worker if it differs from the one last reported.
+func (t *Tracker) report(now time.Time, w *worker) []membership.Entry {
 	n := w.nodes[len(w.nodes)-1]
 	e := n.entry
 	if e.Since == 0 {
-		e.Since = t.start(now, w, n)
+		e.Since = t.startTime(now, w, n)
 	}
-	w.since, w.data, w.goneAt = e.Since, n.data, time.Time{}
-	if e == w.told {
+	w.since, w.data, w.removedAt = e.Since, n.data, time.Time{}
+	if e == w.reported {
 		return nil
 	}
-	w.told = e
+	w.reported = e
 	return []membership.Entry{e}
 }
 
-// start is the start of a worker whose entry tells none. While a node of its
-// stands, and if one with the same data comes back soon, it has not restarted.
-func (t *Tracker) start(now time.Time, w *worker, n *node) int64 {
-	same := w.goneAt.IsZero() || n.data == w.data && now.Sub(w.goneAt) <= t.within
-	if w.since != 0 && same {
+// startTime determines the start time of a worker whose entry has none. The worker counts as not
+// restarted while one of its nodes exists, or if a node with the same data is created within the
+// flap window.
+func (t *Tracker) startTime(now time.Time, w *worker, n *node) int64 {
+	sameIncarnation := w.removedAt.IsZero() || n.data == w.data && now.Sub(w.removedAt) <= t.flapWindow
+	if w.since != 0 && sameIncarnation {
 		return w.since
 	}
 	return max(nanos(n.stat.Ctime), membership.LongAgo)
 }
 
-// forget drops what is kept of workers that vanished too long ago to come back as
-// the same.
-func (t *Tracker) forget(now time.Time) {
-	for len(t.left) > 0 && (t.left[0].goneAt.IsZero() || now.Sub(t.left[0].goneAt) > t.within) {
-		w := t.left[0]
-		t.left = t.left[1:]
-		if len(w.nodes) == 0 && t.workers[w.key] == w && !w.goneAt.IsZero() {
+// forgetExpired drops the state of workers that were removed so long ago that they can no longer
+// return as the same incarnation.
+func (t *Tracker) forgetExpired(now time.Time) {
+	for len(t.recentlyRemoved) > 0 && (t.recentlyRemoved[0].removedAt.IsZero() || now.Sub(t.recentlyRemoved[0].removedAt) > t.flapWindow) {
+		w := t.recentlyRemoved[0]
+		t.recentlyRemoved = t.recentlyRemoved[1:]
+		if len(w.nodes) == 0 && t.workers[w.key] == w && !w.removedAt.IsZero() {
 			delete(t.workers, w.key)
 		}
 	}
--- a/discovery/zkrule/zkrule_test.go
+++ b/discovery/zkrule/zkrule_test.go
@@ -57,159 +57,159 @@
 	require.False(t, Format("else").Known())
 }
 
-// play drives a tracker by what a service would tell.
-type play struct {
+// harness drives a tracker as a service would.
+type harness struct {
 	*testing.T
 	tracker *Tracker
 	now     time.Time
 	zxid    int64
 }
 
-func newPlay(t *testing.T, format Format) *play {
-	return &play{T: t, tracker: New(format, template, 10*time.Second), now: t0}
+func newHarness(t *testing.T, format Format) *harness {
+	return &harness{T: t, tracker: New(format, template, 10*time.Second), now: t0}
 }
 
-func (p *play) made(name, data string) membership.Entry {
+func (p *harness) create(name, data string) membership.Entry {
 	p.Helper()
 	p.zxid++
-	tell, err := p.tracker.Node(p.now, name, []byte(data), Stat{p.zxid, p.zxid, p.now.UnixMilli()})
+	changes, err := p.tracker.Node(p.now, name, []byte(data), Stat{p.zxid, p.zxid, p.now.UnixMilli()})
 	require.NoError(p, err)
-	require.Len(p, tell, 1)
-	return tell[0]
+	require.Len(p, changes, 1)
+	return changes[0]
 }
 
-func (p *play) gone(name string) {
+func (p *harness) remove(name string) {
 	p.Helper()
 	p.zxid++
-	tell := p.tracker.Vanished(p.now, name)
-	require.Len(p, tell, 1)
-	require.Equal(p, membership.Gone, tell[0].Word)
+	changes := p.tracker.NodeRemoved(p.now, name)
+	require.Len(p, changes, 1)
+	require.Equal(p, membership.Gone, changes[0].Word)
 }
 
-func TestANodeMadeAgainSoonIsTheSameIncarnation(t *testing.T) {
-	p := newPlay(t, JSON)
-	first := p.made("n", `{"addr":"h:1"}`)
-	require.Equal(t, t0.UnixNano(), first.Since, "it started when it was created")
+func TestNodeRecreatedSoonKeepsIncarnation(t *testing.T) {
+	p := newHarness(t, JSON)
+	first := p.create("n", `{"addr":"h:1"}`)
+	require.Equal(t, t0.UnixNano(), first.Since, "without a start time, the worker started when its node was created")
 	p.now = p.now.Add(time.Hour)
-	p.gone("n")
+	p.remove("n")
 	p.now = p.now.Add(900 * time.Millisecond)
-	require.Equal(t, first, p.made("n", `{"addr":"h:1"}`), "a flap of its session")
-	p.gone("n")
+	require.Equal(t, first, p.create("n", `{"addr":"h:1"}`), "the session flapped")
+	p.remove("n")
 	p.now = p.now.Add(900 * time.Millisecond)
-	require.Equal(t, p.now.UnixNano(), p.made("n", `{"addr":"h:2"}`).Since, "another address is another process")
-	p.gone("n")
+	require.Equal(t, p.now.UnixNano(), p.create("n", `{"addr":"h:2"}`).Since, "another address means another process")
+	p.remove("n")
 	p.now = p.now.Add(11 * time.Second)
-	require.Equal(t, p.now.UnixNano(), p.made("n", `{"addr":"h:2"}`).Since, "too late for a flap")
+	require.Equal(t, p.now.UnixNano(), p.create("n", `{"addr":"h:2"}`).Since, "the flap window has passed")
 }
 
-func TestAStartTimeDecides(t *testing.T) {
-	p := newPlay(t, JSON)
-	first := p.made("n", `{"addr":"h:1","started_at_ms":5}`)
-	p.gone("n")
+func TestStartTimeDeterminesIncarnation(t *testing.T) {
+	p := newHarness(t, JSON)
+	first := p.create("n", `{"addr":"h:1","started_at_ms":5}`)
+	p.remove("n")
 	p.now = p.now.Add(time.Hour)
-	require.Equal(t, first, p.made("n", `{"addr":"h:1","started_at_ms":5}`), "however long it took")
-	p.gone("n")
-	require.EqualValues(t, 6e6, p.made("n", `{"addr":"h:1","started_at_ms":6}`).Since, "a restart within the second")
+	require.Equal(t, first, p.create("n", `{"addr":"h:1","started_at_ms":5}`), "the same start time means the same incarnation, however long the node was missing")
+	p.remove("n")
+	require.EqualValues(t, 6e6, p.create("n", `{"addr":"h:1","started_at_ms":6}`).Since, "another start time means a restart")
 }
 
-func TestANodeMadeAgainBetweenTwoReadsHasVanished(t *testing.T) {
-	p := newPlay(t, JSON)
-	p.made("n", `{"addr":"h:1"}`)
+func TestNodeRecreatedBetweenReadsIsReportedRemoved(t *testing.T) {
+	p := newHarness(t, JSON)
+	p.create("n", `{"addr":"h:1"}`)
 	p.now = p.now.Add(time.Minute)
-	tell, err := p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1"}`), Stat{50, 50, p.now.UnixMilli()})
+	changes, err := p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1"}`), Stat{50, 50, p.now.UnixMilli()})
 	require.NoError(t, err)
-	require.Len(t, tell, 2)
-	require.Equal(t, membership.Gone, tell[0].Word)
-	require.Equal(t, t0.UnixNano(), tell[1].Since)
+	require.Len(t, changes, 2)
+	require.Equal(t, membership.Gone, changes[0].Word)
+	require.Equal(t, t0.UnixNano(), changes[1].Since)
 }
 
-func TestHalfAnEntryLeavesTheWorkerAsItWas(t *testing.T) {
-	p := newPlay(t, JSON)
-	p.made("n", `{"addr":"h:1"}`)
-	tell, err := p.tracker.Node(p.now, "n", []byte(`{"addr":"h:`), Stat{1, 2, 0})
+func TestMalformedDataKeepsWorker(t *testing.T) {
+	p := newHarness(t, JSON)
+	p.create("n", `{"addr":"h:1"}`)
+	changes, err := p.tracker.Node(p.now, "n", []byte(`{"addr":"h:`), Stat{1, 2, 0})
 	require.ErrorContains(t, err, "node n")
-	require.Empty(t, tell)
-	tell, err = p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1","draining":true}`), Stat{1, 3, 0})
+	require.Empty(t, changes)
+	changes, err = p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1","draining":true}`), Stat{1, 3, 0})
 	require.NoError(t, err)
-	require.Equal(t, membership.Draining, tell[0].Word)
-	require.Equal(t, t0.UnixNano(), tell[0].Since)
-	tell, err = p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1"}`), Stat{1, 2, 0})
+	require.Equal(t, membership.Draining, changes[0].Word)
+	require.Equal(t, t0.UnixNano(), changes[0].Since)
+	changes, err = p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1"}`), Stat{1, 2, 0})
 	require.NoError(t, err)
-	require.Empty(t, tell, "an older read came late")
-	p.gone("n")
+	require.Empty(t, changes, "the result of an older read arrived late")
+	p.remove("n")
 }
 
-func TestAnAddressGoesWithTheLastOfItsMembers(t *testing.T) {
+func TestWorkerIsRemovedWithItsLastNode(t *testing.T) {
 	const data = `{"serviceEndpoint":{"host":"h","port":1},"status":"ALIVE"}`
-	p := newPlay(t, Serverset)
-	first := p.made("member_1", data)
+	p := newHarness(t, Serverset)
+	first := p.create("member_1", data)
 	p.now = p.now.Add(time.Second)
 	p.zxid++
-	tell, err := p.tracker.Node(p.now, "member_2", []byte(data), Stat{p.zxid, p.zxid, p.now.UnixMilli()})
+	changes, err := p.tracker.Node(p.now, "member_2", []byte(data), Stat{p.zxid, p.zxid, p.now.UnixMilli()})
 	require.NoError(t, err)
-	require.Empty(t, tell, "registered again before the old session has expired")
-	require.Empty(t, p.tracker.Vanished(p.now, "member_1"))
-	p.gone("member_2")
-	require.Equal(t, first, p.made("member_3", data))
+	require.Empty(t, changes, "the worker registered again before its old session expired")
+	require.Empty(t, p.tracker.NodeRemoved(p.now, "member_1"))
+	p.remove("member_2")
+	require.Equal(t, first, p.create("member_3", data))
 }
 
-func TestListsTellWhatToReadAndWhatVanished(t *testing.T) {
-	p := newPlay(t, JSON)
-	read, tell := p.tracker.List(p.now, []string{"a", "b"}, 1)
+func TestListReturnsNodesToReadAndRemovals(t *testing.T) {
+	p := newHarness(t, JSON)
+	read, changes := p.tracker.List(p.now, []string{"a", "b"}, 1)
 	require.ElementsMatch(t, []string{"a", "b"}, read)
-	require.Empty(t, tell)
+	require.Empty(t, changes)
 	p.zxid = 10
-	p.made("a", `{"addr":"h:1"}`)
+	p.create("a", `{"addr":"h:1"}`)
 	read, _ = p.tracker.List(p.now, []string{"a", "b"}, 11)
 	require.Equal(t, []string{"b"}, read)
-	require.Empty(t, p.tracker.Vanished(p.now, "b"), "gone before it was read")
+	require.Empty(t, p.tracker.NodeRemoved(p.now, "b"), "removed before it was read")
 	p.zxid = 20
-	p.made("c", `{"addr":"h:3"}`)
-	_, tell = p.tracker.List(p.now, []string{"a"}, 15)
-	require.Empty(t, tell, "the list is older than c")
-	_, tell = p.tracker.List(p.now, nil, 14)
-	require.Empty(t, tell, "the list is older than the one before")
-	_, tell = p.tracker.List(p.now, []string{"c"}, 30)
-	require.Equal(t, []membership.Entry{{Name: "a", Addr: "h:1", Word: membership.Gone}}, tell)
-	require.Len(t, p.tracker.NoParent(p.now), 1)
+	p.create("c", `{"addr":"h:3"}`)
+	_, changes = p.tracker.List(p.now, []string{"a"}, 15)
+	require.Empty(t, changes, "the list is older than c")
+	_, changes = p.tracker.List(p.now, nil, 14)
+	require.Empty(t, changes, "the list is older than the previous one")
+	_, changes = p.tracker.List(p.now, []string{"c"}, 30)
+	require.Equal(t, []membership.Entry{{Name: "a", Addr: "h:1", Word: membership.Gone}}, changes)
+	require.Len(t, p.tracker.ParentRemoved(p.now), 1)
 	read, _ = p.tracker.List(p.now, []string{"x"}, 2)
-	require.Equal(t, []string{"x"}, read, "a parent that was made again counts anew")
+	require.Equal(t, []string{"x"}, read, "a recreated parent may have a lower pzxid")
 }
 
-func TestWhatVanishedLongAgoIsForgotten(t *testing.T) {
-	p := newPlay(t, JSON)
+func TestRemovedWorkersAreForgotten(t *testing.T) {
+	p := newHarness(t, JSON)
 	for i := range 1000 {
 		name := fmt.Sprint("n", i)
-		p.made(name, `{"addr":"h:1"}`)
-		p.gone(name)
+		p.create(name, `{"addr":"h:1"}`)
+		p.remove(name)
 		p.now = p.now.Add(time.Second)
 	}
 	require.LessOrEqual(t, len(p.tracker.workers), 12)
 	require.Empty(t, p.tracker.nodes)
-	require.LessOrEqual(t, len(p.tracker.left), 12)
+	require.LessOrEqual(t, len(p.tracker.recentlyRemoved), 12)
 }
 
-// Whatever a service does, and in whatever order its reads come, in the end the
-// words add up to the nodes that are there.
-func TestWordsAddUpToTheNodes(t *testing.T) {
+// Random operations of a service, whose reads are processed late: after a full re-read, the
+// accumulated changes must match the existing nodes.
+func TestChangesConvergeToNodes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		type real struct {
+		type nodeState struct {
 			data string
 			stat Stat
 		}
-		service, zxid, now := map[string]real{}, int64(0), t0
+		service, zxid, now := map[string]nodeState{}, int64(0), t0
 		tracker := New(Serverset, template, 3*time.Second)
-		said := map[string]membership.Entry{}
-		hear := func(tell []membership.Entry) {
-			for _, e := range tell {
+		reported := map[string]membership.Entry{}
+		apply := func(changes []membership.Entry) {
+			for _, e := range changes {
 				if e.Word == membership.Gone {
-					delete(said, e.Addr)
+					delete(reported, e.Addr)
 				} else {
-					said[e.Addr] = e
+					reported[e.Addr] = e
 				}
 			}
 		}
-		var late []func() // reads that were made but not told yet
+		var pending []func() // reads whose results have not been processed yet
 		list := func() {
 			var names []string
 			for name := range service {
@@ -217,16 +217,16 @@
 			}
 			slices.Sort(names)
 			at := zxid
-			late = append(late, func() { _, tell := tracker.List(now, names, at); hear(tell) })
+			pending = append(pending, func() { _, changes := tracker.List(now, names, at); apply(changes) })
 		}
 		get := func(name string) {
 			n, ok := service[name]
-			late = append(late, func() {
+			pending = append(pending, func() {
 				if !ok {
-					return // an absence is told by the next list
+					return // the next list reports that the node does not exist
 				}
-				tell, _ := tracker.Node(now, name, []byte(n.data), n.stat)
-				hear(tell)
+				changes, _ := tracker.Node(now, name, []byte(n.data), n.stat)
+				apply(changes)
 			})
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
@@ -236,7 +236,7 @@
 			switch n, ok := service[name]; rapid.IntRange(0, 4).Draw(rt, "what") {
 			case 0:
 				if !ok {
-					service[name] = real{data, Stat{zxid, zxid, now.UnixMilli()}}
+					service[name] = nodeState{data, Stat{zxid, zxid, now.UnixMilli()}}
 				}
 			case 1:
 				delete(service, name)
@@ -250,22 +250,22 @@
 			case 4:
 				get(name)
 			}
-			for len(late) > 0 && rapid.Bool().Draw(rt, "told") {
-				late[0]()
-				late = late[1:]
+			for len(pending) > 0 && rapid.Bool().Draw(rt, "processed") {
+				pending[0]()
+				pending = pending[1:]
 			}
 			now = now.Add(time.Second)
 		}
-		for _, f := range late {
+		for _, f := range pending {
 			f()
 		}
-		// A full re-read, as after an event or a resync.
-		late = nil
+		// A full re-read, as after a resync.
+		pending = nil
 		list()
 		for name := range service {
 			get(name)
 		}
-		for _, f := range late {
+		for _, f := range pending {
 			f()
 		}
 		want := map[string]bool{}
@@ -275,7 +275,7 @@
 			want[e.Addr] = true
 		}
 		got := map[string]bool{}
-		for addr := range said {
+		for addr := range reported {
 			got[addr] = true
 		}
 		require.Equal(rt, want, got)
--- a/discovery/zksource/bench_test.go
+++ b/discovery/zksource/bench_test.go
@@ -11,27 +11,27 @@
 	"lichenshelf/internal/standin/zk"
 )
 
-// drained is a sink that tells when it has heard of a worker's end.
-type drained struct {
-	ready chan struct{}
-	gone  chan time.Time
+// expirySink signals the first report and the time of each reported removal.
+type expirySink struct {
+	ready    chan struct{}
+	removals chan time.Time
 }
 
-func (d drained) Report(r membership.Report) {
+func (d expirySink) Report(r membership.Report) {
 	if r.Whole {
 		d.ready <- struct{}{}
 	}
 	for _, e := range r.Entries {
 		if e.Word == membership.Gone {
-			d.gone <- time.Now()
+			d.removals <- time.Now()
 		}
 	}
 }
-func (d drained) Fail(error) {}
-func (d drained) Warn(error) {}
+func (d expirySink) Fail(error) {}
+func (d expirySink) Warn(error) {}
 
-// BenchmarkExpiry reports the time from the end of a worker's session to the
-// moment at which the last of 20 sources, which follow 200 nodes, has told of it.
+// BenchmarkExpiry reports the longest time from the end of a worker's session until the last of 20
+// sources, each following 200 nodes, has reported the removal.
 func BenchmarkExpiry(b *testing.B) {
 	s, err := zk.New()
 	if err != nil {
@@ -40,10 +40,10 @@
 	defer s.Close()
 	s.Create("/w", "", 0)
 	for i := range 200 {
-		s.Create(fmt.Sprint("/w/n", i), at(i+1), int64(i+1))
+		s.Create(fmt.Sprint("/w/n", i), workerData(i+1), int64(i+1))
 	}
 	const routers = 20
-	sink := drained{make(chan struct{}, routers), make(chan time.Time, routers)}
+	sink := expirySink{make(chan struct{}, routers), make(chan time.Time, routers)}
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	for range routers {
@@ -59,11 +59,11 @@
 		s.Expire(int64(i%200 + 1))
 		var last time.Time
 		for range routers {
-			last = <-sink.gone
+			last = <-sink.removals
 		}
 		worst = max(worst, last.Sub(from))
 		b.StopTimer()
-		s.Create(fmt.Sprint("/w/n", i%200), at(i%200+1), int64(i%200+1))
+		s.Create(fmt.Sprint("/w/n", i%200), workerData(i%200+1), int64(i%200+1))
 		time.Sleep(5 * time.Millisecond) // until the sources have read it
 		b.StartTimer()
 	}
--- a/discovery/zksource/register.go
+++ b/discovery/zksource/register.go
@@ -12,34 +12,34 @@
 	"github.com/go-zookeeper/zk"
 )
 
-// Register keeps an ephemeral node with the data until ctx ends, over as many
-// sessions as it takes, and removes it then. Parents that are missing are made.
-// What goes wrong meanwhile is told to problem.
-func Register(ctx context.Context, servers []string, node string, data []byte, timeout time.Duration, problem func(error)) error {
-	events := events{more: make(chan struct{}, 1)}
-	conn, _, err := zk.Connect(servers, timeout, zk.WithLogInfo(false), zk.WithLogger(quiet{}), zk.WithEventCallback(events.add))
+// Register maintains an ephemeral node with the given data until ctx ends, and removes it then. It
+// creates missing parents, and opens a new session and recreates the node whenever a session is
+// lost. Errors meanwhile are passed to reportError.
+func Register(ctx context.Context, servers []string, node string, data []byte, timeout time.Duration, reportError func(error)) error {
+	events := eventQueue{ready: make(chan struct{}, 1)}
+	conn, _, err := zk.Connect(servers, timeout, zk.WithLogInfo(false), zk.WithLogger(discardLogger{}), zk.WithEventCallback(events.add))
 	if err != nil {
 		return fmt.Errorf("servers %v: %w", servers, err)
 	}
 	defer conn.Close() // ends the session, and the node with it
-	again := backoff.NewExponentialBackOff()
-	again.InitialInterval, again.MaxInterval = retryMin, retryMax
-	look := time.NewTicker(timeout / 2) // without a watch: see Source.Run
-	defer look.Stop()
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = retryMin, retryMax
+	check := time.NewTicker(timeout / 2) // polls instead of watching; for the reason see Source.Run
+	defer check.Stop()
 	for {
 		var retry <-chan time.Time
 		if conn.State() == zk.StateHasSession {
-			if err := keep(conn, node, data); err != nil {
-				problem(err)
-				retry = time.After(again.NextBackOff())
+			if err := ensureNode(conn, node, data); err != nil {
+				reportError(err)
+				retry = time.After(retryBackoff.NextBackOff())
 			} else {
-				again.Reset()
+				retryBackoff.Reset()
 			}
 		}
 		select {
-		case <-events.more:
-			events.take() // a new session, it may be
-		case <-look.C:
+		case <-events.ready:
+			events.take() // there may be a new session
+		case <-check.C:
 		case <-retry:
 		case <-ctx.Done():
 			return nil
@@ -47,21 +47,22 @@
 	}
 }
 
-// keep sees to it that the node is there, with our data and of our session.
-func keep(conn *zk.Conn, node string, data []byte) error {
-	there, stat, err := conn.Exists(node)
+// ensureNode creates the node unless it already exists and belongs to the current session.
+func ensureNode(conn *zk.Conn, node string, data []byte) error {
+	exists, stat, err := conn.Exists(node)
 	switch {
 	case err != nil:
-		return fmt.Errorf("look at %s: %w", node, err)
-	case there && stat.EphemeralOwner == conn.SessionID():
+		return fmt.Errorf("check %s: %w", node, err)
+	case exists && stat.EphemeralOwner == conn.SessionID():
 		return nil
-	case there:
-		// Of an earlier session of ours, as a rule, which has yet to time out: it
-		// gives way in the one step that makes the new one.
+	case exists:
+		// The node usually belongs to an earlier session of this process that has not timed out
+		// yet. It is deleted in the same transaction that creates the new one, so that readers
+		// never find the node missing.
 		_, err = conn.Multi(&zk.DeleteRequest{Path: node, Version: stat.Version},
 			&zk.CreateRequest{Path: node, Data: data, Acl: zk.WorldACL(zk.PermAll), Flags: zk.FlagEphemeral})
 	default:
-		if err := parents(conn, path.Dir(node)); err != nil {
+		if err := createParents(conn, path.Dir(node)); err != nil {
 			return err
 		}
 		_, err = conn.Create(node, data, zk.FlagEphemeral, zk.WorldACL(zk.PermAll))
@@ -72,13 +73,13 @@
 	return nil
 }
 
-// parents makes a node that does not vanish, and those above it.
-func parents(conn *zk.Conn, node string) error {
-	at := ""
+// createParents creates a persistent node and all its ancestors where they are missing.
+func createParents(conn *zk.Conn, node string) error {
+	current := ""
 	for _, name := range strings.Split(strings.TrimPrefix(node, "/"), "/") {
-		at += "/" + name
-		if _, err := conn.Create(at, nil, 0, zk.WorldACL(zk.PermAll)); err != nil && !errors.Is(err, zk.ErrNodeExists) {
-			return fmt.Errorf("create %s: %w", at, err)
+		current += "/" + name
+		if _, err := conn.Create(current, nil, 0, zk.WorldACL(zk.PermAll)); err != nil && !errors.Is(err, zk.ErrNodeExists) {
+			return fmt.Errorf("create %s: %w", current, err)
 		}
 	}
 	return nil
--- a/discovery/zksource/source.go
+++ b/discovery/zksource/source.go
@@ -1,6 +1,5 @@
-// Package zksource follows the ephemeral nodes below one path of a
-// ZooKeeper-style service. What the nodes say is decided by package zkrule; the
-// client is a library.
+// Package zksource follows the ephemeral nodes below one path of a ZooKeeper-style service. Package
+// zkrule interprets the nodes; the client is a library.
 package zksource
 
 import (
@@ -20,18 +19,18 @@
 	"lichenshelf/discovery/zkrule"
 )
 
-// Config is how a path is followed. All fields must be set.
+// Config configures a Source. All fields must be set.
 type Config struct {
-	Servers  []string // host:port
-	Path     string   // the parent of the nodes
-	Session  time.Duration
-	Resync   time.Duration // between full re-reads, for watches that never fire
-	Within   time.Duration // see zkrule.New
+	Servers  []string      // host:port
+	Path     string        // the parent of the nodes
+	Session  time.Duration // session timeout
+	Resync   time.Duration // interval of full re-reads, which cover watches that never fire
+	Within   time.Duration // the flap window, see zkrule.New
 	Format   zkrule.Format
-	Parallel int // reads out at once
+	Parallel int // maximum number of concurrent reads
 }
 
-// Sink takes what a source has to say.
+// Sink receives the reports of a source, failures of the service and warnings about single nodes.
 type Sink interface {
 	Report(membership.Report)
 	Fail(error)
@@ -39,70 +38,69 @@
 }
 
 const (
-	retryMin  = 50 * time.Millisecond
-	retryMax  = 5 * time.Second
-	maxAnswer = 4 << 20 // of the service, in bytes: a list of names is one answer
+	retryMin         = 50 * time.Millisecond
+	retryMax         = 5 * time.Second
+	maxResponseBytes = 4 << 20 // a list of all names is a single response
 )
 
 // Source follows one path.
 type Source struct {
 	cfg     Config
 	tracker *zkrule.Tracker
-	events  events
+	events  eventQueue
 
-	queue   []string        // paths to read, the first one first
-	queued  map[string]bool // the same paths, to ask for each once
-	watched map[string]bool // paths whose watch is set and has not fired
-	out     int             // reads that are out
-	told    bool            // the whole list has been reported
-	first   map[string]membership.Entry
-	ill     bool
-	again   *backoff.ExponentialBackOff
+	queue           []string                    // paths to read, in order
+	queued          map[string]bool             // the paths in queue, so that each is queued once
+	watched         map[string]bool             // paths whose watch is set and has not fired
+	inFlight        int                         // reads that have been started and not completed
+	initialReported bool                        // the whole list has been reported
+	initial         map[string]membership.Entry // entries collected for the first report
+	failing         bool                        // a failure was reported, and nothing since
+	retryBackoff    *backoff.ExponentialBackOff
 }
 
-// New returns a source. The template gives what entries do not tell.
+// New returns a source. Fields that nodes omit are taken from the template.
 func New(cfg Config, template membership.Entry) *Source {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = retryMin, retryMax
-	return &Source{cfg: cfg, tracker: zkrule.New(cfg.Format, template, cfg.Within), again: b,
-		queued: map[string]bool{}, watched: map[string]bool{}, first: map[string]membership.Entry{},
-		events: events{more: make(chan struct{}, 1)}}
+	return &Source{cfg: cfg, tracker: zkrule.New(cfg.Format, template, cfg.Within), retryBackoff: b,
+		queued: map[string]bool{}, watched: map[string]bool{}, initial: map[string]membership.Entry{},
+		events: eventQueue{ready: make(chan struct{}, 1)}}
 }
 
-// answer is what a read has found.
-type answer struct {
+// readResult is the result of one read.
+type readResult struct {
 	path  string
 	names []string
 	data  []byte
 	stat  zk.Stat
-	watch bool // the read has set a watch
+	watch bool // the read sets a watch
 	err   error
 }
 
-// Run follows the path until ctx ends. The first report is the whole list, each
-// later one what has changed. A node that has vanished is told gone.
+// Run follows the path until ctx ends. The first report is the whole list; each later report
+// contains the changes. A worker whose nodes were removed is reported as gone.
 //
-// Each connection has a session of its own: ours holds nothing, so all that a lost
-// one costs is reading everything again. The library could take a session up anew
-// and set its watches again, but it names the last change that it has seen by then,
-// which may be later than what it had read (version 1.0.4, a data race), and what
-// happened in between would never be told.
+// Each connection uses a new session. The session owns no nodes, so losing it only means that
+// everything is read again. The library could resume a session and set its watches again, but it
+// then sends the last zxid that it has seen by that time, which may be later than the data it had
+// read (version 1.0.4, a data race); changes in between would never be reported.
 func (s *Source) Run(ctx context.Context, sink Sink) {
 	for ctx.Err() == nil {
-		s.connection(ctx, sink)
+		s.runConnection(ctx, sink)
 		select {
-		case <-time.After(s.again.NextBackOff()):
+		case <-time.After(s.retryBackoff.NextBackOff()):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// once dials a single connection.
-func once() zk.Dialer {
+// singleUseDialer returns a dialer that establishes one connection and fails from then on.
+func singleUseDialer() zk.Dialer {
 	var used atomic.Bool
 	return func(network, address string, timeout time.Duration) (net.Conn, error) {
 		if used.Load() {
-			return nil, errOnce
+			return nil, errDialerUsed
 		}
 		c, err := net.DialTimeout(network, address, timeout)
 		if err == nil {
@@ -112,22 +110,23 @@
 	}
 }
 
-var errOnce = errors.New("this session has had its connection")
+var errDialerUsed = errors.New("the session does not reconnect")
 
-// connection is one connection to the service, until it breaks or ctx ends.
-func (s *Source) connection(ctx context.Context, sink Sink) {
+// runConnection opens a connection to the service and follows the path until the connection is lost
+// or ctx ends.
+func (s *Source) runConnection(ctx context.Context, sink Sink) {
 	s.events.take()
-	conn, _, err := zk.Connect(s.cfg.Servers, s.cfg.Session, zk.WithLogInfo(false), zk.WithLogger(quiet{}),
-		zk.WithEventCallback(s.events.add), zk.WithMaxBufferSize(maxAnswer), zk.WithDialer(once()))
+	conn, _, err := zk.Connect(s.cfg.Servers, s.cfg.Session, zk.WithLogInfo(false), zk.WithLogger(discardLogger{}),
+		zk.WithEventCallback(s.events.add), zk.WithMaxBufferSize(maxResponseBytes), zk.WithDialer(singleUseDialer()))
 	if err != nil {
 		s.fail(sink, fmt.Errorf("servers %v: %w", s.cfg.Servers, err))
 		return
 	}
-	answers := make(chan answer, s.cfg.Parallel)
+	results := make(chan readResult, s.cfg.Parallel)
 	defer func() {
-		conn.Close() // which ends the reads that are out
-		for ; s.out > 0; s.out-- {
-			<-answers
+		conn.Close() // ends the reads in flight
+		for ; s.inFlight > 0; s.inFlight-- {
+			<-results
 		}
 	}()
 	resync := time.NewTicker(s.cfg.Resync)
@@ -136,65 +135,65 @@
 	s.queue = nil
 	clear(s.queued)
 	clear(s.watched)
-	s.all()
+	s.enqueueAll()
 	for {
-		for len(s.queue) > 0 && s.out < s.cfg.Parallel && retry == nil {
-			s.read(conn, answers)
+		for len(s.queue) > 0 && s.inFlight < s.cfg.Parallel && retry == nil {
+			s.startRead(conn, results)
 		}
 		select {
-		case a := <-answers:
-			s.out--
-			if !s.take(a, sink) {
-				retry = time.After(s.again.NextBackOff())
+		case a := <-results:
+			s.inFlight--
+			if !s.handleResult(a, sink) {
+				retry = time.After(s.retryBackoff.NextBackOff())
 			}
-		case <-s.events.more:
+		case <-s.events.ready:
 			for _, ev := range s.events.take() {
-				if !s.event(ev, sink) {
+				if !s.handleEvent(ev, sink) {
 					return
 				}
 			}
 		case <-retry:
 			retry = nil
 		case <-resync.C:
-			s.all()
+			s.enqueueAll()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// ask has a path read, once however often it is asked for meanwhile.
-func (s *Source) ask(path string) {
+// enqueue schedules a read of a path unless one is already queued.
+func (s *Source) enqueue(path string) {
 	if !s.queued[path] {
 		s.queued[path] = true
 		s.queue = append(s.queue, path)
 	}
 }
 
-// all has everything read again.
-func (s *Source) all() {
-	s.ask(s.cfg.Path)
+// enqueueAll schedules reads of the parent and of all known nodes.
+func (s *Source) enqueueAll() {
+	s.enqueue(s.cfg.Path)
 	for _, name := range s.tracker.Names() {
-		s.ask(path.Join(s.cfg.Path, name))
+		s.enqueue(path.Join(s.cfg.Path, name))
 	}
 }
 
-// read starts the read of the first path that waits. A watch is set with the read
-// that it guards; where one stands, another would only pile up.
-func (s *Source) read(conn *zk.Conn, answers chan<- answer) {
-	a := answer{path: s.queue[0], watch: !s.watched[s.queue[0]]}
+// startRead starts the read of the first queued path. The read also sets a watch unless the path
+// has one already; the library would keep every additional watch until the event.
+func (s *Source) startRead(conn *zk.Conn, results chan<- readResult) {
+	a := readResult{path: s.queue[0], watch: !s.watched[s.queue[0]]}
 	s.queue = s.queue[1:]
-	// An event that comes while the read is out must lead to another one.
+	// An event that arrives while this read is in flight must cause another read.
 	delete(s.queued, a.path)
 	s.watched[a.path] = true
-	s.out++
+	s.inFlight++
 	go func() {
-		a.fill(conn, s.cfg.Path)
-		answers <- a
+		a.fetch(conn, s.cfg.Path)
+		results <- a
 	}()
 }
 
-func (a *answer) fill(conn *zk.Conn, parent string) {
+func (a *readResult) fetch(conn *zk.Conn, parent string) {
 	var stat *zk.Stat
 	switch {
 	case a.path == parent && a.watch:
@@ -210,65 +209,69 @@
 		a.stat = *stat
 	}
 	if a.path == parent && a.watch && errors.Is(a.err, zk.ErrNoNode) {
-		// The parent may come: that is watched in a way of its own.
-		var there bool
+		// A missing parent may be created later; only an exists watch reports that.
+		var exists bool
 		var err error
-		if there, _, _, err = conn.ExistsW(parent); err != nil {
+		if exists, _, _, err = conn.ExistsW(parent); err != nil {
 			a.err = err
-		} else if there {
-			a.err = errCame
+		} else if exists {
+			a.err = errParentCreated
 		}
 	}
 }
 
-// errCame is a parent that was made between two reads.
-var errCame = errors.New("the parent has come meanwhile")
+// errParentCreated reports that the parent was created between the read of its children and the
+// check for its existence.
+var errParentCreated = errors.New("parent node was created during the read")
 
-// take takes what a read has found; false if it has to be tried again later.
-func (s *Source) take(a answer, sink Sink) bool {
+// handleResult processes the result of a read. It returns false if reads have to pause before a
+// retry.
+func (s *Source) handleResult(a readResult, sink Sink) bool {
 	now := time.Now()
-	var tell []membership.Entry
+	var changes []membership.Entry
 	var err error
 	isParent := a.path == s.cfg.Path
 	switch {
 	case a.err == nil && isParent:
-		var read []string
-		read, tell = s.tracker.List(now, a.names, a.stat.Pzxid)
-		for _, name := range read {
-			s.ask(path.Join(s.cfg.Path, name))
+		var toRead []string
+		toRead, changes = s.tracker.List(now, a.names, a.stat.Pzxid)
+		for _, name := range toRead {
+			s.enqueue(path.Join(s.cfg.Path, name))
 		}
 	case a.err == nil:
-		tell, err = s.tracker.Node(now, path.Base(a.path), a.data, zkrule.Stat{Czxid: a.stat.Czxid, Mzxid: a.stat.Mzxid, Ctime: a.stat.Ctime})
+		changes, err = s.tracker.Node(now, path.Base(a.path), a.data, zkrule.Stat{Czxid: a.stat.Czxid, Mzxid: a.stat.Mzxid, Ctime: a.stat.Ctime})
 		if err != nil {
 			sink.Warn(err)
 		}
 	case errors.Is(a.err, zk.ErrNoNode) && isParent:
-		tell = s.tracker.NoParent(now)
+		changes = s.tracker.ParentRemoved(now)
 	case errors.Is(a.err, zk.ErrNoNode):
-		delete(s.watched, a.path) // no watch was set on what is not there
-		tell = s.tracker.Vanished(now, path.Base(a.path))
+		delete(s.watched, a.path) // the service sets no watch on a node that does not exist
+		changes = s.tracker.NodeRemoved(now, path.Base(a.path))
 	default:
 		if a.watch {
 			delete(s.watched, a.path)
 		}
-		s.ask(a.path)
-		if errors.Is(a.err, errCame) {
+		s.enqueue(a.path)
+		if errors.Is(a.err, errParentCreated) {
 			return true
 		}
 		s.fail(sink, fmt.Errorf("read %s: %w", a.path, a.err))
 		return false
 	}
-	s.again.Reset()
-	s.tell(tell, sink)
+	s.retryBackoff.Reset()
+	s.report(changes, sink)
 	return true
 }
 
-// tell reports. The first report waits until everything has been read.
-func (s *Source) tell(entries []membership.Entry, sink Sink) {
-	if s.told {
-		if len(entries) > 0 || s.ill {
+// report sends membership changes to the sink. The first report is held back until everything has
+// been read. After a failure a report is sent even without changes, to show that the service
+// answers again.
+func (s *Source) report(entries []membership.Entry, sink Sink) {
+	if s.initialReported {
+		if len(entries) > 0 || s.failing {
 			sink.Report(membership.Report{Entries: entries})
-			s.ill = false
+			s.failing = false
 		}
 		return
 	}
@@ -277,31 +280,31 @@
 		if e.Name != "" {
 			key = e.Name
 		}
-		s.first[key] = e
+		s.initial[key] = e
 	}
-	if s.out > 0 || len(s.queue) > 0 {
+	if s.inFlight > 0 || len(s.queue) > 0 {
 		return
 	}
 	report := membership.Report{Whole: true, Final: true}
-	for _, e := range s.first {
+	for _, e := range s.initial {
 		report.Entries = append(report.Entries, e)
 	}
-	s.told, s.first, s.ill = true, nil, false
+	s.initialReported, s.initial, s.failing = true, nil, false
 	sink.Report(report)
 }
 
 func (s *Source) fail(sink Sink, err error) {
-	s.ill = true
+	s.failing = true
 	sink.Fail(err)
 }
 
-// event takes what the service or the library tells; false ends the connection. A
-// watch says only that something is to be read.
-func (s *Source) event(ev zk.Event, sink Sink) bool {
+// handleEvent processes an event of the service or the library. A watch event only schedules a read
+// of its path. handleEvent returns false if the connection has to be closed.
+func (s *Source) handleEvent(ev zk.Event, sink Sink) bool {
 	switch {
 	case ev.Type != zk.EventSession && ev.Path != "":
 		delete(s.watched, ev.Path)
-		s.ask(ev.Path)
+		s.enqueue(ev.Path)
 	case ev.State == zk.StateDisconnected, ev.State == zk.StateExpired:
 		s.fail(sink, errDisconnected)
 		return false
@@ -311,24 +314,24 @@
 
 var errDisconnected = errors.New("connection to the service lost")
 
-// events is a queue that the library's goroutine never has to wait for.
-type events struct {
-	mu   sync.Mutex
-	list []zk.Event
-	more chan struct{}
+// eventQueue is an unbounded queue of events, so that the library's goroutine never blocks on it.
+type eventQueue struct {
+	mu    sync.Mutex
+	list  []zk.Event
+	ready chan struct{}
 }
 
-func (e *events) add(ev zk.Event) {
+func (e *eventQueue) add(ev zk.Event) {
 	e.mu.Lock()
 	e.list = append(e.list, ev)
 	e.mu.Unlock()
 	select {
-	case e.more <- struct{}{}:
+	case e.ready <- struct{}{}:
 	default:
 	}
 }
 
-func (e *events) take() []zk.Event {
+func (e *eventQueue) take() []zk.Event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	list := e.list
@@ -336,7 +339,8 @@
 	return list
 }
 
-// quiet drops the library's log; what matters comes as an event or an error.
-type quiet struct{}
+// discardLogger discards the library's log messages; everything of importance also arrives as an
+// event or an error.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/discovery/zksource/source_test.go
+++ b/discovery/zksource/source_test.go
@@ -18,8 +18,8 @@
 	"lichenshelf/internal/standin/zk"
 )
 
-// heard keeps the set that the reports lead to, and all that was told.
-type heard struct {
+// recorder is a sink that records all calls and the set of entries that the reports add up to.
+type recorder struct {
 	mu      sync.Mutex
 	set     map[string]membership.Entry
 	reports []membership.Report
@@ -27,7 +27,7 @@
 	warns   []error
 }
 
-func (h *heard) Report(r membership.Report) {
+func (h *recorder) Report(r membership.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports = append(h.reports, r)
@@ -42,50 +42,50 @@
 	}
 }
 
-func (h *heard) Fail(err error) {
+func (h *recorder) Fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.fails = append(h.fails, err)
 }
 
-func (h *heard) Warn(err error) {
+func (h *recorder) Warn(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.warns = append(h.warns, err)
 }
 
-func (h *heard) count() (reports, fails, warns int) {
+func (h *recorder) count() (reports, fails, warns int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.reports), len(h.fails), len(h.warns)
 }
 
-func (h *heard) names() []string {
+func (h *recorder) names() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(maps.Keys(h.set))
 }
 
-func (h *heard) becomes(t *testing.T, names ...string) {
+func (h *recorder) waitForNames(t *testing.T, names ...string) {
 	t.Helper()
 	slices.Sort(names)
 	require.Eventually(t, func() bool { return slices.Equal(names, h.names()) }, 20*time.Second, time.Millisecond, "want %v", names)
 }
 
-func quick(s *zk.Server) Config {
+func testConfig(s *zk.Server) Config {
 	return Config{Servers: []string{s.Addr()}, Path: "/w", Session: 2 * time.Second, Resync: time.Hour, Within: 10 * time.Second,
 		Format: zkrule.JSON, Parallel: 4}
 }
 
-func standin(t *testing.T) *zk.Server {
+func startServer(t *testing.T) *zk.Server {
 	s, err := zk.New()
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	return s
 }
 
-func follow(t *testing.T, c Config) *heard {
-	h := &heard{}
+func startSource(t *testing.T, c Config) *recorder {
+	h := &recorder{}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); New(c, membership.Entry{Weight: 1}).Run(ctx, h) }()
@@ -93,136 +93,137 @@
 	return h
 }
 
-func at(port int) string { return fmt.Sprintf(`{"addr":"h:%d","started_at_ms":5}`, port) }
+func workerData(port int) string { return fmt.Sprintf(`{"addr":"h:%d","started_at_ms":5}`, port) }
 
 func TestSourceFollowsNodes(t *testing.T) {
-	s := standin(t)
+	s := startServer(t)
 	s.Create("/w", "", 0)
-	s.Create("/w/a", at(1), 1)
-	s.Create("/w/b", at(2), 2)
-	h := follow(t, quick(s))
-	h.becomes(t, "a", "b")
+	s.Create("/w/a", workerData(1), 1)
+	s.Create("/w/b", workerData(2), 2)
+	h := startSource(t, testConfig(s))
+	h.waitForNames(t, "a", "b")
 	require.True(t, h.reports[0].Whole)
 	require.Len(t, h.reports, 1)
 	n := s.Requests()
-	s.Create("/w/c", at(3), 3)
-	h.becomes(t, "a", "b", "c")
+	s.Create("/w/c", workerData(3), 3)
+	h.waitForNames(t, "a", "b", "c")
 	require.LessOrEqual(t, s.Requests()-n, 2, "the list and the new node, nothing else")
 	s.Set("/w/c", `{"addr":"h:`)
 	require.Eventually(t, func() bool { _, _, warns := h.count(); return warns == 1 }, 20*time.Second, time.Millisecond)
-	h.becomes(t, "a", "b", "c")
+	h.waitForNames(t, "a", "b", "c")
 	s.Set("/w/c", `{"addr":"h:4"}`)
 	require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.set["c"].Addr == "h:4" }, 20*time.Second, time.Millisecond)
 	s.Expire(1, 3)
-	h.becomes(t, "b")
+	h.waitForNames(t, "b")
 	s.Expire(2) // all sessions at once
-	h.becomes(t)
-	s.Create("/w/b", at(2), 9)
-	h.becomes(t, "b")
+	h.waitForNames(t)
+	s.Create("/w/b", workerData(2), 9)
+	h.waitForNames(t, "b")
 	_, fails, _ := h.count()
 	require.Zero(t, fails)
 }
 
-func TestWatchesThatFireLateOrTwice(t *testing.T) {
-	s := standin(t)
+func TestLateAndDuplicateWatchEvents(t *testing.T) {
+	s := startServer(t)
 	s.Create("/w", "", 0)
-	h := follow(t, quick(s))
-	h.becomes(t)
+	h := startSource(t, testConfig(s))
+	h.waitForNames(t)
 	require.Eventually(t, func() bool { n, _, _ := h.count(); return n == 1 }, 20*time.Second, time.Millisecond)
 	for name, d := range map[string]zk.Delivery{"twice": {Twice: true}, "late": {After: 30 * time.Millisecond}, "both": {Twice: true, After: 5 * time.Millisecond}} {
 		s.Script(func(zkwire.WatcherEvent) zk.Delivery { return d })
 		for i := range 20 {
-			s.Create("/w/"+name, at(1), 1)
+			s.Create("/w/"+name, workerData(1), 1)
 			if i%2 == 0 {
-				h.becomes(t, name)
+				h.waitForNames(t, name)
 			}
 			s.Expire(1)
 			if i%3 == 0 {
-				h.becomes(t)
+				h.waitForNames(t)
 			}
 		}
-		h.becomes(t)
+		h.waitForNames(t)
 	}
 }
 
-func TestWatchesThatNeverFire(t *testing.T) {
-	s := standin(t)
+func TestLostWatchEventsAreCoveredByResync(t *testing.T) {
+	s := startServer(t)
 	s.Create("/w", "", 0)
-	s.Create("/w/a", at(1), 1)
-	c := quick(s)
+	s.Create("/w/a", workerData(1), 1)
+	c := testConfig(s)
 	c.Resync = 50 * time.Millisecond
-	h := follow(t, c)
-	h.becomes(t, "a")
-	s.Script(func(zkwire.WatcherEvent) zk.Delivery { return zk.Delivery{Swallow: true} })
+	h := startSource(t, c)
+	h.waitForNames(t, "a")
+	s.Script(func(zkwire.WatcherEvent) zk.Delivery { return zk.Delivery{Drop: true} })
 	s.Expire(1)
-	h.becomes(t)
-	s.Create("/w/b", at(2), 2)
-	h.becomes(t, "b")
+	h.waitForNames(t)
+	s.Create("/w/b", workerData(2), 2)
+	h.waitForNames(t, "b")
 	s.Set("/w/b", `{"addr":"h:2","draining":true}`)
 	require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.set["b"].Word == membership.Draining }, 20*time.Second, time.Millisecond)
 }
 
-// Losing the connection is no word about any worker; losing our session means
-// reading all again, and what has vanished meanwhile is told.
-func TestTheServiceIsCutOff(t *testing.T) {
-	s := standin(t)
+// A lost connection must not change the set of workers. After an expired session everything is read
+// again, and removals that happened meanwhile are reported.
+func TestLostConnectionAndExpiredSession(t *testing.T) {
+	s := startServer(t)
 	s.Create("/w", "", 0)
 	for i := range 5 {
-		s.Create(fmt.Sprint("/w/n", i), at(i+1), int64(i+1))
+		s.Create(fmt.Sprint("/w/n", i), workerData(i+1), int64(i+1))
 	}
-	h := follow(t, quick(s))
+	h := startSource(t, testConfig(s))
 	all := []string{"n0", "n1", "n2", "n3", "n4"}
-	h.becomes(t, all...)
-	for range 3 { // connections break, the session lives on
+	h.waitForNames(t, all...)
+	for range 3 { // connections break, sessions remain
 		_, was, _ := h.count()
 		s.Cut()
 		require.Eventually(t, func() bool { _, fails, _ := h.count(); return fails > was }, 20*time.Second, time.Millisecond)
 		reports, _, _ := h.count()
 		require.Equal(t, all, h.names())
-		require.Eventually(t, func() bool { n, _, _ := h.count(); return n > reports }, 20*time.Second, time.Millisecond, "it is told when it is well again")
+		require.Eventually(t, func() bool { n, _, _ := h.count(); return n > reports }, 20*time.Second, time.Millisecond, "a report follows the recovery, even without changes")
 	}
 	s.Refuse(true) // cut off for longer than the session
 	s.ExpireClients()
 	s.Expire(1, 2)
 	s.Create("/w/n0", `{"addr":"h:1","started_at_ms":9}`, 1) // restarted meanwhile
-	s.Create("/w/n9", at(9), 9)
+	s.Create("/w/n9", workerData(9), 9)
 	require.Equal(t, all, h.names())
 	s.Refuse(false)
-	h.becomes(t, "n0", "n2", "n3", "n4", "n9")
-	// The answers of reads that are out together may come in any order: n9's may come before that of n0's new data.
+	h.waitForNames(t, "n0", "n2", "n3", "n4", "n9")
+	// Concurrent reads may complete in any order: that of n9 may complete before that of n0's new
+	// data.
 	require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.set["n0"].Since == 9e6 }, 20*time.Second, time.Millisecond)
-	h.becomes(t, "n0", "n2", "n3", "n4", "n9")
-	s.Expire(3) // the watches stand again
-	h.becomes(t, "n0", "n3", "n4", "n9")
+	h.waitForNames(t, "n0", "n2", "n3", "n4", "n9")
+	s.Expire(3) // the watches are set again
+	h.waitForNames(t, "n0", "n3", "n4", "n9")
 }
 
-func TestAParentThatComesAndGoes(t *testing.T) {
-	s := standin(t)
-	h := follow(t, quick(s))
-	require.Eventually(t, func() bool { n, _, _ := h.count(); return n == 1 }, 20*time.Second, time.Millisecond, "an empty list is a list")
+func TestParentCreatedAndDeleted(t *testing.T) {
+	s := startServer(t)
+	h := startSource(t, testConfig(s))
+	require.Eventually(t, func() bool { n, _, _ := h.count(); return n == 1 }, 20*time.Second, time.Millisecond, "an empty list is reported")
 	s.Create("/w", "", 0)
-	s.Create("/w/a", at(1), 1)
-	h.becomes(t, "a")
+	s.Create("/w/a", workerData(1), 1)
+	h.waitForNames(t, "a")
 	s.Expire(1)
 	s.Delete("/w")
-	h.becomes(t)
+	h.waitForNames(t)
 	s.Create("/w", "", 0)
-	s.Create("/w/b", at(1), 1)
-	h.becomes(t, "b")
+	s.Create("/w/b", workerData(1), 1)
+	h.waitForNames(t, "b")
 }
 
-// Two hundred nodes that come and go at random, while events are late, doubled
-// and lost and connections break: in the end the set is what is there.
-func TestStorm(t *testing.T) {
-	s := standin(t)
+// Two hundred nodes are created and deleted while watch events are delayed, duplicated and lost and
+// connections break: in the end the reported set must match the existing nodes.
+func TestRandomChangesUnderFaultsConverge(t *testing.T) {
+	s := startServer(t)
 	s.Create("/w", "", 0)
-	c := quick(s)
+	c := testConfig(s)
 	c.Resync = 100 * time.Millisecond
-	h := follow(t, c)
+	h := startSource(t, c)
 	var n atomic.Int64
 	s.Script(func(zkwire.WatcherEvent) zk.Delivery {
 		i := n.Add(1)
-		return zk.Delivery{Swallow: i%7 == 0, Twice: i%3 == 0, After: time.Duration(i%5) * time.Millisecond}
+		return zk.Delivery{Drop: i%7 == 0, Twice: i%3 == 0, After: time.Duration(i%5) * time.Millisecond}
 	})
 	there := map[string]bool{}
 	for i := range 400 {
@@ -230,7 +231,7 @@
 		if there[name] {
 			s.Delete("/w/" + name)
 		} else {
-			s.Create("/w/"+name, at(1+i%200), int64(i+1))
+			s.Create("/w/"+name, workerData(1+i%200), int64(i+1))
 		}
 		there[name] = !there[name]
 		if i%100 == 50 {
@@ -243,5 +244,5 @@
 			want = append(want, name)
 		}
 	}
-	h.becomes(t, want...)
+	h.waitForNames(t, want...)
 }
--- a/internal/standin/zk/server.go
+++ b/internal/standin/zk/server.go
@@ -1,7 +1,6 @@
-// Package zk is a stand-in coordination server on loopback. It speaks the part of
-// the ZooKeeper client protocol that readers of ephemeral nodes use, keeps its
-// nodes in memory, expires sessions on command, and delays, doubles and swallows
-// watch events as a test tells it to.
+// Package zk is a stand-in coordination server on loopback. It implements the part of the ZooKeeper
+// client protocol that readers of ephemeral nodes use and keeps its nodes in memory. A test can
+// expire sessions, and delay, duplicate and drop watch events.
 package zk
 
 import (
@@ -16,11 +15,12 @@
 	"lichenshelf/discovery/zkwire"
 )
 
-// Delivery is what becomes of a watch event. The zero value sends it once, at once.
+// Delivery defines the delivery of a watch event. The zero value sends the event once and without
+// delay.
 type Delivery struct {
-	Swallow bool
-	Twice   bool
-	After   time.Duration
+	Drop  bool
+	Twice bool          // one more event is sent without delay
+	After time.Duration // delay before the event is sent
 }
 
 // Server is a running stand-in.
@@ -45,12 +45,12 @@
 	stat zkwire.Stat
 }
 
-// client is a session of a connected program.
+// client is the session of a client.
 type client struct {
 	id       int64
 	password []byte
 	timeout  int32
-	conn     *conn // nil while it is away
+	conn     *conn // nil while the client is disconnected
 }
 
 type conn struct {
@@ -59,15 +59,15 @@
 	watches map[kind]map[string]bool
 }
 
-// kind is a kind of watch.
+// kind is the type of a watch.
 type kind int
 
 const (
-	onData kind = iota // also for nodes that are not there yet
+	onData kind = iota // also for nodes that do not exist yet
 	onChildren
 )
 
-// New starts a server at a free port of 127.0.0.1.
+// New starts a server on a free port of 127.0.0.1.
 func New() (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,10 +79,10 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens, as host:port.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it and waits until it has ended.
+// Close stops the server and waits until its goroutines have ended.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -92,7 +92,7 @@
 	s.wg.Wait()
 }
 
-// Cut breaks all connections; sessions stay.
+// Cut closes all connections; sessions remain.
 func (s *Server) Cut() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,28 +101,29 @@
 	}
 }
 
-// Refuse has new connections closed at once, or taken again.
+// Refuse sets whether new connections are closed at once.
 func (s *Server) Refuse(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusing = refuse
 }
 
-// Script has f say what becomes of each watch event; nil makes it honest again.
+// Script sets the function that decides the delivery of each watch event. With nil, every event is
+// sent once and without delay again.
 func (s *Server) Script(f func(zkwire.WatcherEvent) Delivery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = f
 }
 
-// Requests is how many calls were answered, pings aside.
+// Requests returns the number of requests received so far, except pings.
 func (s *Server) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// ExpireClients ends the sessions of all programs that are or were connected.
+// ExpireClients expires the sessions of all clients, connected or not, and closes all connections.
 func (s *Server) ExpireClients() {
 	s.mu.Lock()
 	clear(s.clients)
@@ -130,7 +131,8 @@
 	s.Cut()
 }
 
-// Create makes a node. An owner other than 0 makes it go with that owner's Expire.
+// Create creates a node. A node with an owner other than 0 is removed when Expire is called with
+// that owner.
 func (s *Server) Create(p, data string, owner int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,8 +141,8 @@
 	s.nodes[p] = &node{data: []byte(data), stat: zkwire.Stat{Czxid: s.zxid, Mzxid: s.zxid, Pzxid: s.zxid, Ctime: now, Mtime: now,
 		EphemeralOwner: owner, DataLength: int32(len(data))}}
 	s.parentChanged(p)
-	s.fire(onData, zkwire.EventCreated, p)
-	s.fire(onChildren, zkwire.EventChildrenChanged, path.Dir(p))
+	s.triggerWatches(onData, zkwire.EventCreated, p)
+	s.triggerWatches(onChildren, zkwire.EventChildrenChanged, path.Dir(p))
 }
 
 // Set replaces a node's data.
@@ -152,7 +154,7 @@
 	n.data = []byte(data)
 	n.stat.Mzxid, n.stat.Mtime, n.stat.DataLength = s.zxid, time.Now().UnixMilli(), int32(len(data))
 	n.stat.Version++
-	s.fire(onData, zkwire.EventDataChanged, p)
+	s.triggerWatches(onData, zkwire.EventDataChanged, p)
 }
 
 // Delete removes a node.
@@ -162,7 +164,7 @@
 	s.remove(p)
 }
 
-// Expire ends the session of owners: their nodes vanish.
+// Expire ends the sessions of owners, which removes their nodes.
 func (s *Server) Expire(owners ...int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,9 +179,9 @@
 	s.zxid++
 	delete(s.nodes, p)
 	s.parentChanged(p)
-	s.fire(onData, zkwire.EventDeleted, p)
-	s.fire(onChildren, zkwire.EventDeleted, p)
-	s.fire(onChildren, zkwire.EventChildrenChanged, path.Dir(p))
+	s.triggerWatches(onData, zkwire.EventDeleted, p)
+	s.triggerWatches(onChildren, zkwire.EventDeleted, p)
+	s.triggerWatches(onChildren, zkwire.EventChildrenChanged, path.Dir(p))
 }
 
 func (s *Server) parentChanged(p string) {
@@ -189,8 +191,9 @@
 	}
 }
 
-// fire tells all watches of a kind on a path, once each.
-func (s *Server) fire(k kind, t zkwire.EventType, p string) {
+// triggerWatches sends an event to all watches of a kind on a path and removes the watches, since
+// each one fires once.
+func (s *Server) triggerWatches(k kind, t zkwire.EventType, p string) {
 	for _, c := range s.clients {
 		if c.conn != nil && c.conn.watches[k][p] {
 			delete(c.conn.watches[k], p)
@@ -207,7 +210,7 @@
 	}
 	frame := zkwire.Append(nil, &zkwire.ReplyHeader{Xid: zkwire.XidNotification, Zxid: -1}, &ev)
 	switch {
-	case d.Swallow:
+	case d.Drop:
 		return
 	case d.After > 0:
 		time.AfterFunc(d.After, func() { c.send(frame) })
@@ -219,7 +222,8 @@
 	}
 }
 
-// send queues a frame; a client that does not read loses its connection.
+// send queues a frame. If the queue is full because the client does not read, it closes the
+// connection.
 func (c *conn) send(frame []byte) {
 	select {
 	case c.out <- frame:
@@ -246,7 +250,7 @@
 		s.mu.Unlock()
 		go func() {
 			defer s.wg.Done()
-			s.converse(&conn{Conn: c, out: make(chan []byte, 1<<14), watches: map[kind]map[string]bool{onData: {}, onChildren: {}}})
+			s.serveConn(&conn{Conn: c, out: make(chan []byte, 1<<14), watches: map[kind]map[string]bool{onData: {}, onChildren: {}}})
 			_ = c.Close()
 			s.mu.Lock()
 			delete(s.conns, c)
@@ -255,17 +259,17 @@
 	}
 }
 
-// converse serves one connection.
-func (s *Server) converse(c *conn) {
+// serveConn serves one connection.
+func (s *Server) serveConn(c *conn) {
 	body, err := zkwire.ReadFrame(c, zkwire.MaxFrame)
 	if err != nil {
 		return
 	}
-	var hello zkwire.ConnectRequest
-	if zkwire.DecodeAll(body, &hello) != nil {
+	var request zkwire.ConnectRequest
+	if zkwire.DecodeAll(body, &request) != nil {
 		return
 	}
-	me, ok := s.connect(c, &hello)
+	session, ok := s.connect(c, &request)
 	if !ok {
 		return
 	}
@@ -274,8 +278,8 @@
 		close(done)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if me.conn == c {
-			me.conn = nil
+		if session.conn == c {
+			session.conn = nil
 		}
 	}()
 	go func() {
@@ -292,33 +296,34 @@
 	}()
 	for {
 		body, err := zkwire.ReadFrame(c, zkwire.MaxFrame)
-		if err != nil || !s.serve(c, me, body) {
+		if err != nil || !s.serve(c, session, body) {
 			return
 		}
 	}
 }
 
-// connect opens a session or takes one up; one that has expired is told so.
-func (s *Server) connect(c *conn, hello *zkwire.ConnectRequest) (*client, bool) {
+// connect opens a session or resumes one. It returns false, after a response that says so, if the
+// session has expired.
+func (s *Server) connect(c *conn, request *zkwire.ConnectRequest) (*client, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	me := s.clients[hello.SessionID]
-	if hello.SessionID != 0 && me == nil {
+	session := s.clients[request.SessionID]
+	if request.SessionID != 0 && session == nil {
 		_, _ = c.Write(zkwire.Append(nil, &zkwire.ConnectResponse{Password: make([]byte, 16)}))
 		return nil, false
 	}
-	if me == nil {
+	if session == nil {
 		s.sessions++
-		me = &client{id: s.sessions, password: make([]byte, 16), timeout: hello.TimeoutMs}
-		s.clients[me.id] = me
+		session = &client{id: s.sessions, password: make([]byte, 16), timeout: request.TimeoutMs}
+		s.clients[session.id] = session
 	}
-	me.conn = c
-	c.send(zkwire.Append(nil, &zkwire.ConnectResponse{TimeoutMs: me.timeout, SessionID: me.id, Password: me.password}))
-	return me, true
+	session.conn = c
+	c.send(zkwire.Append(nil, &zkwire.ConnectResponse{TimeoutMs: session.timeout, SessionID: session.id, Password: session.password}))
+	return session, true
 }
 
-// serve answers one call; false ends the connection.
-func (s *Server) serve(c *conn, me *client, body []byte) bool {
+// serve answers one request. It returns false if the connection has to be closed.
+func (s *Server) serve(c *conn, session *client, body []byte) bool {
 	var h zkwire.RequestHeader
 	body, err := zkwire.Decode(body, &h)
 	if err != nil {
@@ -344,9 +349,9 @@
 		if zkwire.DecodeAll(body, &q) != nil {
 			return false
 		}
-		answer, reply.Err = s.look(c, h.Op, &q)
+		answer, reply.Err = s.read(c, h.Op, &q)
 	case zkwire.OpCloseSession:
-		delete(s.clients, me.id)
+		delete(s.clients, session.id)
 		c.send(zkwire.Append(nil, &reply))
 		return false
 	default:
@@ -360,7 +365,7 @@
 	return true
 }
 
-func (s *Server) look(c *conn, op zkwire.Op, q *zkwire.PathWatch) (zkwire.Record, zkwire.Code) {
+func (s *Server) read(c *conn, op zkwire.Op, q *zkwire.PathWatch) (zkwire.Record, zkwire.Code) {
 	n := s.nodes[q.Path]
 	if n == nil {
 		if q.Watch && op == zkwire.OpExists {
@@ -391,7 +396,8 @@
 	return &zkwire.ChildrenStat{Names: names, Stat: n.stat}, zkwire.OK
 }
 
-// setWatches sets watches again, and tells at once what was missed meanwhile.
+// setWatches sets watches again after a reconnection, and sends events at once for changes that the
+// client has missed.
 func (s *Server) setWatches(c *conn, q *zkwire.SetWatches) {
 	for _, p := range q.Data {
 		switch n := s.nodes[p]; {
