--- a/discovery/zkwire/codec.go
+++ b/discovery/zkwire/codec.go
@@ -1,10 +1,10 @@
-// Package zkwire is the ZooKeeper client protocol's records and frames, as the
-// public description of the protocol (zookeeper.jute of the Apache ZooKeeper
-// documentation, version 3.6 and later) gives them. It is a codec and nothing
-// else: it does no I/O but through the reader that ReadFrame is handed.
+// Package zkwire encodes and decodes the records and frames of the ZooKeeper client protocol, as
+// the public description of the protocol (zookeeper.jute of the Apache ZooKeeper documentation,
+// version 3.6 and later) specifies them. It does no I/O except through the reader passed to
+// ReadFrame.
 //
-// A message is a frame, four bytes of length and then so many bytes. Numbers are
-// big-endian; strings, buffers and lists have their length before them, -1 for none.
+// A message is a frame: four bytes that give a length, followed by that number of bytes. Numbers
+// are big-endian; strings, buffers and lists are preceded by their length, where -1 means null.
 package zkwire
 
 import (
@@ -14,20 +14,20 @@
 	"io"
 )
 
-// MaxFrame is the length of a frame that is read unless another bound is given,
-// in bytes: what ZooKeeper's jute.maxbuffer allows by default.
+// MaxFrame is the usual limit for the length of a frame, in bytes: the default of ZooKeeper's
+// jute.maxbuffer.
 const MaxFrame = 1<<20 - 1
 
-// The ways in which a message can't be read.
+// Errors for messages that can't be decoded.
 var (
 	ErrFrame = errors.New("frame length out of bounds")
-	ErrShort = errors.New("message ends too early")
-	ErrLong  = errors.New("message goes on after its end")
+	ErrShort = errors.New("message is truncated")
+	ErrLong  = errors.New("message has trailing bytes")
 	ErrSize  = errors.New("length of a field out of bounds")
 )
 
-// ReadFrame reads one frame of at most limit bytes. The announced length is
-// checked before anything is read or made room for.
+// ReadFrame reads one frame of at most limit bytes. The announced length is checked before the body
+// is read or memory is allocated for it.
 func ReadFrame(r io.Reader, limit int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -49,12 +49,12 @@
 
 // Record is one of the protocol's records.
 type Record interface {
-	// fields has the codec write or read every field, in order: one description
-	// serves both ways.
+	// fields passes every field to the codec, in order. The same method serves for encoding and
+	// decoding.
 	fields(c *codec)
 }
 
-// Append writes a frame that holds the records.
+// Append appends a frame that contains the records to a buffer, and returns it.
 func Append(to []byte, records ...Record) []byte {
 	at := len(to)
 	c := codec{buf: append(to, 0, 0, 0, 0)}
@@ -65,10 +65,9 @@
 	return c.buf
 }
 
-// Decode reads records from the start of a message's body and returns what is
-// left of it.
+// Decode decodes records from the start of a message's body and returns the rest of the body.
 func Decode(body []byte, records ...Record) (rest []byte, err error) {
-	c := codec{buf: body, read: true}
+	c := codec{buf: body, reading: true}
 	for _, r := range records {
 		if r.fields(&c); c.err != nil {
 			return nil, fmt.Errorf("%T: %w", r, c.err)
@@ -77,7 +76,7 @@
 	return c.buf, nil
 }
 
-// DecodeAll reads records that must fill the body.
+// DecodeAll decodes records that must fill the body; it returns ErrLong if bytes follow them.
 func DecodeAll(body []byte, records ...Record) error {
 	rest, err := Decode(body, records...)
 	if err == nil && len(rest) > 0 {
@@ -86,12 +85,12 @@
 	return err
 }
 
-// codec writes to the end of buf, or reads from its start. After an error it does
-// nothing more.
+// codec encodes fields at the end of buf, or decodes them from its start. After an error its
+// methods do nothing.
 type codec struct {
-	buf  []byte
-	read bool
-	err  error
+	buf     []byte
+	reading bool
+	err     error
 }
 
 func (c *codec) take(n int) []byte {
@@ -107,7 +106,7 @@
 }
 
 func (c *codec) int32(v *int32) {
-	if !c.read {
+	if !c.reading {
 		c.buf = binary.BigEndian.AppendUint32(c.buf, uint32(*v))
 	} else if b := c.take(4); b != nil {
 		*v = int32(binary.BigEndian.Uint32(b))
@@ -115,7 +114,7 @@
 }
 
 func (c *codec) int64(v *int64) {
-	if !c.read {
+	if !c.reading {
 		c.buf = binary.BigEndian.AppendUint64(c.buf, uint64(*v))
 	} else if b := c.take(8); b != nil {
 		*v = int64(binary.BigEndian.Uint64(b))
@@ -123,7 +122,7 @@
 }
 
 func (c *codec) bool(v *bool) {
-	if !c.read {
+	if !c.reading {
 		b := byte(0)
 		if *v {
 			b = 1
@@ -134,12 +133,12 @@
 	}
 }
 
-// size reads or writes a length; least is the size of one item, to refuse lengths
-// that the message can't hold before room is made for them.
-func (c *codec) size(n, least int) int {
+// size encodes or decodes a length. When decoding, it rejects a length that the rest of the message
+// can't contain at minItemSize bytes for each item, so that nothing is allocated for it.
+func (c *codec) size(n, minItemSize int) int {
 	v := int32(n)
 	c.int32(&v)
-	if c.read && c.err == nil && (v < -1 || int(v) > len(c.buf)/least) {
+	if c.reading && c.err == nil && (v < -1 || int(v) > len(c.buf)/minItemSize) {
 		c.err = fmt.Errorf("%w: %d", ErrSize, v)
 	}
 	if c.err != nil {
@@ -148,7 +147,7 @@
 	return int(v)
 }
 
-// buffer keeps nil and empty apart. What is read is a copy.
+// buffer distinguishes nil from empty. A decoded buffer is a copy.
 func (c *codec) buffer(v *[]byte) {
 	n := len(*v)
 	if *v == nil {
@@ -156,7 +155,7 @@
 	}
 	n = c.size(n, 1)
 	switch {
-	case !c.read:
+	case !c.reading:
 		c.buf = append(c.buf, *v...)
 	case c.err != nil:
 	case n < 0:
@@ -169,7 +168,7 @@
 func (c *codec) string(v *string) {
 	n := c.size(len(*v), 1)
 	switch {
-	case !c.read:
+	case !c.reading:
 		c.buf = append(c.buf, *v...)
 	case c.err == nil && n > 0:
 		*v = string(c.take(n))
@@ -178,10 +177,10 @@
 	}
 }
 
-// list reads or writes the items of a list; least is the smallest size of one.
-func list[T any](c *codec, v *[]T, least int, item func(*codec, *T)) {
-	n := c.size(len(*v), least)
-	if c.read {
+// list encodes or decodes the items of a list; minItemSize is the smallest encoded size of an item.
+func list[T any](c *codec, v *[]T, minItemSize int, item func(*codec, *T)) {
+	n := c.size(len(*v), minItemSize)
+	if c.reading {
 		*v = nil
 		if c.err != nil || n <= 0 {
 			return
--- a/discovery/zkwire/records.go
+++ b/discovery/zkwire/records.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Op is the kind of a request.
+// Op is the type of a request.
 type Op int32
 
-// The kinds of request.
+// The request types.
 const (
 	OpNotification Op = 0
 	OpCreate       Op = 1
@@ -26,7 +26,7 @@
 	OpError        Op = -1
 )
 
-// The xids that are no call's own.
+// Reserved transaction ids (xids), which no ordinary request uses.
 const (
 	XidNotification int32 = -1
 	XidPing         int32 = -2
@@ -34,10 +34,10 @@
 	XidSetWatches   int32 = -8
 )
 
-// Code is the outcome of a request; 0 is success.
+// Code is the result code of a request; 0 is success.
 type Code int32
 
-// The outcomes.
+// The result codes.
 const (
 	OK                        Code = 0
 	ErrSystem                 Code = -1
@@ -63,10 +63,10 @@
 // Error implements error.
 func (c Code) Error() string { return fmt.Sprintf("ZooKeeper code %d", int32(c)) }
 
-// EventType is what a watch tells.
+// EventType is the type of a watch event.
 type EventType int32
 
-// The kinds of watch event.
+// The types of watch events.
 const (
 	EventNone            EventType = -1
 	EventCreated         EventType = 1
@@ -75,24 +75,24 @@
 	EventChildrenChanged EventType = 4
 )
 
-// StateConnected is the state that events of a live session carry.
+// StateConnected is the state in watch events of a live session.
 const StateConnected int32 = 3
 
-// The flags of a create.
+// Flags of CreateRequest.
 const (
 	FlagEphemeral int32 = 1
 	FlagSequence  int32 = 2
 )
 
-// ConnectRequest opens a session, or takes up one that has an id already.
+// ConnectRequest opens a new session or resumes an existing one.
 type ConnectRequest struct {
 	ProtocolVersion int32
-	LastZxidSeen    int64 // a server that has seen less must not serve the session
+	LastZxidSeen    int64 // a server whose last zxid is lower must not serve the session
 	TimeoutMs       int32
 	SessionID       int64 // 0: a new session
 	Password        []byte
 	ReadOnly        bool
-	HasReadOnly     bool // older clients leave the field out
+	HasReadOnly     bool // false: the client is an older one, which omits ReadOnly
 }
 
 func (r *ConnectRequest) fields(c *codec) {
@@ -101,12 +101,12 @@
 	c.int32(&r.TimeoutMs)
 	c.int64(&r.SessionID)
 	c.buffer(&r.Password)
-	c.lastBool(&r.ReadOnly, &r.HasReadOnly)
+	c.optionalBool(&r.ReadOnly, &r.HasReadOnly)
 }
 
-// lastBool is a field that may be missing at the end.
-func (c *codec) lastBool(v, has *bool) {
-	if c.read {
+// optionalBool encodes or decodes a field that may be missing at the end of a record.
+func (c *codec) optionalBool(v, has *bool) {
+	if c.reading {
 		*has = c.err == nil && len(c.buf) > 0
 	}
 	if *has {
@@ -114,7 +114,7 @@
 	}
 }
 
-// ConnectResponse tells the session. A time-out of 0 says that it has expired.
+// ConnectResponse returns the session. A timeout of 0 means that the session has expired.
 type ConnectResponse struct {
 	ProtocolVersion int32
 	TimeoutMs       int32
@@ -129,10 +129,10 @@
 	c.int32(&r.TimeoutMs)
 	c.int64(&r.SessionID)
 	c.buffer(&r.Password)
-	c.lastBool(&r.ReadOnly, &r.HasReadOnly)
+	c.optionalBool(&r.ReadOnly, &r.HasReadOnly)
 }
 
-// RequestHeader stands before every request but the first.
+// RequestHeader precedes every request except ConnectRequest.
 type RequestHeader struct {
 	Xid int32
 	Op  Op
@@ -143,10 +143,10 @@
 	c.int32((*int32)(&r.Op))
 }
 
-// ReplyHeader stands before every reply but the first, and before watch events.
+// ReplyHeader precedes every reply except ConnectResponse, and every watch event.
 type ReplyHeader struct {
 	Xid  int32
-	Zxid int64 // the last change that the server has seen
+	Zxid int64 // the last transaction that the server has processed
 	Err  Code
 }
 
@@ -156,7 +156,7 @@
 	c.int32((*int32)(&r.Err))
 }
 
-// Stat is what a server tells of a node beside its data. Times are Unix milliseconds.
+// Stat is the metadata of a node. Times are Unix milliseconds.
 type Stat struct {
 	Czxid          int64
 	Mzxid          int64
@@ -185,7 +185,7 @@
 	c.int64(&r.Pzxid)
 }
 
-// ACL is one entry of a node's access list.
+// ACL is one entry of a node's access control list.
 type ACL struct {
 	Perms  int32
 	Scheme string
@@ -213,7 +213,7 @@
 	c.int32(&r.Flags)
 }
 
-// PathVersion is the body of OpDelete and OpCheck. Version -1 is any.
+// PathVersion is the body of OpDelete and OpCheck. Version -1 matches any version.
 type PathVersion struct {
 	Path    string
 	Version int32
@@ -291,8 +291,8 @@
 	r.Stat.fields(c)
 }
 
-// SetWatches sets watches again after a reconnection: what has changed since
-// RelativeZxid is told at once.
+// SetWatches sets watches again after a reconnection. The server sends events at once for changes
+// since RelativeZxid.
 type SetWatches struct {
 	RelativeZxid  int64
 	Data          []string
@@ -333,8 +333,8 @@
 	c.buffer(&r.Auth)
 }
 
-// MultiHeader stands before each operation and each result of an OpMulti; the
-// one that is Done ends them.
+// MultiHeader precedes each operation and each result of an OpMulti. A header with Done set marks
+// their end.
 type MultiHeader struct {
 	Op   Op
 	Done bool
@@ -349,11 +349,11 @@
 
 var multiEnd = MultiHeader{Op: OpError, Done: true, Err: -1}
 
-// MaxMulti bounds the operations of one OpMulti.
+// MaxMulti is the maximum number of operations of one OpMulti.
 const MaxMulti = 1024
 
-// MultiOp is one operation of a Multi: one of CreateRequest, SetDataRequest and
-// PathVersion, as Op says.
+// MultiOp is one operation of a Multi. Body is a CreateRequest, SetDataRequest or PathVersion,
+// depending on Op.
 type MultiOp struct {
 	Op   Op
 	Body Record
@@ -363,7 +363,7 @@
 type Multi struct{ Ops []MultiOp }
 
 func (r *Multi) fields(c *codec) {
-	if !c.read {
+	if !c.reading {
 		for _, op := range r.Ops {
 			(&MultiHeader{Op: op.Op, Err: -1}).fields(c)
 			op.Body.fields(c)
@@ -387,7 +387,7 @@
 		case OpDelete, OpCheck:
 			op.Body = &PathVersion{}
 		default:
-			c.err = fmt.Errorf("operation %d in a multi: %w", h.Op, ErrSize)
+			c.err = fmt.Errorf("unsupported operation %d in a multi request: %w", h.Op, ErrSize)
 			return
 		}
 		if len(r.Ops) >= MaxMulti {
@@ -399,8 +399,8 @@
 	}
 }
 
-// MultiResult is one result of a Multi. Body is a Path (OpCreate), PathStat
-// (OpCreate2), Stat (OpSetData) or nil; Err is set with OpError.
+// MultiResult is one result of a Multi. Body is a Path (OpCreate), PathStat (OpCreate2), Stat
+// (OpSetData) or nil; Err is set for OpError.
 type MultiResult struct {
 	Op   Op
 	Err  Code
@@ -410,13 +410,13 @@
 // MultiResults is the reply to OpMulti.
 type MultiResults struct{ Results []MultiResult }
 
-// errorBody repeats a result's code.
+// errorBody is the body of a result with OpError; it repeats the code of the header.
 type errorBody struct{ code Code }
 
 func (r *errorBody) fields(c *codec) { c.int32((*int32)(&r.code)) }
 
 func (r *MultiResults) fields(c *codec) {
-	if !c.read {
+	if !c.reading {
 		for _, x := range r.Results {
 			(&MultiHeader{Op: x.Op, Err: x.Err}).fields(c)
 			if x.Op == OpError {
@@ -449,7 +449,7 @@
 			b.fields(c)
 			x.Err = b.code
 		default:
-			c.err = fmt.Errorf("result %d in a multi: %w", h.Op, ErrSize)
+			c.err = fmt.Errorf("unsupported result %d in a multi reply: %w", h.Op, ErrSize)
 			return
 		}
 		if len(r.Results) >= MaxMulti {
--- a/discovery/zkwire/wire_test.go
+++ b/discovery/zkwire/wire_test.go
@@ -29,7 +29,7 @@
 
 func fresh(r Record) Record { return reflect.New(reflect.TypeOf(r).Elem()).Interface().(Record) }
 
-func TestRecordsGoBothWays(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	for _, r := range samples() {
 		frame := Append([]byte("before"), r)[6:]
 		body, err := ReadFrame(bytes.NewReader(frame), MaxFrame)
@@ -37,7 +37,9 @@
 		got := fresh(r)
 		require.NoError(t, DecodeAll(body, got), "%T", r)
 		require.Equal(t, r, got)
-		for n := range body { // cut anywhere, it is short, or at an optional end
+		// A body truncated at any byte fails to decode, except where only the optional last field
+		// is missing.
+		for n := range body {
 			cut := fresh(r)
 			if err := DecodeAll(body[:n], cut); err == nil {
 				require.Contains(t, []any{"*zkwire.ConnectRequest", "*zkwire.ConnectResponse"}, reflect.TypeOf(r).String())
@@ -49,7 +51,7 @@
 	}
 }
 
-// The bytes of one exchange, written out by hand from the protocol's description.
+// Encodes known messages; the bytes are written by hand from the protocol's description.
 func TestKnownBytes(t *testing.T) {
 	require.Equal(t, []byte{0, 0, 0, 15, 0, 0, 0, 5, 0, 0, 0, 4, 0, 0, 0, 2, '/', 'a', 1},
 		Append(nil, &RequestHeader{5, OpGetData}, &PathWatch{"/a", true}))
@@ -57,8 +59,9 @@
 		Append(nil, &ReplyHeader{XidPing, 9, OK}))
 }
 
-// No length that is announced makes room for more than has come.
-func TestLengthsAreNotTrusted(t *testing.T) {
+// Lengths that exceed the limit or the received message are rejected, so that a peer can't cause
+// large allocations.
+func TestInvalidLengthsAreRejected(t *testing.T) {
 	for _, n := range []uint32{1 << 31, 0xffffffff, 1<<31 - 1, MaxFrame + 1} {
 		_, err := ReadFrame(bytes.NewReader(binary.BigEndian.AppendUint32(nil, n)), MaxFrame)
 		require.ErrorIs(t, err, ErrFrame)
@@ -83,8 +86,8 @@
 	require.ErrorIs(t, DecodeAll(Append(nil, &many)[4:], &Multi{}), ErrSize)
 }
 
-// FuzzRecords reads any bytes as every record: what can be read, written again and
-// read again is the same.
+// FuzzRecords decodes arbitrary bytes as each type of record: a decoded record must stay the same
+// when it is encoded and decoded again.
 func FuzzRecords(f *testing.F) {
 	for i, r := range samples() {
 		f.Add(byte(i), Append(nil, r)[4:])
@@ -101,7 +104,7 @@
 	})
 }
 
-// FuzzFrame reads frames from any bytes, and never more than the bound.
+// FuzzFrame reads frames from arbitrary bytes; no frame may exceed the limit.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 7})
 	f.Add([]byte{0xff, 0, 0, 0})
