--- a/internal/standin/clock/library/shift.c
+++ b/internal/standin/clock/library/shift.c
@@ -1,6 +1,7 @@
-/* Steps the wall clock of one process: loaded into it (LD_PRELOAD), it leads the clock entry of that process's own vDSO
- * here. Wall clock readings have the number of nanoseconds added that stands in the file named by LICHENSHELF_TEST_CLOCK;
- * the monotonic clock runs on as it does. */
+/* Steps the wall clock of one process. Loaded into the process with LD_PRELOAD, this library
+ * redirects clock_gettime in that process's own vDSO to a replacement that adds an offset to
+ * readings of the wall clock. The offset in nanoseconds is read from the file named by
+ * LICHENSHELF_TEST_CLOCK. The monotonic clock is not changed. */
 #define _GNU_SOURCE
 #include <elf.h>
 #include <fcntl.h>
@@ -13,7 +14,7 @@
 #include <time.h>
 #include <unistd.h>
 
-static volatile int64_t *shift;
+static volatile int64_t *offset_ns;
 
 static long raw_clock_gettime(long clock, struct timespec *out) {
 	long result;
@@ -21,27 +22,27 @@
 	return result;
 }
 
-static int shifted(clockid_t clock, struct timespec *out) {
+static int shifted_clock_gettime(clockid_t clock, struct timespec *out) {
 	long result = raw_clock_gettime(clock, out);
 	if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-		int64_t at = (int64_t)out->tv_sec * 1000000000 + out->tv_nsec + *shift;
-		out->tv_sec = at / 1000000000;
-		out->tv_nsec = at % 1000000000;
+		int64_t now_ns = (int64_t)out->tv_sec * 1000000000 + out->tv_nsec + *offset_ns;
+		out->tv_sec = now_ns / 1000000000;
+		out->tv_nsec = now_ns % 1000000000;
 	}
 	return (int)result;
 }
 
-/* entry finds a function of the vDSO. */
-static unsigned char *entry(const char *name) {
+/* Returns the address of a function of the vDSO, or NULL. */
+static unsigned char *vdso_symbol(const char *name) {
 	unsigned char *base = (unsigned char *)getauxval(AT_SYSINFO_EHDR);
 	if (!base) return NULL;
-	Elf64_Ehdr *head = (Elf64_Ehdr *)base;
-	Elf64_Phdr *part = (Elf64_Phdr *)(base + head->e_phoff);
+	Elf64_Ehdr *header = (Elf64_Ehdr *)base;
+	Elf64_Phdr *segment = (Elf64_Phdr *)(base + header->e_phoff);
 	Elf64_Dyn *dynamic = NULL;
 	uintptr_t load = (uintptr_t)base;
-	for (int i = 0; i < head->e_phnum; i++) {
-		if (part[i].p_type == PT_LOAD) load = (uintptr_t)base + part[i].p_offset - part[i].p_vaddr;
-		if (part[i].p_type == PT_DYNAMIC) dynamic = (Elf64_Dyn *)(base + part[i].p_offset);
+	for (int i = 0; i < header->e_phnum; i++) {
+		if (segment[i].p_type == PT_LOAD) load = (uintptr_t)base + segment[i].p_offset - segment[i].p_vaddr;
+		if (segment[i].p_type == PT_DYNAMIC) dynamic = (Elf64_Dyn *)(base + segment[i].p_offset);
 	}
 	if (!dynamic) return NULL;
 	Elf64_Sym *symbols = NULL;
@@ -51,15 +52,17 @@
 		if (d->d_tag == DT_STRTAB) names = (const char *)(load + d->d_un.d_ptr);
 	}
 	if (!symbols || !names) return NULL;
-	/* The string table follows the symbols. */
+	/* The string table follows the symbol table, so that its start ends the loop. */
 	for (Elf64_Sym *s = symbols; (const char *)s < names; s++)
 		if (strcmp(names + s->st_name, name) == 0) return (unsigned char *)(load + s->st_value);
 	return NULL;
 }
 
-/* lead makes a function jump to another one. */
-static int lead(unsigned char *from, void *to) {
-	unsigned char jump[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0}; /* movabs to, %rax; jmp *%rax */
+/* Overwrites the start of a function with a jump to another function. Where the pages of the vDSO
+ * can't be made writable, it writes through /proc/self/mem. Returns 0 on failure. */
+static int redirect(unsigned char *from, void *to) {
+	/* movabs to, %rax; jmp *%rax */
+	unsigned char jump[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0};
 	memcpy(jump + 2, &to, 8);
 	uintptr_t page = (uintptr_t)from & ~(uintptr_t)4095;
 	if (mprotect((void *)page, 8192, PROT_READ | PROT_WRITE | PROT_EXEC) == 0 ||
@@ -74,14 +77,14 @@
 	return n == (ssize_t)sizeof jump;
 }
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void install(void) {
 	const char *path = getenv("LICHENSHELF_TEST_CLOCK");
 	if (!path) return;
 	int file = open(path, O_RDONLY | O_CLOEXEC);
 	if (file < 0) _exit(120);
-	shift = mmap(NULL, 4096, PROT_READ, MAP_SHARED, file, 0);
+	offset_ns = mmap(NULL, 4096, PROT_READ, MAP_SHARED, file, 0);
 	close(file);
-	if (shift == MAP_FAILED) _exit(121);
-	unsigned char *clock = entry("__vdso_clock_gettime");
-	if (!clock || !lead(clock, shifted)) _exit(122);
+	if (offset_ns == MAP_FAILED) _exit(121);
+	unsigned char *clock = vdso_symbol("__vdso_clock_gettime");
+	if (!clock || !redirect(clock, shifted_clock_gettime)) _exit(122);
 }
--- a/internal/standin/cpushare/cpushare.go
+++ b/internal/standin/cpushare/cpushare.go
@@ -1,5 +1,6 @@
-// Package cpushare holds a running process to a part of a core, as a scheduler's quota does: it reads the process's CPU clock and
-// stops the process (SIGSTOP) while it is ahead of its quota. No privileges are needed for a process of the same user.
+// Package cpushare limits a running process to a share of a CPU core, as a scheduler's quota does:
+// it polls the process's CPU clock and stops the process (SIGSTOP) while it has used more than its
+// quota. No privileges are needed for a process of the same user.
 package cpushare
 
 import (
@@ -13,18 +14,19 @@
 )
 
 const (
-	// lookEvery is how often the CPU clock is read.
-	lookEvery = time.Millisecond
-	// mostSaved bounds the CPU time that a process which was idle may use at once.
-	mostSaved = 5 * time.Millisecond
-	// mostStopped bounds how long the process is stopped at once: one that ran ahead since nobody looked in time is not held up for
-	// longer than the platform's pages allow for (0.15 s).
-	mostStopped = 100 * time.Millisecond
-	// schedulerClock asks for the time for which a process has run, as the scheduler counts it (CPUCLOCK_SCHED).
+	// pollInterval is how often the CPU clock is read.
+	pollInterval = time.Millisecond
+	// maxCredit bounds the unused CPU time that an idle process may save up and use at once.
+	maxCredit = 5 * time.Millisecond
+	// maxStop bounds a single stop of the process. If a delayed poll lets the process overrun its
+	// quota, the stop must not exceed the 0.15 s that the documentation of the platform allows for.
+	maxStop = 100 * time.Millisecond
+	// schedulerClock selects the run time of a process as accounted by the scheduler
+	// (CPUCLOCK_SCHED).
 	schedulerClock = 2
 )
 
-// Quota holds one process to a part of a core until Lift is called.
+// Quota limits one process to a share of a core until Lift is called.
 type Quota struct {
 	pid     int
 	share   float64
@@ -32,63 +34,63 @@
 	stopped sync.WaitGroup
 }
 
-// Hold begins to hold a process to a share of one core, above 0 and up to 1.
+// Hold starts limiting a process to a share of one core, above 0 and up to 1.
 func Hold(pid int, share float64) (*Quota, error) {
 	if share <= 0 || share > 1 {
-		return nil, fmt.Errorf("cpushare: share %g of a core: not above 0 and up to 1", share)
+		return nil, fmt.Errorf("cpushare: share %g of a core is not above 0 and up to 1", share)
 	}
-	if _, err := used(pid); err != nil {
+	if _, err := cpuTime(pid); err != nil {
 		return nil, err
 	}
 	q := &Quota{pid: pid, share: share, done: make(chan struct{})}
-	q.stopped.Go(q.hold)
+	q.stopped.Go(q.enforce)
 	return q, nil
 }
 
-// Lift ends the quota; the process runs on as it can.
+// Lift removes the quota; the process continues without a limit.
 func (q *Quota) Lift() {
 	close(q.done)
 	q.stopped.Wait()
 }
 
-func (q *Quota) hold() {
+func (q *Quota) enforce() {
 	defer func() { _ = syscall.Kill(q.pid, syscall.SIGCONT) }()
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	last, err := used(q.pid)
-	at, saved, stopped := time.Now(), time.Duration(0), false
-	mostOwed := time.Duration(q.share * float64(mostStopped))
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	last, err := cpuTime(q.pid)
+	at, credit, stopped := time.Now(), time.Duration(0), false
+	maxDebt := time.Duration(q.share * float64(maxStop))
 	for err == nil {
 		select {
 		case <-q.done:
 			return
-		case <-look.C:
+		case <-poll.C:
 		}
 		now := time.Now()
 		var total time.Duration
-		if total, err = used(q.pid); err != nil {
+		if total, err = cpuTime(q.pid); err != nil {
 			return
 		}
-		saved = min(saved+time.Duration(float64(now.Sub(at))*q.share), mostSaved) - (total - last)
-		saved = max(saved, -mostOwed)
+		credit = min(credit+time.Duration(float64(now.Sub(at))*q.share), maxCredit) - (total - last)
+		credit = max(credit, -maxDebt)
 		at, last = now, total
 		switch {
-		case saved < 0 && !stopped:
+		case credit < 0 && !stopped:
 			err, stopped = syscall.Kill(q.pid, syscall.SIGSTOP), true
-		case saved >= 0 && stopped:
+		case credit >= 0 && stopped:
 			err, stopped = syscall.Kill(q.pid, syscall.SIGCONT), false
 		}
 	}
 }
 
-// errGone says that there is no such process.
-var errGone = errors.New("cpushare: the process is not there")
+// errNoProcess reports that a process does not exist.
+var errNoProcess = errors.New("cpushare: no such process")
 
-// used is the CPU time that a process has taken so far.
-func used(pid int) (time.Duration, error) {
+// cpuTime returns the CPU time that a process has used so far.
+func cpuTime(pid int) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<3|schedulerClock), &t); err != nil {
-		return 0, fmt.Errorf("%w: %d: %w", errGone, pid, err)
+		return 0, fmt.Errorf("%w: %d: %w", errNoProcess, pid, err)
 	}
 	return time.Duration(t.Nano()), nil
 }
--- a/internal/standin/deaf/listener.go
+++ b/internal/standin/deaf/listener.go
@@ -1,5 +1,5 @@
-// Package deaf plays a machine to which connections never come up: its listener's queue is full, and nothing is accepted
-// until Accept is called.
+// Package deaf simulates a machine to which no connection can be established: the accept queue of
+// its listener is full, and no connection is accepted until Accept is called.
 package deaf
 
 import (
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// fullAfter is how long the connection may take that shows the queue to be full.
-const fullAfter = 100 * time.Millisecond
+// dialTimeout is the time after which a connection attempt is taken as proof that the queue is
+// full.
+const dialTimeout = 100 * time.Millisecond
 
-// Listener is such a machine's. Its methods may be called from any goroutine.
+// Listener is a listener with a full accept queue. Its methods are safe for concurrent use.
 type Listener struct {
-	fd      int
-	addr    string
-	filling []net.Conn
+	fd     int
+	addr   string
+	queued []net.Conn
 }
 
 // Listen listens on a free port of 127.0.0.1 and fills the queue.
@@ -47,19 +48,20 @@
 	}
 	l.addr = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 	for {
-		c, err := net.DialTimeout("tcp", l.addr, fullAfter)
+		c, err := net.DialTimeout("tcp", l.addr, dialTimeout)
 		if err != nil {
 			return nil
 		}
-		l.filling = append(l.filling, c)
+		l.queued = append(l.queued, c)
 	}
 }
 
-// Addr is the address, host and port.
+// Addr returns the address as host:port.
 func (l *Listener) Addr() string { return l.addr }
 
-// Accept takes the next connection from the queue, those that filled it first, so that another may come up. It waits
-// for one, and fails once the listener is closed.
+// Accept removes the oldest connection from the queue, beginning with those that Listen has filled
+// it with, so that another connection can be established. It blocks while the queue is empty and
+// fails once the listener is closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	fd, _, err := syscall.Accept(l.fd)
 	if err != nil {
@@ -70,11 +72,11 @@
 	return net.FileConn(f)
 }
 
-// Close ends the listener and the connections that filled its queue.
+// Close closes the listener and the connections with which Listen has filled its queue.
 func (l *Listener) Close() {
 	_ = syscall.Shutdown(l.fd, syscall.SHUT_RDWR)
 	_ = syscall.Close(l.fd)
-	for _, c := range l.filling {
+	for _, c := range l.queued {
 		_ = c.Close()
 	}
 }
--- a/internal/standin/dns/server.go
+++ b/internal/standin/dns/server.go
@@ -1,5 +1,5 @@
-// Package dns is a stand-in name server on loopback, over UDP and TCP, that
-// answers from records it is given and misbehaves as a test tells it to.
+// Package dns is a stand-in name server on loopback, over UDP and TCP. It answers from the records
+// that a test sets, and a test's script may delay, replace, truncate or drop answers.
 package dns
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/miekg/dns"
 )
 
-// Query is one question that has come in.
+// Query is a received query.
 type Query struct {
 	Name string // canonical
 	Type uint16
@@ -23,12 +23,12 @@
 	Msg  *dns.Msg
 }
 
-// Reply is what becomes of a query. The zero value is silence, which over TCP
-// leaves the connection open.
+// Reply defines the response to a query. The zero value sends nothing; over TCP it leaves the
+// connection open.
 type Reply struct {
 	Msgs  []*dns.Msg    // sent one after the other
-	After time.Duration // before they are sent
-	Cut   int           // over TCP, only so many bytes are sent, then the connection closes; 0: all
+	After time.Duration // delay before they are sent
+	Cut   int           // over TCP, the connection is closed after so many bytes; 0: no limit
 }
 
 // Server is a running stand-in.
@@ -45,13 +45,13 @@
 	conns   map[net.Conn]bool
 }
 
-// SOA is what stands beside a negative answer; its lifetime is 5 s.
+// SOA is the record in the authority section of negative answers; their TTL is 5 s.
 const SOA = "test. 60 IN SOA ns.test. admin.test. 1 60 60 60 5"
 
-// New starts a server at a free port of 127.0.0.1.
+// New starts a server on a free port of 127.0.0.1.
 func New() (*Server, error) {
 	s := &Server{done: make(chan struct{}), conns: map[net.Conn]bool{}}
-	for range 20 { // the port must be free for both
+	for range 20 { // attempts to find a port that is free for both UDP and TCP
 		var err error
 		if s.udp, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
 			return nil, fmt.Errorf("stand-in: %w", err)
@@ -67,10 +67,10 @@
 	return nil, errors.New("stand-in: no port is free for both UDP and TCP")
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens, as host:port.
 func (s *Server) Addr() string { return s.udp.LocalAddr().String() }
 
-// Close ends it and waits until it has ended.
+// Close stops the server and waits until its goroutines have ended.
 func (s *Server) Close() {
 	close(s.done)
 	_ = s.udp.Close()
@@ -83,13 +83,13 @@
 	s.wg.Wait()
 }
 
-// Set replaces the records, each in the form of a zone file's line.
+// Set replaces the records. Each is a line in zone file format.
 func (s *Server) Set(lines ...string) {
 	var records []dns.RR
 	for _, line := range lines {
 		rr, err := dns.NewRR(line)
 		if err != nil {
-			panic(err) // the test's own mistake
+			panic(err) // the test passed an invalid record
 		}
 		records = append(records, rr)
 	}
@@ -98,35 +98,36 @@
 	s.records = records
 }
 
-// Script has f say what becomes of each query, given the honest answer; nil
-// makes the server honest again.
-func (s *Server) Script(f func(q Query, honest *dns.Msg) Reply) {
+// Script sets the function that decides the reply to each query, given the correct answer. With
+// nil, the server sends correct answers again.
+func (s *Server) Script(f func(q Query, correct *dns.Msg) Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = f
 }
 
-// Queries are those that have come in, in order.
+// Queries returns all received queries, in order.
 func (s *Server) Queries() []Query {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Query(nil), s.queries...)
 }
 
-// Honest sends an answer as it is.
+// Honest returns a reply that sends an answer unchanged.
 func Honest(m *dns.Msg) Reply { return Reply{Msgs: []*dns.Msg{m}} }
 
-// Code answers with a code and nothing else.
+// Code returns a script that answers with a response code and no records.
 func Code(code int) func(Query, *dns.Msg) Reply {
 	return func(_ Query, m *dns.Msg) Reply {
 		return Honest(&dns.Msg{MsgHdr: dns.MsgHdr{Id: m.Id, Response: true, Rcode: code}, Question: m.Question})
 	}
 }
 
-// Silent says nothing at all.
+// Silent is a script that sends no answer.
 func Silent(Query, *dns.Msg) Reply { return Reply{} }
 
-// answer is the honest answer: aliases are followed, addresses of targets come along.
+// answer returns the correct answer: it follows aliases (CNAME) and adds the addresses of SRV
+// targets. A size above 0 limits its length in bytes.
 func (s *Server) answer(q Query, size int) *dns.Msg {
 	m := new(dns.Msg)
 	m.SetReply(q.Msg)
@@ -175,8 +176,8 @@
 	return m
 }
 
-// take books a query and finds out what becomes of it.
-func (s *Server) take(wire []byte, tcp bool) (Reply, bool) {
+// handle records a query and returns the reply to it; false if the query is invalid.
+func (s *Server) handle(wire []byte, tcp bool) (Reply, bool) {
 	m := new(dns.Msg)
 	if err := m.Unpack(wire); err != nil || len(m.Question) != 1 {
 		return Reply{}, false
@@ -190,16 +191,16 @@
 		}
 	}
 	s.mu.Lock()
-	honest, script := s.answer(q, size), s.script
+	correct, script := s.answer(q, size), s.script
 	s.queries = append(s.queries, q)
 	s.mu.Unlock()
 	if script != nil {
-		return script(q, honest), true
+		return script(q, correct), true
 	}
-	return Honest(honest), true
+	return Honest(correct), true
 }
 
-// wait tells whether the server still runs after d.
+// wait waits for d and reports whether the server is still running.
 func (s *Server) wait(d time.Duration) bool {
 	if d == 0 {
 		return true
@@ -220,7 +221,7 @@
 		if err != nil {
 			return
 		}
-		r, ok := s.take(buf[:n], false)
+		r, ok := s.handle(buf[:n], false)
 		if !ok {
 			continue
 		}
@@ -252,7 +253,7 @@
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			s.converse(c)
+			s.serveConn(c)
 			_ = c.Close()
 			s.mu.Lock()
 			delete(s.conns, c)
@@ -261,8 +262,8 @@
 	}
 }
 
-// converse serves one connection: each message has its length before it.
-func (s *Server) converse(c net.Conn) {
+// serveConn serves one TCP connection, on which each message is preceded by its length.
+func (s *Server) serveConn(c net.Conn) {
 	for {
 		var size [2]byte
 		if _, err := io.ReadFull(c, size[:]); err != nil {
@@ -272,7 +273,7 @@
 		if _, err := io.ReadFull(c, wire); err != nil {
 			return
 		}
-		r, ok := s.take(wire, true)
+		r, ok := s.handle(wire, true)
 		if !ok || !s.wait(r.After) {
 			return
 		}
--- a/internal/standin/link/relay.go
+++ b/internal/standin/link/relay.go
@@ -1,5 +1,5 @@
-// Package link stands between two processes as a TCP relay that can be told to lose,
-// delay or hold what passes, one way or both, or to cut all connections.
+// Package link provides a TCP relay between two processes that can drop or delay data in one
+// direction or both, hold it back, or close all connections.
 package link
 
 import (
@@ -15,72 +15,77 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fault is what happens to what passes. The zero value passes all on.
+// Fault describes a fault of the link. The zero value forwards everything.
 type Fault struct {
 	Refuse bool          // new connections are closed at once
-	Drop   [2]bool       // bytes vanish on their way there, back; connections stay open
-	Delay  time.Duration // bytes are late by so much, either way
-	// Vanish makes the far end a machine that is gone: what is sent to it is not even acknowledged by its system, its
-	// connections stay open and silent, and new ones don't come up.
+	Drop   [2]bool       // bytes to, from the far end are dropped; connections stay open
+	Delay  time.Duration // bytes are delayed, in both directions
+	// Vanish simulates a far end whose machine has disappeared from the network: its kernel does
+	// not even acknowledge what is sent to it, its connections stay open and silent, and new ones
+	// are not established.
 	Vanish bool
-	// Heals, beside Vanish, makes the far end come back as it was: what it sends meanwhile is late and not lost, as TCP sends it
-	// again.
+	// Heals, together with Vanish, simulates a network cut that heals: what the far end sends
+	// meanwhile is delivered late and not lost, since TCP retransmits it.
 	Heals bool
-	// Pieces passes bytes on a few at a time, either way, as small writes over a slow link come.
+	// Pieces forwards bytes in small pieces, in both directions, as small writes over a slow link
+	// arrive.
 	Pieces bool
 }
 
-// fromFarEnd is the way back.
+// fromFarEnd is the direction from the far end; the other direction is 0.
 const fromFarEnd = 1
 
+// The size of a piece is 1/maxPieces of the data read at once, but at least minPieceBytes.
 const (
-	mostPiece  = 64 // bytes, or
-	mostPieces = 32 // such a part of what came together
-	pieceEvery = 200 * time.Microsecond
+	minPieceBytes = 64
+	maxPieces     = 32
+	pieceInterval = 200 * time.Microsecond
 )
 
-// Relay passes connections on to one address.
+// Relay forwards connections to one address.
 type Relay struct {
 	listener net.Listener
 	to       string
 
-	mu    sync.Mutex
-	fault Fault
-	next  chan struct{} // closed when another fault is set
-	conns map[net.Conn]bool
-	near  map[net.Conn]bool // of them, those that were accepted
-	mute  map[net.Conn]bool // of conns, those that pass nothing any more
+	mu           sync.Mutex
+	fault        Fault
+	faultChanged chan struct{} // closed when another fault is set
+	conns        map[net.Conn]bool
+	accepted     map[net.Conn]bool // the connections in conns that were accepted, not dialed
+	silenced     map[net.Conn]bool // the connections in conns that forward nothing any more
 }
 
-// New starts a relay at an address of its own; Close ends it.
+// New starts a relay that listens on a free port of 127.0.0.1 and forwards connections to the
+// address to. Close stops it.
 func New(to string) (*Relay, error) {
-	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // Go's default, whose sockets take no filter
-	l, err := plain.Listen(context.Background(), "tcp4", "127.0.0.1:0")
+	var config net.ListenConfig
+	config.SetMultipathTCP(false) // filters can't be attached to multipath sockets, Go's default
+	l, err := config.Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, to: to, next: make(chan struct{}), conns: map[net.Conn]bool{}, near: map[net.Conn]bool{}, mute: map[net.Conn]bool{}}
+	r := &Relay{listener: l, to: to, faultChanged: make(chan struct{}), conns: map[net.Conn]bool{}, accepted: map[net.Conn]bool{}, silenced: map[net.Conn]bool{}}
 	go r.serve()
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address on which the relay listens, as host:port.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// CanVanish tells why this system lets no relay of this user's play a machine that has vanished; nil if it does. Some kernels
-// let only a privileged process attach a filter to a socket.
+// CanVanish returns nil if relays of this process support Fault.Vanish, or else the reason why not.
+// Some kernels allow only privileged processes to attach a filter to a socket.
 func CanVanish() error {
 	r, err := New("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	return deafen(r.listener, true)
+	return dropIncoming(r.listener, true)
 }
 
-// Set makes a fault begin, or with its zero value end. It panics where the far end can't vanish (CanVanish): bytes that were
-// taken and dropped instead would be acknowledged, which is another fault.
+// Set replaces the current fault; the zero value ends it. Set panics for a fault with Vanish where
+// that is not supported (CanVanish): if the relay read and dropped the bytes instead, the kernel
+// would acknowledge them, which is a different fault.
 func (r *Relay) Set(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,55 +93,57 @@
 		f.Drop = [2]bool{true, true}
 	}
 	if f.Vanish != r.fault.Vanish {
-		must(deafen(r.listener, f.Vanish))
-		for c := range r.near {
-			if err := deafen(c, f.Vanish); !errors.Is(err, net.ErrClosed) {
+		must(dropIncoming(r.listener, f.Vanish))
+		for c := range r.accepted {
+			if err := dropIncoming(c, f.Vanish); !errors.Is(err, net.ErrClosed) {
 				must(err)
 			}
 		}
 	}
 	r.fault = f
-	close(r.next)
-	r.next = make(chan struct{})
+	close(r.faultChanged)
+	r.faultChanged = make(chan struct{})
 }
 
-// waitHealed waits while what the far end sends is late.
-func (r *Relay) waitHealed(way int) {
+// waitHealed blocks while the current fault holds back data in the given direction (see
+// Fault.Heals).
+func (r *Relay) waitHealed(direction int) {
 	for {
 		r.mu.Lock()
-		f, next := r.fault, r.next
+		f, changed := r.fault, r.faultChanged
 		r.mu.Unlock()
-		if way != fromFarEnd || !f.Vanish || !f.Heals {
+		if direction != fromFarEnd || !f.Vanish || !f.Heals {
 			return
 		}
-		<-next
+		<-changed
 	}
 }
 
 func must(err error) {
 	if err != nil {
-		panic(fmt.Errorf("link: a far end that vanishes: %w", err))
+		panic(fmt.Errorf("link: attach or detach the socket filter: %w", err))
 	}
 }
 
-// deafen makes the system drop all that comes for a socket before it is looked at, or no more.
-func deafen(socket any, deaf bool) error {
+// dropIncoming attaches a filter to a socket, or detaches it. With the filter, the kernel drops all
+// incoming packets before TCP processes them.
+func dropIncoming(socket any, drop bool) error {
 	raw, err := socket.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	nothing := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
+	dropAll := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 	cerr := raw.Control(func(fd uintptr) {
-		if deaf {
-			err = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &nothing[0]})
+		if drop {
+			err = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &dropAll[0]})
 		} else if err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0); errors.Is(err, unix.ENOENT) {
-			err = nil // there was none
+			err = nil // no filter was attached
 		}
 	})
 	return errors.Join(cerr, err)
 }
 
-// Cut closes all connections that pass now.
+// Cut closes all current connections.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,24 +152,24 @@
 	}
 }
 
-// Silence makes all connections that pass now fall silent: they stay open, and nothing passes on them any more, either way. New ones
-// pass all on.
+// Silence stops forwarding on all current connections: they stay open, and data is dropped in both
+// directions. New connections are not affected.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		r.mute[c] = true
+		r.silenced[c] = true
 	}
 }
 
-// drops tells whether what comes from a connection is dropped.
-func (r *Relay) drops(from net.Conn, way int) bool {
+// drops reports whether data received from a connection is dropped.
+func (r *Relay) drops(from net.Conn, direction int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fault.Drop[way] || r.mute[from]
+	return r.fault.Drop[direction] || r.silenced[from]
 }
 
-// Reset resets all connections that pass now; what is under way in them is lost.
+// Reset resets all current connections; data in transit is lost.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,16 +181,16 @@
 	}
 }
 
-// Close ends the relay, and what waits in it.
+// Close stops the relay and closes its connections. It ends a fault that holds back data.
 func (r *Relay) Close() {
-	if r.now().Heals {
+	if r.currentFault().Heals {
 		r.Set(Fault{})
 	}
 	_ = r.listener.Close()
 	r.Cut()
 }
 
-func (r *Relay) now() Fault {
+func (r *Relay) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
@@ -195,47 +202,47 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || r.now().Refuse {
+		if err != nil || r.currentFault().Refuse {
 			if c != nil {
 				_ = c.Close()
 			}
 			continue
 		}
-		go r.pass(c)
+		go r.forward(c)
 	}
 }
 
-func (r *Relay) pass(from net.Conn) {
+func (r *Relay) forward(from net.Conn) {
 	to, err := net.DialTimeout("tcp4", r.to, time.Second)
 	if err != nil {
 		_ = from.Close()
 		return
 	}
 	r.mu.Lock()
-	r.conns[from], r.conns[to], r.near[from] = true, true, true
+	r.conns[from], r.conns[to], r.accepted[from] = true, true, true
 	if r.fault.Vanish {
-		must(deafen(from, true))
+		must(dropIncoming(from, true))
 	}
 	r.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { r.copy(to, from, 0) })
-	both.Go(func() { r.copy(from, to, fromFarEnd) })
+	both.Go(func() { r.forwardOneWay(to, from, 0) })
+	both.Go(func() { r.forwardOneWay(from, to, fromFarEnd) })
 	both.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, from)
 	delete(r.conns, to)
-	delete(r.near, from)
-	delete(r.mute, from)
-	delete(r.mute, to)
+	delete(r.accepted, from)
+	delete(r.silenced, from)
+	delete(r.silenced, to)
 }
 
 func (r *Relay) write(to net.Conn, data []byte) (n int, err error) {
-	piece := max(mostPiece, len(data)/mostPieces)
-	for r.now().Pieces && len(data) > piece && err == nil {
+	piece := max(minPieceBytes, len(data)/maxPieces)
+	for r.currentFault().Pieces && len(data) > piece && err == nil {
 		n, err = to.Write(data[:piece])
 		data = data[n:]
-		time.Sleep(pieceEvery)
+		time.Sleep(pieceInterval)
 	}
 	if err != nil {
 		return n, err
@@ -243,9 +250,9 @@
 	return to.Write(data)
 }
 
-// copy passes one direction on. What is late waits in a queue of its own, so that
-// the reading goes on.
-func (r *Relay) copy(to, from net.Conn, way int) {
+// forwardOneWay forwards one direction of a connection. Delayed data waits in a queue, so that
+// reading continues.
+func (r *Relay) forwardOneWay(to, from net.Conn, direction int) {
 	type piece struct {
 		at   time.Time
 		data []byte
@@ -255,8 +262,8 @@
 		defer to.Close()
 		for p := range queue {
 			time.Sleep(time.Until(p.at))
-			r.waitHealed(way)
-			if r.drops(from, way) {
+			r.waitHealed(direction)
+			if r.drops(from, direction) {
 				continue
 			}
 			if _, err := r.write(to, p.data); err != nil {
@@ -269,7 +276,7 @@
 		buf := make([]byte, 32<<10)
 		n, err := from.Read(buf)
 		if n > 0 {
-			queue <- piece{time.Now().Add(r.now().Delay), buf[:n]}
+			queue <- piece{time.Now().Add(r.currentFault().Delay), buf[:n]}
 		}
 		if err != nil {
 			if err != io.EOF {
--- a/internal/standin/link/relay_test.go
+++ b/internal/standin/link/relay_test.go
@@ -10,12 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// A machine that has vanished confirms nothing, and no connection to it comes up; once it is back what was sent arrives.
-func TestVanishedMachinesConfirmNothing(t *testing.T) {
+// Under Fault.Vanish the far end acknowledges nothing and no connection to it is established; when
+// the fault ends, data sent meanwhile arrives.
+func TestBlackholedPeerAcknowledgesNothing(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	came := make(chan string, 4)
+	received := make(chan string, 4)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -24,7 +25,7 @@
 			}
 			b := make([]byte, 16)
 			for n, err := c.Read(b); err == nil; n, err = c.Read(b) {
-				came <- string(b[:n])
+				received <- string(b[:n])
 			}
 		}
 	}()
@@ -36,10 +37,10 @@
 	defer c.Close()
 	_, err = c.Write([]byte("here"))
 	require.NoError(t, err)
-	require.Equal(t, "here", <-came)
+	require.Equal(t, "here", <-received)
 	r.Set(Fault{Vanish: true})
 	_, err = c.Write([]byte("gone"))
-	require.NoError(t, err, "nothing is known of it")
+	require.NoError(t, err, "the sender has not noticed the fault yet")
 	_, err = net.DialTimeout("tcp4", r.Addr(), 100*time.Millisecond)
 	require.Error(t, err)
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -49,13 +50,13 @@
 		require.NoError(t, err)
 		require.Equal(t, len("gone"), n)
 	}))
-	require.Empty(t, came)
+	require.Empty(t, received)
 	r.Set(Fault{})
-	require.Equal(t, "gone", <-came)
+	require.Equal(t, "gone", <-received)
 }
 
-// What a machine that vanishes and heals sends meanwhile is late, and none of it is lost.
-func TestWhatIsSentBackDuringACutThatHealsIsLate(t *testing.T) {
+// Under Fault.Heals, data that the far end sends during the fault is delayed and not lost.
+func TestDataSentBackDuringHealingCutIsDelayed(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -69,16 +70,16 @@
 	require.NoError(t, err)
 	defer far.Close()
 	b := make([]byte, 16)
-	say := func(text string) {
+	send := func(text string) {
 		_, err := far.Write([]byte(text))
 		require.NoError(t, err)
 	}
-	say("one")
+	send("one")
 	n, err := c.Read(b)
 	require.NoError(t, err)
 	require.Equal(t, "one", string(b[:n]))
 	r.Set(Fault{Vanish: true, Heals: true})
-	say("two")
+	send("two")
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err = c.Read(b)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
--- a/internal/standin/syscalls/syscalls.go
+++ b/internal/standin/syscalls/syscalls.go
@@ -1,9 +1,11 @@
-// Package syscalls makes chosen system calls of another process fail, as Linux documents that they may. The program is the
-// real one, unchanged: a seccomp filter on that process alone hands the chosen calls to the test, which lets each one
-// through, answers it with an error instead, or holds it for a while. No rights are needed.
+// Package syscalls makes selected system calls of another process fail with errors that Linux
+// documents for them. The program itself is not modified: a seccomp filter on that process alone
+// notifies the test of the selected calls, and the test lets each call through, returns an error
+// instead, or delays it. No privileges are needed.
 //
-// The filter has to be installed by the process itself before it becomes the program under test. A test binary does that
-// for it: its TestMain calls Launch first, and Command makes a command that starts the test binary again.
+// The process has to install the filter itself before it executes the program under test. The test
+// binary does this: its TestMain calls Launch first, and Command returns a command that starts the
+// test binary again.
 package syscalls
 
 import (
@@ -24,7 +26,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The calls that can be handed to a test, by the names of the manual's section 2.
+// The numbers of the system calls that can be trapped, named as in section 2 of the manual.
 const (
 	Accept4   = unix.SYS_ACCEPT4
 	Bind      = unix.SYS_BIND
@@ -39,12 +41,12 @@
 )
 
 const (
-	launchVariable = "LICHENSHELF_TEST_TRAP" // the calls to hand over, for Launch
-	listenerFile   = 3                       // the descriptor over which Launch sends the filter's listener
-	pollEvery      = 50                      // milliseconds until a listener whose process is gone is noticed
+	launchVariable = "LICHENSHELF_TEST_TRAP" // the numbers of the calls to trap, for Launch
+	listenerFile   = 3                       // the descriptor over which Launch sends the listener
+	pollIntervalMs = 50                      // the end of the process is noticed within this time
 
-	auditArchX8664   = 0xc000003e // of struct seccomp_data
-	offsetOfNumber   = 0
+	auditArchX8664   = 0xc000003e // AUDIT_ARCH_X86_64
+	offsetOfNumber   = 0          // offsets in struct seccomp_data
 	offsetOfArch     = 4
 	notifyReceive    = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
 	notifySend       = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
@@ -69,16 +71,17 @@
 	Flags uint32
 }
 
-// Fault says what becomes of a call: with an Errno it fails with that, after Delay.
+// Fault defines the result of a trapped call.
 type Fault struct {
-	Errno syscall.Errno // 0: the call is let through
-	Delay time.Duration
+	Errno syscall.Errno // the error that the call returns; 0: the call is let through
+	Delay time.Duration // delay before the error or the call
 }
 
-// Decide is asked for each trapped call, by its number, one call at a time.
+// Decide returns the fault for a trapped call, given the number of the system call. It is called
+// for one call at a time.
 type Decide func(call int) Fault
 
-// Faults answers the trapped calls of one process. It is safe for use from any goroutine.
+// Faults responds to the trapped calls of one process. It is safe for concurrent use.
 type Faults struct {
 	mu     sync.Mutex
 	decide Decide
@@ -86,28 +89,28 @@
 	asked  map[int]int
 }
 
-// Set replaces what decides; nil lets all calls through.
+// Set replaces the function that decides; nil lets all calls through.
 func (f *Faults) Set(decide Decide) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.decide = decide
 }
 
-// Failed is how many calls of a number have been answered with an error.
+// Failed returns how many calls of a number have been given an error.
 func (f *Faults) Failed(call int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed[call]
 }
 
-// Asked is how many calls of a number there have been.
+// Asked returns how many calls of a number have been trapped.
 func (f *Faults) Asked(call int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.asked[call]
 }
 
-func (f *Faults) ask(call int) Fault {
+func (f *Faults) decideFault(call int) Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked[call]++
@@ -142,22 +145,24 @@
 	}
 }
 
-// hangs is longer than any test.
-const hangs = time.Hour
+// hangDelay is longer than any test.
+const hangDelay = time.Hour
 
-// Hang returns a Decide that holds all calls of the numbers for longer than any test, as a disk does that no longer answers.
-// What has begun to hang goes on so when another Decide is set.
+// Hang returns a Decide that delays all calls of the numbers for longer than any test, as a disk
+// that no longer responds does. Calls that already hang continue to hang when another Decide is
+// set.
 func Hang(calls ...int) Decide {
 	return func(c int) Fault {
 		if slices.Contains(calls, c) {
-			return Fault{Delay: hangs}
+			return Fault{Delay: hangDelay}
 		}
 		return Fault{}
 	}
 }
 
-// Command is exec.Command for a program whose calls of the given numbers are handed to the returned Faults. The caller's
-// TestMain must call Launch. Its environment may be added to before it is started.
+// Command returns a command like exec.Command does, for a program whose calls of the given numbers
+// are trapped and passed to the returned Faults. The caller's TestMain must call Launch. Variables
+// may be added to the command's environment before it is started.
 func Command(calls []int, program string, args ...string) (*exec.Cmd, *Faults, error) {
 	ours, theirs, err := socketPair()
 	if err != nil {
@@ -175,7 +180,7 @@
 	cmd.Env = append(os.Environ(), launchVariable+"="+strings.Join(numbers, ","))
 	cmd.ExtraFiles = []*os.File{theirs}
 	f := &Faults{failed: map[int]int{}, asked: map[int]int{}}
-	go f.follow(ours)
+	go f.serve(ours)
 	return cmd, f, nil
 }
 
@@ -193,8 +198,9 @@
 	return c.(*net.UnixConn), os.NewFile(uintptr(fds[1]), "trap"), nil
 }
 
-// follow takes the listener from the launched process and answers its calls until that process has ended.
-func (f *Faults) follow(from *net.UnixConn) {
+// serve receives the filter's listener from the launched process and responds to its trapped calls
+// until the process has ended.
+func (f *Faults) serve(from *net.UnixConn) {
 	defer from.Close()
 	control := make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := from.ReadMsgUnix(make([]byte, 1), control)
@@ -216,7 +222,7 @@
 func (f *Faults) answer(listener int) {
 	for {
 		ready := []unix.PollFd{{Fd: int32(listener), Events: unix.POLLIN}}
-		if n, err := unix.Poll(ready, pollEvery); n == 0 || errors.Is(err, unix.EINTR) {
+		if n, err := unix.Poll(ready, pollIntervalMs); n == 0 || errors.Is(err, unix.EINTR) {
 			continue
 		}
 		if ready[0].Revents&unix.POLLIN == 0 {
@@ -224,9 +230,9 @@
 		}
 		var call notification
 		if errno := control(listener, notifyReceive, unsafe.Pointer(&call)); errno != 0 {
-			continue // the caller has gone meanwhile
+			continue // the calling thread has ended or was interrupted
 		}
-		fault := f.ask(int(call.Number))
+		fault := f.decideFault(int(call.Number))
 		if fault.Delay == 0 {
 			respond(listener, call.ID, fault.Errno)
 			continue
@@ -240,7 +246,8 @@
 	if errno != 0 {
 		r = response{ID: id, Error: -int32(errno)}
 	}
-	_ = control(listener, notifySend, unsafe.Pointer(&r)) // it fails where the caller has gone meanwhile
+	// Fails if the calling thread has ended or was interrupted.
+	_ = control(listener, notifySend, unsafe.Pointer(&r))
 }
 
 func control(fd int, request uintptr, argument unsafe.Pointer) syscall.Errno {
@@ -248,8 +255,9 @@
 	return errno
 }
 
-// Launch becomes the program that Command was given, with the filter installed, if this process was started by such a
-// command. Else it returns at once. TestMain has to call it before anything else.
+// Launch installs the filter and executes the program passed to Command, if this process was
+// started by such a command. Otherwise it returns at once. TestMain has to call Launch before
+// anything else.
 func Launch() {
 	text := os.Getenv(launchVariable)
 	if text == "" {
@@ -270,8 +278,8 @@
 		}
 		calls = append(calls, uint32(n))
 	}
-	runtime.LockOSThread() // the filter is the thread's that becomes the program
-	listener, err := install(calls)
+	runtime.LockOSThread() // the filter applies to one thread, which must be the one to call exec
+	listener, err := installFilter(calls)
 	if err != nil {
 		return err
 	}
@@ -284,10 +292,11 @@
 	return fmt.Errorf("start %s: %w", os.Args[1], syscall.Exec(os.Args[1], os.Args[1:], env))
 }
 
-// install hands the calls of this thread, and of what it becomes, to a listener.
-func install(calls []uint32) (listener int, err error) {
+// installFilter traps the given calls of this thread, also after exec, and returns the descriptor
+// of the listener that is notified of them.
+func installFilter(calls []uint32) (listener int, err error) {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return 0, fmt.Errorf("no new privileges: %w", err)
+		return 0, fmt.Errorf("set no_new_privs: %w", err)
 	}
 	filter := program(calls)
 	p := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
@@ -298,20 +307,21 @@
 	return int(fd), nil
 }
 
-// program is the filter: the calls are handed over, all else is let through.
+// program returns the BPF program of the filter: it traps the given calls and lets all others
+// through.
 func program(calls []uint32) []unix.SockFilter {
 	load := func(at uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: at}
 	}
-	end := func(verdict uint32) unix.SockFilter {
-		return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: verdict}
+	ret := func(action uint32) unix.SockFilter {
+		return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: action}
 	}
 	equal := func(to uint32, yes, no uint8) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: to, Jt: yes, Jf: no}
 	}
-	out := []unix.SockFilter{load(offsetOfArch), equal(auditArchX8664, 1, 0), end(unix.SECCOMP_RET_ALLOW), load(offsetOfNumber)}
+	out := []unix.SockFilter{load(offsetOfArch), equal(auditArchX8664, 1, 0), ret(unix.SECCOMP_RET_ALLOW), load(offsetOfNumber)}
 	for _, c := range calls {
-		out = append(out, equal(c, 0, 1), end(unix.SECCOMP_RET_USER_NOTIF))
+		out = append(out, equal(c, 0, 1), ret(unix.SECCOMP_RET_USER_NOTIF))
 	}
-	return append(out, end(unix.SECCOMP_RET_ALLOW))
+	return append(out, ret(unix.SECCOMP_RET_ALLOW))
 }
