--- a/discovery/dnssrv/source_test.go
+++ b/discovery/dnssrv/source_test.go
@@ -91,8 +91,8 @@
 	whole := func(m *mdns.Msg) dns.Reply { return dns.Honest(m) }
 	for name, reply := range map[string]func(*mdns.Msg) dns.Reply{
 		"hangs":         func(*mdns.Msg) dns.Reply { return dns.Reply{} },
-		"closes midway": func(m *mdns.Msg) dns.Reply { return dns.Reply{Msgs: []*mdns.Msg{m}, Cut: 100} },
-		"cut length":    func(m *mdns.Msg) dns.Reply { return dns.Reply{Msgs: []*mdns.Msg{m}, Cut: 1} },
+		"closes midway": func(m *mdns.Msg) dns.Reply { return dns.Reply{Msgs: []*mdns.Msg{m}, MaxBytes: 100} },
+		"cut length":    func(m *mdns.Msg) dns.Reply { return dns.Reply{Msgs: []*mdns.Msg{m}, MaxBytes: 1} },
 		"wrong id":      func(m *mdns.Msg) dns.Reply { m.Id++; return whole(m) },
 		"truncated too": func(m *mdns.Msg) dns.Reply { m.Truncated = true; return whole(m) },
 	} {
--- a/discovery/sources/config.go
+++ b/discovery/sources/config.go
@@ -291,7 +291,7 @@
 
 func (s *Source) zookeeper() zksource.Config {
 	return zksource.Config{Servers: s.Servers, Path: s.Path, Session: s.Session.Duration, Resync: s.Resync.Duration,
-		Within: s.FlapWithin.Duration, Format: zkrule.Format(s.Format), Parallel: s.Parallel}
+		FlapWindow: s.FlapWithin.Duration, Format: zkrule.Format(s.Format), Parallel: s.Parallel}
 }
 
 func (s *Source) checkDNS(bad func(string, any, string) error) error {
--- a/discovery/zksource/bench_test.go
+++ b/discovery/zksource/bench_test.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	for range routers {
-		c := Config{Servers: []string{s.Addr()}, Path: "/w", Session: 10 * time.Second, Resync: time.Hour, Within: time.Second, Format: zkrule.JSON, Parallel: 8}
+		c := Config{Servers: []string{s.Addr()}, Path: "/w", Session: 10 * time.Second, Resync: time.Hour, FlapWindow: time.Second, Format: zkrule.JSON, Parallel: 8}
 		go New(c, membership.Entry{Weight: 1}).Run(ctx, sink)
 	}
 	for range routers {
--- a/discovery/zksource/source.go
+++ b/discovery/zksource/source.go
@@ -21,13 +21,13 @@
 
 // Config configures a Source. All fields must be set.
 type Config struct {
-	Servers  []string      // host:port
-	Path     string        // the parent of the nodes
-	Session  time.Duration // session timeout
-	Resync   time.Duration // interval of full re-reads, which cover watches that never fire
-	Within   time.Duration // the flap window, see zkrule.New
-	Format   zkrule.Format
-	Parallel int // maximum number of concurrent reads
+	Servers    []string      // host:port
+	Path       string        // the parent of the nodes
+	Session    time.Duration // session timeout
+	Resync     time.Duration // interval of full re-reads, which cover watches that never fire
+	FlapWindow time.Duration // the flap window, see zkrule.New
+	Format     zkrule.Format
+	Parallel   int // maximum number of concurrent reads
 }
 
 // Sink receives the reports of a source, failures of the service and warnings about single nodes.
@@ -63,7 +63,7 @@
 func New(cfg Config, template membership.Entry) *Source {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = retryMin, retryMax
-	return &Source{cfg: cfg, tracker: zkrule.New(cfg.Format, template, cfg.Within), retryBackoff: b,
+	return &Source{cfg: cfg, tracker: zkrule.New(cfg.Format, template, cfg.FlapWindow), retryBackoff: b,
 		queued: map[string]bool{}, watched: map[string]bool{}, initial: map[string]membership.Entry{},
 		events: eventQueue{ready: make(chan struct{}, 1)}}
 }
--- a/discovery/zksource/source_test.go
+++ b/discovery/zksource/source_test.go
@@ -73,7 +73,7 @@
 }
 
 func testConfig(s *zk.Server) Config {
-	return Config{Servers: []string{s.Addr()}, Path: "/w", Session: 2 * time.Second, Resync: time.Hour, Within: 10 * time.Second,
+	return Config{Servers: []string{s.Addr()}, Path: "/w", Session: 2 * time.Second, Resync: time.Hour, FlapWindow: 10 * time.Second,
 		Format: zkrule.JSON, Parallel: 4}
 }
 
@@ -129,7 +129,7 @@
 	h := startSource(t, testConfig(s))
 	h.waitForNames(t)
 	require.Eventually(t, func() bool { n, _, _ := h.count(); return n == 1 }, 20*time.Second, time.Millisecond)
-	for name, d := range map[string]zk.Delivery{"twice": {Twice: true}, "late": {After: 30 * time.Millisecond}, "both": {Twice: true, After: 5 * time.Millisecond}} {
+	for name, d := range map[string]zk.Delivery{"twice": {Duplicate: true}, "late": {Delay: 30 * time.Millisecond}, "both": {Duplicate: true, Delay: 5 * time.Millisecond}} {
 		s.Script(func(zkwire.WatcherEvent) zk.Delivery { return d })
 		for i := range 20 {
 			s.Create("/w/"+name, workerData(1), 1)
@@ -223,7 +223,7 @@
 	var n atomic.Int64
 	s.Script(func(zkwire.WatcherEvent) zk.Delivery {
 		i := n.Add(1)
-		return zk.Delivery{Drop: i%7 == 0, Twice: i%3 == 0, After: time.Duration(i%5) * time.Millisecond}
+		return zk.Delivery{Drop: i%7 == 0, Duplicate: i%3 == 0, Delay: time.Duration(i%5) * time.Millisecond}
 	})
 	there := map[string]bool{}
 	for i := range 400 {
--- a/internal/standin/dns/server.go
+++ b/internal/standin/dns/server.go
@@ -26,9 +26,9 @@
 // Reply defines the response to a query. The zero value sends nothing; over TCP it leaves the
 // connection open.
 type Reply struct {
-	Msgs  []*dns.Msg    // sent one after the other
-	After time.Duration // delay before they are sent
-	Cut   int           // over TCP, the connection is closed after so many bytes; 0: no limit
+	Msgs     []*dns.Msg    // sent one after the other
+	Delay    time.Duration // delay before they are sent
+	MaxBytes int           // over TCP, the connection is closed after so many bytes; 0: no limit
 }
 
 // Server is a running stand-in.
@@ -228,7 +228,7 @@
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			if !s.wait(r.After) {
+			if !s.wait(r.Delay) {
 				return
 			}
 			for _, m := range r.Msgs {
@@ -274,7 +274,7 @@
 			return
 		}
 		r, ok := s.handle(wire, true)
-		if !ok || !s.wait(r.After) {
+		if !ok || !s.wait(r.Delay) {
 			return
 		}
 		for _, m := range r.Msgs {
@@ -283,8 +283,8 @@
 				return
 			}
 			out := append(binary.BigEndian.AppendUint16(nil, uint16(len(wire))), wire...)
-			if r.Cut > 0 {
-				_, _ = c.Write(out[:min(r.Cut, len(out))])
+			if r.MaxBytes > 0 {
+				_, _ = c.Write(out[:min(r.MaxBytes, len(out))])
 				return
 			}
 			if _, err := c.Write(out); err != nil {
--- a/internal/standin/link/relay.go
+++ b/internal/standin/link/relay.go
@@ -20,10 +20,10 @@
 	Refuse bool          // new connections are closed at once
 	Drop   [2]bool       // bytes to, from the far end are dropped; connections stay open
 	Delay  time.Duration // bytes are delayed, in both directions
-	// Vanish simulates a far end whose machine has disappeared from the network: its kernel does
+	// Blackhole simulates a far end whose machine has disappeared from the network: its kernel does
 	// not even acknowledge what is sent to it, its connections stay open and silent, and new ones
 	// are not established.
-	Vanish bool
+	Blackhole bool
 	// Heals, together with Vanish, simulates a network cut that heals: what the far end sends
 	// meanwhile is delivered late and not lost, since TCP retransmits it.
 	Heals bool
@@ -72,9 +72,9 @@
 // Addr returns the address on which the relay listens, as host:port.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// CanVanish returns nil if relays of this process support Fault.Vanish, or else the reason why not.
+// CanBlackhole returns nil if relays of this process support Fault.Vanish, or else the reason why not.
 // Some kernels allow only privileged processes to attach a filter to a socket.
-func CanVanish() error {
+func CanBlackhole() error {
 	r, err := New("127.0.0.1:0")
 	if err != nil {
 		return err
@@ -84,18 +84,18 @@
 }
 
 // Set replaces the current fault; the zero value ends it. Set panics for a fault with Vanish where
-// that is not supported (CanVanish): if the relay read and dropped the bytes instead, the kernel
+// that is not supported (CanBlackhole): if the relay read and dropped the bytes instead, the kernel
 // would acknowledge them, which is a different fault.
 func (r *Relay) Set(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f.Vanish && !f.Heals {
+	if f.Blackhole && !f.Heals {
 		f.Drop = [2]bool{true, true}
 	}
-	if f.Vanish != r.fault.Vanish {
-		must(dropIncoming(r.listener, f.Vanish))
+	if f.Blackhole != r.fault.Blackhole {
+		must(dropIncoming(r.listener, f.Blackhole))
 		for c := range r.accepted {
-			if err := dropIncoming(c, f.Vanish); !errors.Is(err, net.ErrClosed) {
+			if err := dropIncoming(c, f.Blackhole); !errors.Is(err, net.ErrClosed) {
 				must(err)
 			}
 		}
@@ -112,7 +112,7 @@
 		r.mu.Lock()
 		f, changed := r.fault, r.faultChanged
 		r.mu.Unlock()
-		if direction != fromFarEnd || !f.Vanish || !f.Heals {
+		if direction != fromFarEnd || !f.Blackhole || !f.Heals {
 			return
 		}
 		<-changed
@@ -220,7 +220,7 @@
 	}
 	r.mu.Lock()
 	r.conns[from], r.conns[to], r.accepted[from] = true, true, true
-	if r.fault.Vanish {
+	if r.fault.Blackhole {
 		must(dropIncoming(from, true))
 	}
 	r.mu.Unlock()
--- a/internal/standin/syscalls/syscalls.go
+++ b/internal/standin/syscalls/syscalls.go
@@ -103,8 +103,8 @@
 	return f.failed[call]
 }
 
-// Asked returns how many calls of a number have been trapped.
-func (f *Faults) Asked(call int) int {
+// Calls returns how many calls of a number have been trapped.
+func (f *Faults) Calls(call int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.asked[call]
--- a/internal/standin/zk/server.go
+++ b/internal/standin/zk/server.go
@@ -18,9 +18,9 @@
 // Delivery defines the delivery of a watch event. The zero value sends the event once and without
 // delay.
 type Delivery struct {
-	Drop  bool
-	Twice bool          // one more event is sent without delay
-	After time.Duration // delay before the event is sent
+	Drop      bool
+	Duplicate bool          // one more event is sent without delay
+	Delay     time.Duration // delay before the event is sent
 }
 
 // Server is a running stand-in.
@@ -212,12 +212,12 @@
 	switch {
 	case d.Drop:
 		return
-	case d.After > 0:
-		time.AfterFunc(d.After, func() { c.send(frame) })
+	case d.Delay > 0:
+		time.AfterFunc(d.Delay, func() { c.send(frame) })
 	default:
 		c.send(frame)
 	}
-	if d.Twice {
+	if d.Duplicate {
 		c.send(frame)
 	}
 }
--- a/test/disk_hang_test.go
+++ b/test/disk_hang_test.go
@@ -65,7 +65,7 @@
 		return p
 	})
 	for i, p := range programs {
-		eventually(t, func() bool { return disks[i].Asked(syscalls.Fdatasync) > 0 }, "the disk was asked")
+		eventually(t, func() bool { return disks[i].Calls(syscalls.Fdatasync) > 0 }, "the disk was asked")
 		p.signal(syscall.SIGTERM)
 		p.waitExit()
 	}
--- a/test/held_test.go
+++ b/test/held_test.go
@@ -258,8 +258,8 @@
 // A send that has not arrived is not out: it does not stop the clock for what a reader holds. Whether something on the way
 // acknowledges the bytes (the system of a worker that is stopped or cut off, a proxy) makes no difference.
 func TestASendThatNeverArrivesStopsNoClock(t *testing.T) {
-	require.NoError(t, link.CanVanish(), "this system makes the test one for privileged users")
-	sendsThatNeverArrive(t, link.Fault{Vanish: true})
+	require.NoError(t, link.CanBlackhole(), "this system makes the test one for privileged users")
+	sendsThatNeverArrive(t, link.Fault{Blackhole: true})
 }
 
 func TestASendThatNobodyReadsStopsNoClock(t *testing.T) {
--- a/test/late_arrival_test.go
+++ b/test/late_arrival_test.go
@@ -27,7 +27,7 @@
 // What a router calls off while its worker's machine is out of reach must not arrive there when it is back: a client that has
 // gone, another attempt and a released state have nothing to do with it any more. What arrived is told by the workers' handlers.
 func TestWhatIsCalledOffDuringACutDoesNotArriveWhenItHeals(t *testing.T) {
-	require.NoError(t, link.CanVanish(), "this system makes the test one for privileged users")
+	require.NoError(t, link.CanBlackhole(), "this system makes the test one for privileged users")
 	h := newHolds()
 	var workers []*worker
 	var relays []*link.Relay
@@ -113,7 +113,7 @@
 			time.Sleep(cutRest / 2)
 			changes.Add(1)
 			for _, relay := range relays[1:] {
-				relay.Set(link.Fault{Vanish: true, Heals: true})
+				relay.Set(link.Fault{Blackhole: true, Heals: true})
 			}
 			time.Sleep(lasts)
 			for _, relay := range relays[1:] {
--- a/test/overlap_test.go
+++ b/test/overlap_test.go
@@ -221,7 +221,7 @@
 		judge: judge.New(judge.Limits{Answer: 500 * time.Millisecond, Grace: 300 * time.Millisecond, Held: 600 * time.Millisecond, Told: toldSlack,
 			Gone: 100 * time.Millisecond, Copies: 50 * time.Millisecond, Window: 2 * time.Second, Slack: overlapSlack,
 			Cold: judge.Cold{Share: 0.3, Within: 10 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond}})} // as settings
-	if r.cantVanish = link.CanVanish(); r.cantVanish != nil {
+	if r.cantVanish = link.CanBlackhole(); r.cantVanish != nil {
 		t.Logf("not played: machines that vanish: %v", r.cantVanish)
 	}
 	for i := range overlapReaders + overlapWriters + overlapMixed {
--- a/test/overlap_troubles_test.go
+++ b/test/overlap_troubles_test.go
@@ -80,7 +80,7 @@
 	"half answer":  withManner(halfAnswer),
 	"slow link":    withLink(link.Fault{Delay: 60 * time.Millisecond}),
 	"refuse":       withLink(link.Fault{Refuse: true}),
-	"vanish":       withLink(link.Fault{Vanish: true}),
+	"vanish":       withLink(link.Fault{Blackhole: true}),
 	"answers lost": withLink(link.Fault{Drop: [2]bool{false, true}}),
 	"sends lost":   withLink(link.Fault{Drop: [2]bool{true, false}}),
 	"all lost":     withLink(link.Fault{Drop: [2]bool{true, true}}),
@@ -329,7 +329,7 @@
 	lasts := some(rng, 800*time.Millisecond)
 	r.onHalfOfAllWorkers(func(k *overlapWorker) {
 		k.linkFaults.Add(1)
-		k.relay.Set(link.Fault{Vanish: true, Heals: true})
+		k.relay.Set(link.Fault{Blackhole: true, Heals: true})
 		time.Sleep(lasts)
 		k.relay.Set(link.Fault{})
 		time.Sleep(answerUnderWay)
--- a/test/sources_test.go
+++ b/test/sources_test.go
@@ -218,7 +218,7 @@
 	cutAt := func(n int) func(dns.Query, *mdns.Msg) dns.Reply {
 		return func(q dns.Query, m *mdns.Msg) dns.Reply {
 			if q.TCP {
-				return dns.Reply{Msgs: []*mdns.Msg{m}, Cut: n}
+				return dns.Reply{Msgs: []*mdns.Msg{m}, MaxBytes: n}
 			}
 			m.Truncated = true
 			return dns.Honest(m)
@@ -343,7 +343,7 @@
 	s.dns.Script(func(_ dns.Query, m *mdns.Msg) dns.Reply {
 		m.Answer = nil
 		m.Rcode = mdns.RcodeNameError
-		return dns.Reply{Msgs: []*mdns.Msg{m}, After: 90 * time.Millisecond}
+		return dns.Reply{Msgs: []*mdns.Msg{m}, Delay: 90 * time.Millisecond}
 	})
 	second2, err := dns.New()
 	require.NoError(t, err)
--- a/test/zk_test.go
+++ b/test/zk_test.go
@@ -53,7 +53,7 @@
 	s.run()
 	s.becomes("w0", "w1", "w2", "w3")
 	service.Script(func(ev zkwire.WatcherEvent) zk.Delivery { // events come twice or late now and then
-		return zk.Delivery{Twice: rand.IntN(4) == 0, After: time.Duration(rand.IntN(3)) * time.Millisecond}
+		return zk.Delivery{Duplicate: rand.IntN(4) == 0, Delay: time.Duration(rand.IntN(3)) * time.Millisecond}
 	})
 	type span struct {
 		w        *worker
