--- a/front/platform/config.go
+++ b/front/platform/config.go
@@ -1,5 +1,5 @@
-// Package platform is the thin front to the platform's protocol: the client
-// server, the worker client, the discovery watch and the configuration.
+// Package platform implements the front that speaks the platform's protocol: the server for
+// clients, the client for workers, the discovery watch and the configuration.
 package platform
 
 import (
@@ -17,41 +17,42 @@
 	"lichenshelf/wire"
 )
 
-// Config is what the platform tells a router.
+// Config is the configuration that the platform gives to a router.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	Console   string // the operators' address; empty: no console
+	Console   string // address of the operators' console; empty: no console
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int
 	Sockets   int
-	Known     List
+	Known     List // workers known at the start, before discovery answers
 	Settings  logic.Settings
-	Reports   wire.Columns // the fields of the load reports that come with answers; nil: none do
+	Reports   wire.Columns // fields of the load reports in answers; nil: answers have no load reports
 
-	// ListsAsked tells that one discovery answers all routers that ask it, not an agent
-	// of this machine; who has not asked for MustAsk then counts as told (0: not stated).
-	ListsAsked bool
-	MustAsk    time.Duration
+	// ListsPulled says that a central discovery service answers requests of all routers, instead of
+	// an agent on this machine that pushes lists. Then the platform assumes that a router knows the
+	// current list even if it has not asked for MustAsk (0: not stated).
+	ListsPulled bool
+	MustAsk     time.Duration
 
-	doubts   []string
-	inFile   string                    // discovery as the file names it
-	names    map[string]map[string]int // "class", "tenant", "zone", "kind": index by name
-	ConnIdle time.Duration             // workers close idle connections at the latest then
-	OpenCap  int
-	Longest  time.Duration // the longest deadline of a class; 0 if none is stated
+	warnings        []string
+	discoveryInFile string                    // discovery address in the file
+	names           map[string]map[string]int // "class", "tenant", "zone", "kind": index by name
+	ConnIdle        time.Duration             // workers close connections that are idle for this long
+	OpenCap         int
+	LongestDeadline time.Duration // the longest deadline of any class; 0: not stated
 }
 
-// List is discovery's list, or changes to it.
+// List is a list of workers from discovery, or changes to it.
 type List struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is one line of a List.
+// Instance is one worker of a List.
 type Instance struct {
 	ID          string  `json:"instanceId"`
 	Addr        string  `json:"hostPort"`
@@ -63,35 +64,35 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// mostLongest is what the platform counts a longer deadline as when it kills a process.
-const mostLongest = 3 * time.Second
+// maxCountedDeadline caps the deadline that the platform waits for before it kills a process.
+const maxCountedDeadline = 3 * time.Second
 
-// LeaveAfter is how long after SIGTERM a process has to give up what is in hand: the
-// longest deadline, as the platform counts it. The kill comes 0.7 s later, a time in
-// which what is held is let go of, and clients that come again for the rest of a stream
-// find another router.
+// LeaveAfter returns the time after SIGTERM at which a process cancels its open requests: the
+// longest deadline, capped as the platform caps it. The platform kills the process 0.7 s later.
+// In that time held state is released, and clients that ask for the rest of a stream are
+// served by another router.
 func (c *Config) LeaveAfter() time.Duration {
-	longest := c.Longest
+	longest := c.LongestDeadline
 	if longest <= 0 {
-		longest = mostLongest
+		longest = maxCountedDeadline
 	}
-	return min(longest, mostLongest)
+	return min(longest, maxCountedDeadline)
 }
 
-// takeOnly is how long after SIGTERM requests may be taken whose answers the kill
-// would lose.
-const takeOnly = 500 * time.Millisecond
+// acceptUnresumable is the time after SIGTERM during which requests are accepted whose answers
+// would be lost if the process is killed.
+const acceptUnresumable = 500 * time.Millisecond
 
-// TakeFor is how long after SIGTERM clients may be taken that still come: to the end
-// where what is cut off goes on elsewhere.
+// TakeFor returns how long after SIGTERM new requests are accepted: up to LeaveAfter if
+// interrupted streams can be resumed at another router, shorter otherwise.
 func (c *Config) TakeFor() time.Duration {
 	if c.Settings.Resume {
 		return c.LeaveAfter()
 	}
-	return min(takeOnly, c.LeaveAfter())
+	return min(acceptUnresumable, c.LeaveAfter())
 }
 
-// ReadConfig reads the file alone.
+// ReadConfig reads the configuration file, without the environment variables.
 func ReadConfig(path string) (*Config, error) {
 	text, err := conffile.ReadText(path)
 	if err != nil {
@@ -104,14 +105,14 @@
 	return c, nil
 }
 
-// LoadConfig reads the file and variables that DEPLOY names; a variable that is
-// set goes before the file.
+// LoadConfig reads the configuration file and the environment variables ROUTER_NAME,
+// ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONSOLE, which override the file.
 func LoadConfig(path string, getenv func(string) string) (*Config, error) {
 	c, err := ReadConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	c.inFile = c.Discovery
+	c.discoveryInFile = c.Discovery
 	for name, to := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
 		"ROUTER_CONSOLE": &c.Console,
@@ -121,12 +122,12 @@
 		}
 	}
 	if c.Listen == "" || c.Discovery == "" {
-		return nil, errors.New("no address to listen on, or none of discovery")
+		return nil, errors.New("listen address or discovery address is not set")
 	}
 	return c, nil
 }
 
-// ParseConfig reads the configuration's JSON.
+// ParseConfig parses the JSON text of a configuration.
 func ParseConfig(text []byte) (*Config, error) {
 	var raw struct {
 		Name      string `json:"name"`
@@ -143,10 +144,10 @@
 		Settings json.RawMessage `json:"settings"`
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
-		return nil, errors.New("the file is empty")
+		return nil, errors.New("file is empty")
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		return nil, fmt.Errorf("not the JSON expected: %w", err)
+		return nil, fmt.Errorf("parse JSON: %w", err)
 	}
 	values, err := Flatten(raw.Settings)
 	if err != nil {
@@ -164,19 +165,19 @@
 	if values["load-info.how"] != "answers" {
 		c.Reports = nil
 	}
-	if err := overZero(values, len(c.Settings.Classes)); err != nil {
+	if err := checkPositive(values, len(c.Settings.Classes)); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		c.Seed = router.Hash(raw.Seed)
 	}
 	c.names = map[string]map[string]int{
-		"class": named(values, "categories"), "tenant": named(values, "realms"),
-		"zone": listed(values["zones"]), "kind": listed(values["skus"]),
+		"class": indexByName(values, "categories"), "tenant": indexByName(values, "realms"),
+		"zone": indexList(values["zones"]), "kind": indexList(values["skus"]),
 	}
 	for i := range c.Settings.Classes {
 		if ns, err := strconv.ParseFloat(values[fmt.Sprintf("categories.%d.hard-limit-ns", i)], 64); err == nil {
-			c.Longest = max(c.Longest, time.Duration(ns))
+			c.LongestDeadline = max(c.LongestDeadline, time.Duration(ns))
 		}
 	}
 	if ns, err := strconv.ParseFloat(values["bounds.conn-idle-ns"], 64); err == nil {
@@ -185,24 +186,24 @@
 	if n, err := strconv.Atoi(values["bounds.open-cap"]); err == nil {
 		c.OpenCap = n
 	}
-	c.ListsAsked = values[keyMode] == modeAsked
+	c.ListsPulled = values[keyMembershipMode] == modePulled
 	if ns, err := strconv.ParseFloat(values["safety.must-ask-in-ns"], 64); err == nil {
 		c.MustAsk = time.Duration(ns)
 	}
-	c.doubts = findDoubts(values, c)
+	c.warnings = findWarnings(values, c)
 	return c, nil
 }
 
-// How the settings say whether lists are pushed.
+// The setting that says whether worker lists are pushed or pulled, and its values.
 const (
-	keyMode    = "membership-mode"
-	modePushed = "automatic"
-	modeAsked  = "subscribe"
+	keyMembershipMode = "membership-mode"
+	modePushed        = "automatic"
+	modePulled        = "subscribe"
 )
 
-// overZero checks the bounds that must be over 0: attempts and each class's
-// deadlines, where they are given.
-func overZero(values map[string]string, classes int) error {
+// checkPositive checks the settings that must be greater than 0 if they are given: the maximum
+// number of attempts and the deadlines of each class.
+func checkPositive(values map[string]string, classes int) error {
 	keys := []string{"bounds.most-tries"}
 	for i := range classes {
 		keys = append(keys, fmt.Sprintf("categories.%d.target-ns", i), fmt.Sprintf("categories.%d.hard-limit-ns", i))
@@ -210,17 +211,17 @@
 	for _, k := range keys {
 		v, ok := values[k]
 		if !ok {
-			continue // a key that must be there is checked as it is read
+			continue // required keys are checked where they are parsed
 		}
 		if f, err := strconv.ParseFloat(v, 64); err != nil || !(f > 0) {
-			return fmt.Errorf("%s is %q, not over 0", k, v)
+			return fmt.Errorf("%s is %q: must be greater than 0", k, v)
 		}
 	}
 	return nil
 }
 
-// Flatten turns nested JSON into the wire's form of settings: a path for each
-// value, plain lists joined with commas, lists of objects counted and numbered.
+// Flatten converts nested JSON to the flat form of settings on the simulator's wire: one path per
+// value, lists of scalars joined by commas, lists of objects with a count and numbered paths.
 func Flatten(text json.RawMessage) (map[string]string, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -264,11 +265,11 @@
 	}
 }
 
-var unplain = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+var flatReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-func plainText(v any) string { return unplain.Replace(fmt.Sprint(v)) }
+func plainText(v any) string { return flatReplacer.Replace(fmt.Sprint(v)) }
 
-func named(values map[string]string, list string) map[string]int {
+func indexByName(values map[string]string, list string) map[string]int {
 	out := map[string]int{}
 	n, _ := strconv.Atoi(values[list+".count"])
 	for i := range n {
@@ -277,7 +278,7 @@
 	return out
 }
 
-func listed(joined string) map[string]int {
+func indexList(joined string) map[string]int {
 	out := map[string]int{}
 	for i, name := range strings.Split(joined, ",") {
 		out[name] = i
@@ -285,26 +286,27 @@
 	return out
 }
 
-// index finds a name; one that the settings lack stands behind all that they have.
-func (c *Config) index(what, name string) int {
-	names := c.names[what]
-	if i, ok := names[unplain.Replace(name)]; ok {
+// index returns the number of a name. Names that the settings don't have all get the number after
+// the last known one.
+func (c *Config) index(table, name string) int {
+	names := c.names[table]
+	if i, ok := names[flatReplacer.Replace(name)]; ok {
 		return i
 	}
 	return len(names)
 }
 
-// Number is the number of a zone ("zone") or a machine type ("kind") by its name;
-// false if the settings have no such name.
-func (c *Config) Number(what, name string) (int, bool) {
-	i, ok := c.names[what][unplain.Replace(name)]
+// Number returns the number of a zone (table "zone") or machine type (table "kind"), and false if
+// the settings don't have the name.
+func (c *Config) Number(table, name string) (int, bool) {
+	i, ok := c.names[table][flatReplacer.Replace(name)]
 	return i, ok
 }
 
-// Names are those of "class", "tenant", "zone" or "kind", by their numbers.
-func (c *Config) Names(what string) []string {
-	out := make([]string, len(c.names[what]))
-	for name, i := range c.names[what] {
+// Names returns the names in a table ("class", "tenant", "zone" or "kind") by number.
+func (c *Config) Names(table string) []string {
+	out := make([]string, len(c.names[table]))
+	for name, i := range c.names[table] {
 		if i < len(out) {
 			out[i] = name
 		}
@@ -312,9 +314,9 @@
 	return out
 }
 
-// key turns a name from the wire into a number: its hexadecimal value, or a hash
-// that is the same at every router.
-func key(s string) uint64 {
+// numericKey converts a name from the wire to a number: its hexadecimal value, or else a hash that
+// is the same at every router.
+func numericKey(s string) uint64 {
 	if s == "" {
 		return 0
 	}
--- a/front/platform/config_test.go
+++ b/front/platform/config_test.go
@@ -10,7 +10,7 @@
 	"lichenshelf/router"
 )
 
-func TestFlattenGivesTheWiresForm(t *testing.T) {
+func TestFlattenReturnsWireFormat(t *testing.T) {
 	got, err := Flatten(json.RawMessage(`{"a":1,"b":{"c-ns":30000000000,"d":true},"list":["x y","z,1"],
 		"empty":[],"objects":[{"n":"p"},{"n":null}],"nothing":null}`))
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 		"tenant": {"acme": 0}}}
 }
 
-func TestMembersTakesAListWholeOrNotAtAll(t *testing.T) {
+func TestMembersRejectsListWithMalformedInstance(t *testing.T) {
 	var ids router.ServerIDs
 	good := Instance{ID: "s-5be2a07c", Addr: "127.0.0.1:3000", Zone: "b", Kind: "m1", Cell: 3, Lifecycle: "terminating", StartedAtMs: 5}
 	members, err := testConfig().members(&ids, List{Instances: []Instance{good}}, false)
@@ -46,7 +46,7 @@
 		require.Error(t, err)
 		require.NotEmpty(t, left)
 		for _, m := range left {
-			require.Equal(t, logic.Draining, m.Health, "but what leaves is told")
+			require.Equal(t, logic.Draining, m.Health, "leaving members are still returned")
 		}
 	}
 	twice, err := testConfig().members(&ids, List{Instances: []Instance{good, good}}, false)
@@ -61,9 +61,9 @@
 
 func TestFacts(t *testing.T) {
 	var r logic.Request
-	require.NoError(t, facts(&r, "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800,new=1"))
+	require.NoError(t, parseFacts(&r, "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800,new=1"))
 	require.Equal(t, logic.Request{Prefix: 0x5c0f6e1a2b3d4c59, PromptTokens: 5120, PrefixTokens: 2048, MaxTokens: 800}, r)
 	for _, bad := range []string{"", "prompt_len=-1", "max_out=NaN", "prefix_len=1e99"} {
-		require.Error(t, facts(&r, bad), bad)
+		require.Error(t, parseFacts(&r, bad), bad)
 	}
 }
--- a/front/platform/describe_test.go
+++ b/front/platform/describe_test.go
@@ -9,9 +9,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// second are settings of another shape than the first deployment's: reports with
-// answers, two kinds, no accounts, no come-back advice, streams that are lost.
-const second = `{"balancers":2,"my-zone":0,"zones":["east","west"],"skus":["prefill","decode"],
+// secondSettings is a settings text that differs from the first deployment's: load reports in
+// answers, two kinds of workers, no accounts, no Retry-After, and streams that can't be resumed.
+const secondSettings = `{"balancers":2,"my-zone":0,"zones":["east","west"],"skus":["prefill","decode"],
  "bounds":{"cancel":true,"retry-after":false,"most-tries":6,"connect-timeout-ns":250000000,"conn-idle-ns":15000000000},
  "categories":[
   {"name":"check","effect":"repeatable","points":2.0,"target-ns":1000000000,"hard-limit-ns":5000000000,"late-share":0.2},
@@ -22,17 +22,17 @@
  "safety":{"cold-share":0.26,"fall-multiple":2.5,"fall-ns":1500000000,"stop-sending-within-ns":1000000000,
   "warm-within-ns":14000000000},"load-info":{"columns":["x0","x1"],"how":"answers"}}`
 
-// read takes settings in which each pair of texts was replaced.
-func read(t *testing.T, replace ...string) (*Config, error) {
-	text := strings.NewReplacer(replace...).Replace(second)
+// parseSettings parses the settings of secondSettings after replacing each pair of texts.
+func parseSettings(t *testing.T, replace ...string) (*Config, error) {
+	text := strings.NewReplacer(replace...).Replace(secondSettings)
 	if len(replace) > 0 {
-		require.NotEqual(t, second, text, "nothing was replaced")
+		require.NotEqual(t, secondSettings, text, "nothing was replaced")
 	}
 	return ParseConfig([]byte(`{"name":"n","seed":"1","known":{},"settings":` + text + `}`))
 }
 
-func TestDescribeSaysWhatIsUnderstood(t *testing.T) {
-	c, err := read(t)
+func TestDescribeExplainsSettings(t *testing.T) {
+	c, err := parseSettings(t)
 	require.NoError(t, err)
 	text := strings.Join(c.Describe(), "\n")
 	for _, want := range []string{"routers: 2, zones: east, west, attempts at most: 6", "kind prefill: reads, memory 240000 tokens",
@@ -46,28 +46,29 @@
 	require.Empty(t, c.Doubts())
 }
 
-// Settings that are odd are taken with a doubt that names key and value; what can't be read is an error that does.
-func TestOddSettings(t *testing.T) {
+// Unlikely settings are accepted with a warning that names key and value; malformed settings are an
+// error that names both.
+func TestUnlikelySettings(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		replace []string
-		doubt   string // part of the one doubt; empty: none
-		fault   string // part of the error; empty: taken
+		warning string // part of the only warning; empty: none
+		fault   string // part of the error; empty: accepted
 	}{
 		{"no readers", []string{`["read","write"]`, `["write","write"]`}, `settings.extra.role-by-kind is "write,write": no kind reads`, ""},
 		{"no readers, but writers read", []string{`["read","write"]`, `["write","write"]`, `"read-in-place":false`, `"read-in-place":true`}, "", ""},
 		{"no writers", []string{`["read","write"]`, `["read","read"]`}, `settings.extra.role-by-kind is "read,read": no kind writes`, ""},
 		{"mixed servers alone", []string{`["read","write"]`, `["both","both"]`}, "", ""},
 		{"an unknown role", []string{`["read","write"]`, `["read","think"]`}, "", `extra.role-by-kind is malformed: "think"`},
-		{"no accounts, said aloud", []string{`"balancers":2`, `"balancers":2,"realms":[]`}, "", ""},
+		{"empty list of accounts", []string{`"balancers":2`, `"balancers":2,"realms":[]`}, "", ""},
 		{"one zone", []string{`["east","west"]`, `["east"]`}, "", ""},
 		{"no routers", []string{`"balancers":2`, `"balancers":0`}, `settings.balancers is "0": counted as 1`, ""},
-		{"a class of no worth", []string{`"points":2.0`, `"points":0`}, `settings.categories.0.points is "0": class check`, ""},
-		{"no worth at all", []string{`"points":2.0`, `"points":0`, `"points":3.0`, `"points":0.0`}, `settings.categories.0.points is "0": no class`, ""},
-		{"a negative worth", []string{`"points":2.0`, `"points":-2`}, "", `categories.0.points is malformed: "-2"`},
-		{"an aim past the limit", []string{`"target-ns":1000000000`, `"target-ns":9000000000`}, `settings.categories.0.target-ns is "9000000000": past`, ""},
+		{"a class with 0 points", []string{`"points":2.0`, `"points":0`}, `settings.categories.0.points is "0": class check`, ""},
+		{"all classes with 0 points", []string{`"points":2.0`, `"points":0`, `"points":3.0`, `"points":0.0`}, `settings.categories.0.points is "0": no class`, ""},
+		{"negative points", []string{`"points":2.0`, `"points":-2`}, "", `categories.0.points is malformed: "-2"`},
+		{"an aim beyond the limit", []string{`"target-ns":1000000000`, `"target-ns":9000000000`}, `settings.categories.0.target-ns is "9000000000": past`, ""},
 		{"reports by probing", []string{`"how":"answers"`, `"how":"probe"`}, `settings.load-info.how is "probe"`, ""},
-		{"a field of no known meaning", []string{`"share of memory that is held"`, `"depth of the moat"`}, `settings.extra.report-x0 is "depth_of_the_moat"`, ""},
+		{"a field with an unknown meaning", []string{`"share of memory that is held"`, `"depth of the moat"`}, `settings.extra.report-x0 is "depth_of_the_moat"`, ""},
 		{"a field without a meaning", []string{`"report-x0":"share of memory that is held",`, ``}, `settings.extra.report-x0 is absent`, ""},
 		{"no reports", []string{`["x0","x1"]`, `[]`, `"answers"`, `"none"`}, "", ""},
 		{"no cold share", []string{`"cold-share":0.26`, `"cold-share":0`}, `settings.safety.cold-share is "0"`, ""},
@@ -75,40 +76,41 @@
 		{"no attempts", []string{`"most-tries":6`, `"most-tries":0`}, "", `bounds.most-tries is "0"`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c, err := read(t, tc.replace...)
+			c, err := parseSettings(t, tc.replace...)
 			if tc.fault != "" {
 				require.ErrorContains(t, err, tc.fault)
 				return
 			}
 			require.NoError(t, err)
 			require.NotEmpty(t, c.Describe())
-			if tc.doubt == "" {
+			if tc.warning == "" {
 				require.Empty(t, c.Doubts())
 				return
 			}
 			require.Len(t, c.Doubts(), 1)
-			require.Contains(t, c.Doubts()[0], tc.doubt)
+			require.Contains(t, c.Doubts()[0], tc.warning)
 		})
 	}
 }
 
-// Reports are read where the settings say that answers hold them, and only what they say.
+// Load reports are read only if the settings say that answers contain them, by the columns that the
+// settings name.
 func TestReportsFollowTheSettings(t *testing.T) {
-	c, err := read(t)
+	c, err := parseSettings(t)
 	require.NoError(t, err)
 	l, err := c.Reports.Parse("x1=3.2,x0=0.41")
 	require.NoError(t, err)
 	require.True(t, l.HasMemory && l.HasUnread && l.MemoryShare == 0.41 && l.UnreadToken == 3200)
 	for _, how := range []string{`"none"`, `"probe"`} {
-		c, err = read(t, `"answers"`, how)
+		c, err = parseSettings(t, `"answers"`, how)
 		require.NoError(t, err)
 		require.False(t, c.Reports.Understands(), how)
 	}
 }
 
-// Names of requests go on to workers as they came, or not at all.
-func TestNamesInOtherForms(t *testing.T) {
-	c, err := read(t)
+// Request names are forwarded to workers unchanged; names that are unsafe in a path are rejected.
+func TestRequestNameFormats(t *testing.T) {
+	c, err := parseSettings(t)
 	require.NoError(t, err)
 	front := NewFront(c, nil)
 	for name, taken := range map[string]bool{
--- a/front/platform/front.go
+++ b/front/platform/front.go
@@ -34,7 +34,7 @@
 	headerLoad   = "X-Backend-Load"
 )
 
-// MaxBody bounds the body of a request.
+// MaxBody is the maximum size of a request body in bytes.
 const MaxBody = 256 << 10
 
 var (
@@ -46,7 +46,8 @@
 	errRejected = errors.New("a worker found fault with the request")
 )
 
-// Front turns clients' calls into requests for the core and its answers into theirs.
+// Front translates HTTP calls of clients into requests to the core, and the core's answers into
+// HTTP responses.
 type Front struct {
 	cfg     *Config
 	ready   func() bool
@@ -54,16 +55,16 @@
 	classes atomic.Pointer[classTable]
 }
 
-// classTable is what the front knows of classes: the rules of each by index, and
-// the index of each name that clients may use now. A class that is dropped or
-// changed keeps its index for the requests that are open in it.
+// classTable holds the rules of all request classes by index, and the index of each class name
+// that clients may currently use. A class that was removed or changed keeps its index for the
+// requests that are still open in it.
 type classTable struct {
 	Rules []logic.Class
 	Names []string // by index, as Rules
 	Index map[string]int
 }
 
-// find returns the index under which a class was once there with these rules, -1 if it was not.
+// find returns the index of a past or present class with this name and these rules, or -1.
 func (t *classTable) find(name string, rules logic.Class) int {
 	for i := range t.Rules {
 		if t.Names[i] == name && t.Rules[i] == rules {
@@ -73,7 +74,7 @@
 	return -1
 }
 
-// classNames are the names of a configuration's classes, by index.
+// classNames returns the names of a configuration's classes by index.
 func classNames(cfg *Config) []string {
 	names := make([]string, len(cfg.Settings.Classes))
 	for name, i := range cfg.names["class"] {
@@ -84,17 +85,18 @@
 	return names
 }
 
-// NewFront returns a front; ready tells whether the router can serve.
+// NewFront returns a front; ready reports whether the router can serve requests.
 func NewFront(cfg *Config, ready func() bool) *Front {
 	f := &Front{cfg: cfg, ready: ready}
 	f.classes.Store(&classTable{Rules: cfg.Settings.Classes, Names: classNames(cfg), Index: cfg.names["class"]})
 	return f
 }
 
-// Retune takes the classes of a configuration read again and returns the rules
-// by index, for the decisions. A class whose name and rules are as they once were has
-// the index that it had; one that is new or changed gets a new one. Requests are read by the new names from publish on, which is to be
-// called once the core has the rules: it would take a class that it does not know for one that may be repeated freely.
+// Retune takes over the classes of a reloaded configuration and returns the rules by index, for
+// the core. A class whose name and rules match an earlier one keeps its index; a new or changed
+// class gets a new index. New requests use the new classes once publish has been called. Call
+// publish only after the core has the rules: the core treats a class that it does not know as one
+// whose requests may be repeated freely.
 func (f *Front) Retune(next *Config) (rules []logic.Class, publish func()) {
 	was := f.classes.Load()
 	now := &classTable{Rules: slices.Clone(was.Rules), Names: slices.Clone(was.Names), Index: map[string]int{}}
@@ -110,10 +112,10 @@
 	return now.Rules, func() { f.classes.Store(now) }
 }
 
-// Shut makes the front take nothing new, or take it again. What it has in hand ends as usual.
+// Shut makes the front refuse new requests, or accept them again. Open requests complete as usual.
 func (f *Front) Shut(shut bool) { f.shut.Store(shut) }
 
-// Handle answers one call.
+// Handle serves one HTTP call.
 func (f *Front) Handle(call *downstream.Call) {
 	path, _, _ := strings.Cut(string(call.Request.Header.RequestURI()), "?")
 	switch path {
@@ -122,7 +124,7 @@
 	case chatPath:
 		switch {
 		case f.shut.Load():
-			f.advise(call, time.Second)
+			f.setRetryAfter(call, time.Second)
 			call.Problem(fasthttp.StatusServiceUnavailable, errShutOut)
 		case call.Allow(fasthttp.MethodPost):
 			f.chat(call)
@@ -152,7 +154,7 @@
 	case answer.Last == logic.Rejected:
 		call.Problem(fasthttp.StatusBadRequest, errRejected)
 	case answer.Refused:
-		f.advise(call, answer.RetryAfter)
+		f.setRetryAfter(call, answer.RetryAfter)
 		call.Problem(fasthttp.StatusServiceUnavailable, errRefused)
 	case answer.Left:
 		call.Response.SetConnectionClose()
@@ -163,15 +165,16 @@
 	}
 }
 
-// advise tells when to come back, as far as the settings let routers do so.
-func (f *Front) advise(call *downstream.Call, after time.Duration) {
+// setRetryAfter sets the Retry-After header if the settings allow it, up to their maximum.
+func (f *Front) setRetryAfter(call *downstream.Call, after time.Duration) {
 	s := &f.cfg.Settings
 	if after = min(after, s.MaxRetryAfter); s.RetryAfter && after > 0 {
 		call.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 }
 
-// message takes what goes on to workers. The server uses its buffers again.
+// message copies the parts of the call that are forwarded to workers; the server reuses the call's
+// header buffers.
 func message(call *downstream.Call, body []byte) *upstream.Message {
 	m := &upstream.Message{
 		Method: string(call.Method()), URI: string(call.Request.Header.RequestURI()),
@@ -188,20 +191,20 @@
 	return m
 }
 
-// request reads what the decisions look at.
+// request parses the headers that routing decisions depend on.
 func (f *Front) request(h *fasthttp.RequestHeader) (*router.Request, error) {
 	get := func(name string) string { return string(h.Peek(name)) }
 	r := &router.Request{Name: get(headerName)}
 	if !cleanName(r.Name) {
 		return nil, fmt.Errorf("%s is missing or malformed", headerName)
 	}
-	class, ok := f.classes.Load().Index[unplain.Replace(get(headerClass))]
+	class, ok := f.classes.Load().Index[flatReplacer.Replace(get(headerClass))]
 	if !ok {
 		return nil, fmt.Errorf("%s names no class", headerClass)
 	}
 	r.Class = class
 	r.Tenant = f.cfg.index("tenant", get(headerTenant))
-	r.Session = logic.Key(key(get(headerKey)))
+	r.Session = logic.Key(numericKey(get(headerKey)))
 	ms, err := strconv.ParseUint(get(headerWait), 10, 31)
 	if err != nil {
 		return nil, fmt.Errorf("%s is not a number of milliseconds", headerWait)
@@ -215,10 +218,10 @@
 		}
 		r.Hinted, r.AnswerHint = true, time.Duration(us*1e3)
 	}
-	return r, facts(&r.Request, get(headerFacts))
+	return r, parseFacts(&r.Request, get(headerFacts))
 }
 
-// cleanName keeps names to what can stand in a path.
+// cleanName reports whether a request name can be used unescaped as a URL path element.
 func cleanName(s string) bool {
 	for _, c := range s {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
@@ -228,7 +231,7 @@
 	return s != "" && len(s) <= 128
 }
 
-func facts(r *logic.Request, text string) error {
+func parseFacts(r *logic.Request, text string) error {
 	if text == "" {
 		return fmt.Errorf("%s is missing", headerFacts)
 	}
@@ -237,7 +240,7 @@
 		var to *float64
 		switch name {
 		case "prefix":
-			r.Prefix = logic.Key(key(value))
+			r.Prefix = logic.Key(numericKey(value))
 			continue
 		case "prompt_len":
 			to = &r.PromptTokens
@@ -245,7 +248,7 @@
 			to = &r.PrefixTokens
 		case "max_out":
 			to = &r.MaxTokens
-		default: // facts that may be added later
+		default: // unknown facts are ignored, since more may be added to the protocol
 			continue
 		}
 		v, err := strconv.ParseFloat(value, 64)
@@ -257,8 +260,8 @@
 	return nil
 }
 
-// Judge maps a worker's answers that are no stream to their outcomes.
-func Judge(status int, header *fasthttp.ResponseHeader, body []byte) router.Outcome {
+// ClassifyAnswer maps a worker's non-streaming answer to the outcome of the attempt.
+func ClassifyAnswer(status int, header *fasthttp.ResponseHeader, body []byte) router.Outcome {
 	neverRan := string(header.Peek(headerNotRun)) == "1"
 	switch {
 	case status == fasthttp.StatusAccepted:
--- a/front/platform/members.go
+++ b/front/platform/members.go
@@ -11,14 +11,14 @@
 	"lichenshelf/router"
 )
 
-// members translates a list. A line that makes no sense spoils the whole list: half a
-// list would drop workers that are there. What the other lines say of workers that leave
-// is returned all the same: nothing new may go to them, whatever else is wrong.
-// News tells that a list had been told before this one.
-func (c *Config) members(ids *router.ServerIDs, l List, news bool) ([]router.Member, error) {
+// members converts a list to the router's members. A malformed instance invalidates the whole list,
+// since applying a part of it would remove workers that exist. The members that are leaving are
+// returned even then, because no new requests may be sent to them. The parameter hadList says that
+// an earlier list was already applied.
+func (c *Config) members(ids *router.ServerIDs, l List, hadList bool) ([]router.Member, error) {
 	out := make([]router.Member, 0, len(l.Instances))
 	seen := make(map[string]Instance, len(l.Instances))
-	var bad error
+	var firstErr error
 	for _, in := range l.Instances {
 		m, err := c.member(in)
 		if before, twice := seen[in.ID]; err == nil && twice {
@@ -30,23 +30,23 @@
 		}
 		seen[in.ID] = in
 		if err != nil {
-			if bad == nil {
-				bad = err
+			if firstErr == nil {
+				firstErr = err
 			}
 			if m.Health == logic.Ready || in.ID == "" {
 				continue
 			}
 		}
-		m.Server, m.News = ids.ID(in.ID), news
+		m.Server, m.News = ids.ID(in.ID), hadList
 		out = append(out, m)
 	}
-	if bad != nil {
+	if firstErr != nil {
 		out = slices.DeleteFunc(out, func(m router.Member) bool { return m.Health == logic.Ready })
 	}
-	return out, bad
+	return out, firstErr
 }
 
-// member translates a line, as far as it makes sense.
+// member converts one instance; with an error, it returns what could be converted.
 func (c *Config) member(in Instance) (router.Member, error) {
 	m := router.Member{Name: in.ID, Addr: in.Addr, Member: logic.Member{
 		Weight: in.Weight, Cell: in.Cell, Zone: c.index("zone", in.Zone),
--- a/front/platform/members_fuzz_test.go
+++ b/front/platform/members_fuzz_test.go
@@ -10,8 +10,8 @@
 	"lichenshelf/router"
 )
 
-// Whatever a list says, a worker that some line of it calls leaving is not handed on as one to send to, and a list
-// that makes no sense hands on leaving workers alone.
+// For any list, a worker that any instance of it marks as leaving is not returned as ready, and a
+// malformed list returns only leaving workers.
 func FuzzList(f *testing.F) {
 	const line = `{"instanceId":"s-1","hostPort":"127.0.0.1:3000","zone":"z1","machineType":"reader","cell":1,"lifecycle":"in_service","weight":1.0,"startedAtMs":0}`
 	for _, text := range []string{
@@ -36,8 +36,8 @@
 		for _, m := range members {
 			require.NotEmpty(t, m.Name)
 			if m.Health == logic.Ready {
-				require.NoError(t, err, "part of a list that makes no sense")
-				require.False(t, leaving[m.Name], "%s is called leaving", m.Name)
+				require.NoError(t, err, "a ready worker of a malformed list")
+				require.False(t, leaving[m.Name], "%s is listed as leaving", m.Name)
 			}
 		}
 	})
--- a/front/platform/retune_test.go
+++ b/front/platform/retune_test.go
@@ -18,9 +18,9 @@
 	return c
 }
 
-// Classes are added, dropped and changed at SIGHUP. Open requests keep the index
-// they were given, and with it their rules; new ones go by the new names.
-func TestRetuneKeepsIndicesOfOpenRequestsAndTakesNewNames(t *testing.T) {
+// A reload adds, removes and changes classes. Open requests keep their index and thereby their
+// rules; new requests use the new classes.
+func TestRetuneKeepsIndicesOfOpenRequests(t *testing.T) {
 	chat, file := logic.Class{Aim: time.Second}, logic.Class{Aim: 3 * time.Second, Effect: logic.EffectOnce}
 	f := NewFront(classes(map[string]logic.Class{"chat": chat, "file": file}, "chat", "file"), func() bool { return true })
 
@@ -37,25 +37,25 @@
 	_, publish = f.Retune(classes(map[string]logic.Class{"chat": chat}, "chat"))
 	publish()
 	_, ok := f.classes.Load().Index["file"]
-	require.False(t, ok, "a dropped class takes no new request")
+	require.False(t, ok, "a removed class accepts no new request")
 }
 
-// A broken file is refused whole, naming the key and its value.
-func TestSettingsNotOverZeroAreRefused(t *testing.T) {
+// A file with an invalid setting is rejected with an error that names the key and its value.
+func TestNonPositiveSettingsAreRejected(t *testing.T) {
 	for key, values := range map[string]map[string]string{
 		"bounds.most-tries":          {"bounds.most-tries": "0"},
 		"categories.0.target-ns":     {"bounds.most-tries": "2", "categories.0.target-ns": "-5"},
 		"categories.0.hard-limit-ns": {"bounds.most-tries": "2", "categories.0.target-ns": "5", "categories.0.hard-limit-ns": "0"},
 	} {
-		err := overZero(values, 1)
+		err := checkPositive(values, 1)
 		require.ErrorContains(t, err, key)
 	}
-	require.NoError(t, overZero(map[string]string{"bounds.most-tries": "2", "categories.0.target-ns": "5"}, 1))
+	require.NoError(t, checkPositive(map[string]string{"bounds.most-tries": "2", "categories.0.target-ns": "5"}, 1))
 }
 
-// Between the new rules and the word of them to the core no request may be read in a class that the core does not know: it
-// would count as one that may be repeated freely.
-func TestNoRequestIsOfAClassThatTheCoreDoesNotKnow(t *testing.T) {
+// Until the core has the new rules, no request may get a class that the core does not know: the
+// core would treat it as one that may be repeated freely.
+func TestNewClassesAreUsedOnlyAfterPublish(t *testing.T) {
 	chat := logic.Class{Aim: time.Second}
 	f := NewFront(classes(map[string]logic.Class{"chat": chat}, "chat"), func() bool { return true })
 	once := logic.Class{Aim: time.Second, Effect: logic.EffectOnce}
@@ -69,8 +69,9 @@
 	require.Equal(t, once, rules[index["new"]])
 }
 
-// Configurations that go back and forth bring no class anew each time: each request looks at all of them.
-func TestReloadsThatGoBackAndForthTakeNoMoreRoom(t *testing.T) {
+// Reloads that switch between two configurations do not add a class each time, since every
+// request checks all classes.
+func TestAlternatingReloadsAddNoClasses(t *testing.T) {
 	one, other := logic.Class{Aim: time.Second}, logic.Class{Aim: 2 * time.Second}
 	f := NewFront(classes(map[string]logic.Class{"chat": one}, "chat"), func() bool { return true })
 	var rules []logic.Class
--- a/front/platform/transport.go
+++ b/front/platform/transport.go
@@ -8,9 +8,14 @@
 )
 
 const (
-	maxAnswer   = 64 << 10                // of a worker's answer that is no stream
-	heldParts   = 3                       // of the time that a state may be held, for what has to be known before it is taken
-	streamStall = 4500 * time.Millisecond // the longest that a running stream may be silent
+	// maxAnswer bounds a worker's non-streaming answer, in bytes.
+	maxAnswer = 64 << 10
+	// bodyWaitDivisor limits the wait for the body of a non-streaming answer to this fraction of
+	// the time for which a worker holds read state, since the body must arrive before the state is
+	// used.
+	bodyWaitDivisor = 3
+	// streamStall is the longest time without a byte on a running stream.
+	streamStall = 4500 * time.Millisecond
 )
 
 // NewTransport returns the transport to the platform's workers.
@@ -18,10 +23,10 @@
 	out := upstream.Config{
 		ConnectTimeout: cfg.Settings.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: conns,
 		MaxAnswer: maxAnswer, StreamStall: streamStall, WaitHeader: headerWait, ReleasePath: holdsPath,
-		Judge: Judge, Counters: counters,
+		Judge: ClassifyAnswer, Counters: counters,
 	}
 	if cfg.Settings.ReleaseWithin > 0 {
-		out.BodyWait = cfg.Settings.ReleaseWithin / heldParts
+		out.BodyWait = cfg.Settings.ReleaseWithin / bodyWaitDivisor
 	}
 	if cfg.Reports.Understands() {
 		out.LoadHeader, out.Report = headerLoad, cfg.Reports.Parse
--- a/front/platform/watch.go
+++ b/front/platform/watch.go
@@ -23,112 +23,116 @@
 
 const (
 	listPath = "/v1/servers"
-	// clocksDiffer is how far a worker's start may lie ahead of this machine's clock
-	// before that is worth a word.
-	clocksDiffer = time.Minute
-	dialNear     = 200 * time.Millisecond // to an agent of this machine, which is asked again at once
-	dialFar      = time.Second
-	// mostText bounds one list: some 16,000 workers.
-	mostText = 4 << 20
+	// maxClockSkew is how far a worker's start may lie ahead of this machine's clock without a
+	// warning.
+	maxClockSkew = time.Minute
+	// localDialTimeout is the dial timeout for an agent on this machine, which is retried at once.
+	localDialTimeout = 200 * time.Millisecond
+	// remoteDialTimeout is the dial timeout for a central discovery service.
+	remoteDialTimeout = time.Second
+	// maxListBytes bounds one list in bytes: room for about 16,000 workers.
+	maxListBytes = 4 << 20
 )
 
-// errNonsense says that discovery said what can't be taken for a list.
-var errNonsense = errors.New("what discovery says makes no sense")
+// errMalformed reports that data from discovery is not a valid list.
+var errMalformed = errors.New("what discovery says makes no sense")
 
-// Taker is who is told of the workers: a core, or what stands before it.
-type Taker interface {
+// MemberSink receives the workers: a core, or a filter in front of it.
+type MemberSink interface {
 	Discovered(members []router.Member, whole bool)
 }
 
-// Watch follows discovery and tells the taker. When it asks, and on how many calls
-// it waits, agentrule decides.
+// Watch follows discovery and passes worker lists to a MemberSink. Package agentrule decides when
+// it sends requests and how many are open at once.
 type Watch struct {
-	// Took, if set before Run, is told of the version of each list before it is taken.
+	// Took, if set before Run, is called with the address and version of each list before the list
+	// is applied.
 	Took func(addr string, generation int64)
-	// Failed, if set before Run, is told when discovery can't be followed.
+	// Failed, if set before Run, is called when following discovery fails.
 	Failed func(error)
 
 	cfg        *Config
-	core       Taker
+	sink       MemberSink
 	log        *logrus.Logger
 	ids        router.ServerIDs
 	rule       *agentrule.Rule
 	calls      map[agentrule.Call]*call
-	generation int64  // of the list in hand, as counted at the address at
-	at         string // where discovery's list was last taken from
-	failing    bool   // told in the log, and nothing has come since
-	told       atomic.Bool
-	news       chan news
+	generation int64  // version of the applied list, as counted by the discovery at listAddr
+	listAddr   string // address that the applied list came from
+	failing    bool   // a failure was logged, and no list has arrived since
+	synced     atomic.Bool
+	updates    chan update
 
-	mu     sync.Mutex
-	addr   string        // discovery's, as it is configured now
-	inFile string        // the same as the file named it last
-	moved  chan struct{} // takes one word of a new address
+	mu              sync.Mutex
+	addr            string        // discovery address as currently configured
+	discoveryInFile string        // discovery address in the file when it was last read
+	refresh         chan struct{} // requests a new call to discovery; holds one request
 }
 
-// call is one call to discovery that is out.
+// call is an open call to discovery.
 type call struct {
-	addr string
-	from int64 // the version asked from; below 0: the whole list first
-	stop context.CancelFunc
-	said bool // it has said anything at all
+	addr     string
+	from     int64 // version after which changes are requested; below 0: request the whole list first
+	stop     context.CancelFunc
+	received bool // any bytes have arrived
 }
 
-// news is what a call has to say: a list, an error that ended it, or neither, which
-// means that bytes came.
-type news struct {
+// update is an event of a call: a list, an error that ended the call, or neither, which means that
+// bytes arrived.
+type update struct {
 	id   agentrule.Call
 	text []byte
-	// begun says that the bytes belong to a list that has not come to its end.
+	// begun says that the bytes belong to a list that is not complete yet.
 	begun bool
 	err   error
 }
 
-// Told tells whether discovery has spoken since the start.
-func (w *Watch) Told() bool { return w.told.Load() }
+// Told reports whether a list has arrived from discovery since the start.
+func (w *Watch) Told() bool { return w.synced.Load() }
 
-// NewWatch returns a watch that has told the taker of the workers known already.
-func NewWatch(cfg *Config, core Taker, log *logrus.Logger) *Watch {
-	w := &Watch{cfg: cfg, core: core, log: log, at: cfg.Discovery, addr: cfg.Discovery, inFile: cfg.inFile,
-		rule: agentrule.New(agentrule.Config{Routers: cfg.Settings.Gateways, Pushed: !cfg.ListsAsked, MustAsk: cfg.MustAsk,
+// NewWatch returns a watch after passing the workers that the configuration lists as known to sink.
+func NewWatch(cfg *Config, sink MemberSink, log *logrus.Logger) *Watch {
+	w := &Watch{cfg: cfg, sink: sink, log: log, listAddr: cfg.Discovery, addr: cfg.Discovery, discoveryInFile: cfg.discoveryInFile,
+		rule: agentrule.New(agentrule.Config{Routers: cfg.Settings.Gateways, Pushed: !cfg.ListsPulled, MustAsk: cfg.MustAsk,
 			Seed: cfg.Seed}),
-		calls: map[agentrule.Call]*call{}, news: make(chan news), moved: make(chan struct{}, 1)}
+		calls: map[agentrule.Call]*call{}, updates: make(chan update), refresh: make(chan struct{}, 1)}
 	known := cfg.Known
 	known.Reset = true
-	if err := w.take(known); err != nil {
-		log.WithError(err).Error("known workers not used")
+	if err := w.apply(known); err != nil {
+		log.WithError(err).Error("known workers of the configuration are not used")
 	}
 	return w
 }
 
-// Move goes over to the discovery that a configuration read again names, at
-// once. What the old one says counts until that one speaks. The variable goes before
-// the file at the start only, since it can't change in a process that runs: a
-// file that names what it named before changes nothing.
+// Move switches at once to the discovery address of a reloaded configuration. Lists from the old
+// address are applied until the new one answers. ROUTER_DISCOVERY overrides the file only at the
+// start, since it can't change in a running process. Nothing changes if the address in the file is
+// the same as before.
 func (w *Watch) Move(c *Config) error {
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-		return fmt.Errorf("address of discovery: %w", err)
+		return fmt.Errorf("discovery address: %w", err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if c.Discovery == w.inFile {
+	if c.Discovery == w.discoveryInFile {
 		return nil
 	}
-	w.inFile = c.Discovery
+	w.discoveryInFile = c.Discovery
 	if c.Discovery != w.addr {
 		w.addr = c.Discovery
 		select {
-		case w.moved <- struct{}{}:
-		default: // one word is enough
+		case w.refresh <- struct{}{}:
+		default: // a request is already pending
 		}
 	}
 	return nil
 }
 
-// Again asks discovery anew for what is newer than the list in hand. The call that is out stays until that has been told.
+// Again sends discovery a new request for changes since the applied list. Open calls are kept until
+// it has been answered.
 func (w *Watch) Again() {
 	select {
-	case w.moved <- struct{}{}:
+	case w.refresh <- struct{}{}:
 	default:
 	}
 }
@@ -139,7 +143,7 @@
 	return w.addr
 }
 
-// Run watches until ctx ends, over as many connections as it takes.
+// Run follows discovery until ctx ends, opening new connections as needed.
 func (w *Watch) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -148,17 +152,17 @@
 		for _, id := range drop {
 			c := w.calls[id]
 			w.drop(id)
-			if c.said || len(w.calls) == 0 { // else it was a second one, beside another
-				w.failed(fmt.Errorf("discovery at %s says nothing", c.addr))
+			if c.received || len(w.calls) == 0 { // otherwise it was a second call next to another one
+				w.reportFailure(fmt.Errorf("discovery at %s says nothing", c.addr))
 			}
 		}
 		if open != 0 {
 			w.open(ctx, open)
 		}
 		select {
-		case n := <-w.news:
-			w.hear(n)
-		case <-w.moved:
+		case n := <-w.updates:
+			w.handle(n)
+		case <-w.refresh:
 			w.rule.Moved(time.Now())
 		case <-time.After(time.Until(wake)):
 		case <-ctx.Done():
@@ -169,9 +173,9 @@
 
 func (w *Watch) open(ctx context.Context, id agentrule.Call) {
 	c := &call{addr: w.address(), from: w.generation}
-	if c.addr != w.at {
-		// Another discovery may count otherwise: asked for what is new since the
-		// old one's version, it could leave out a worker that is gone.
+	if c.addr != w.listAddr {
+		// Another discovery may number its versions differently. Asked for changes since a version
+		// of the old one, it could leave out the removal of a worker.
 		c.from = -1
 	}
 	ctx, c.stop = context.WithCancel(ctx)
@@ -184,19 +188,19 @@
 	delete(w.calls, id)
 }
 
-// hear takes what a call has to say, unless it has been dropped meanwhile.
-func (w *Watch) hear(n news) {
+// handle processes an update, unless its call has been dropped meanwhile.
+func (w *Watch) handle(n update) {
 	c := w.calls[n.id]
 	if c == nil {
 		return
 	}
 	now := time.Now()
-	c.said = c.said || n.err == nil
+	c.received = c.received || n.err == nil
 	err := n.err
 	if n.text != nil {
-		if err = w.said(c, n.text); err == nil {
+		if err = w.receive(c, n.text); err == nil {
 			w.failing = false
-			w.told.Store(true)
+			w.synced.Store(true)
 			for _, id := range w.rule.Told(now, n.id) {
 				w.drop(id)
 			}
@@ -211,13 +215,13 @@
 		}
 		return
 	}
-	// The list in hand stays. Asking again brings what a spoilt line would have.
-	w.failed(err)
-	w.rule.Ended(now, n.id, errors.Is(err, errNonsense))
+	// The applied list stays. The next request also returns what a malformed list contained.
+	w.reportFailure(err)
+	w.rule.Ended(now, n.id, errors.Is(err, errMalformed))
 	w.drop(n.id)
 }
 
-func (w *Watch) failed(err error) {
+func (w *Watch) reportFailure(err error) {
 	level := logrus.WarnLevel
 	if w.failing {
 		level = logrus.DebugLevel
@@ -226,43 +230,43 @@
 	if w.Failed != nil {
 		w.Failed(err)
 	}
-	w.log.WithError(err).Log(level, "discovery watch ended, asking again")
+	w.log.WithError(err).Log(level, "discovery watch ended, retrying")
 }
 
-// follow is one call, until its connection or ctx ends.
+// follow runs one call until its connection or ctx ends.
 func (w *Watch) follow(ctx context.Context, id agentrule.Call, c call) {
-	tell := func(n news) {
+	send := func(n update) {
 		n.id = id
 		select {
-		case w.news <- n:
+		case w.updates <- n:
 		case <-ctx.Done():
 		}
 	}
 	from := c.from
 	if from < 0 {
-		err := w.get(ctx, c.addr, listPath, tell, func(text []byte) {
+		err := w.get(ctx, c.addr, listPath, send, func(text []byte) {
 			var l List
 			if json.Unmarshal(text, &l) == nil {
 				from = l.Generation
 			}
 		})
 		if err == io.EOF && from < 0 {
-			err = fmt.Errorf("%w: no list", errNonsense)
+			err = fmt.Errorf("%w: no list", errMalformed)
 		}
 		if err != io.EOF {
-			tell(news{err: err})
+			send(update{err: err})
 			return
 		}
 	}
-	tell(news{err: w.get(ctx, c.addr, listPath+"?watch=1&from="+strconv.FormatInt(from, 10), tell, nil)})
+	send(update{err: w.get(ctx, c.addr, listPath+"?watch=1&from="+strconv.FormatInt(from, 10), send, nil)})
 }
 
-// get asks discovery and tells what it says, until its answer or ctx ends: io.EOF
-// means that all of the answer came.
-func (w *Watch) get(ctx context.Context, addr, uri string, tell func(news), seen func([]byte)) error {
-	d := net.Dialer{Timeout: dialNear}
-	if w.cfg.ListsAsked {
-		d.Timeout = dialFar
+// get sends one request to discovery and sends updates about the answer until the answer or ctx
+// ends. It returns io.EOF if the answer arrived completely.
+func (w *Watch) get(ctx context.Context, addr, uri string, send func(update), onList func([]byte)) error {
+	d := net.Dialer{Timeout: localDialTimeout}
+	if w.cfg.ListsPulled {
+		d.Timeout = remoteDialTimeout
 	}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -279,62 +283,63 @@
 	if _, err := conn.Write(h.Header()); err != nil {
 		return fmt.Errorf("ask discovery: %w", err)
 	}
-	w.log.WithFields(logrus.Fields{"discovery": addr, "uri": uri}).Debug("discovery asked")
-	heard := &hearing{Conn: conn, tell: func() { tell(news{}) }}
+	w.log.WithFields(logrus.Fields{"discovery": addr, "uri": uri}).Debug("discovery request sent")
+	notifying := &notifyingConn{Conn: conn, onRead: func() { send(update{}) }}
 	resp := fasthttp.Response{StreamBody: true}
-	if err := resp.ReadLimitBody(bufio.NewReader(heard), 0); err != nil {
+	if err := resp.ReadLimitBody(bufio.NewReader(notifying), 0); err != nil {
 		return fmt.Errorf("read from discovery: %w", err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return fmt.Errorf("discovery answered %d", resp.StatusCode())
 	}
-	// One object after the other, however they are broken into lines.
-	body := &bounded{Reader: resp.BodyStream(), begun: func() { tell(news{begun: true}) }}
+	// The answer is a sequence of JSON objects, regardless of line breaks.
+	body := &boundedReader{Reader: resp.BodyStream(), begun: func() { send(update{begun: true}) }}
 	lists := json.NewDecoder(body)
 	for {
 		var text json.RawMessage
-		body.left = mostText
+		body.left = maxListBytes
 		if err := lists.Decode(&text); err != nil {
 			var syntax *json.SyntaxError
 			if errors.As(err, &syntax) {
-				err = fmt.Errorf("%w: %w", errNonsense, err)
+				err = fmt.Errorf("%w: %w", errMalformed, err)
 			}
 			if err != io.EOF {
 				err = fmt.Errorf("watch discovery: %w", err)
 			}
 			return err
 		}
-		if seen != nil {
-			seen(text)
+		if onList != nil {
+			onList(text)
 		}
-		tell(news{text: text})
+		send(update{text: text})
 	}
 }
 
-// hearing tells of all that comes on a connection.
-type hearing struct {
+// notifyingConn calls onRead whenever bytes arrive on the connection.
+type notifyingConn struct {
 	net.Conn
-	tell func()
+	onRead func()
 }
 
-func (h *hearing) Read(p []byte) (int, error) {
+func (h *notifyingConn) Read(p []byte) (int, error) {
 	n, err := h.Conn.Read(p)
 	if n > 0 {
-		h.tell()
+		h.onRead()
 	}
 	return n, err
 }
 
-// bounded ends what goes on for too long without making a whole, and tells of lists that have begun.
-type bounded struct {
+// boundedReader fails when a list exceeds its size limit, and calls begun when bytes of a list
+// arrive.
+type boundedReader struct {
 	io.Reader
 	left  int
 	begun func()
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
-		return 0, fmt.Errorf("%w: over %d bytes in one list", errNonsense, mostText)
+		return 0, fmt.Errorf("%w: over %d bytes in one list", errMalformed, maxListBytes)
 	}
 	n, err := b.Reader.Read(p)
 	b.left -= n
@@ -344,48 +349,48 @@
 	return n, err
 }
 
-// said takes a list, or changes to it, that a call brought.
-func (w *Watch) said(c *call, text []byte) error {
+// receive parses and applies a list, or changes to it, from a call.
+func (w *Watch) receive(c *call, text []byte) error {
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
-		return fmt.Errorf("%w: %w", errNonsense, err)
+		return fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	if c.addr == w.at && !l.Reset && l.Generation <= w.generation {
-		return nil // another call was faster, or nothing has changed
+	if c.addr == w.listAddr && !l.Reset && l.Generation <= w.generation {
+		return nil // already applied from another call, or unchanged
 	}
-	before := w.at
-	w.at = c.addr
-	if err := w.take(l); err != nil {
-		w.at = before
-		return fmt.Errorf("%w: %w", errNonsense, err)
+	before := w.listAddr
+	w.listAddr = c.addr
+	if err := w.apply(l); err != nil {
+		w.listAddr = before
+		return fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	return nil
 }
 
-func (w *Watch) take(l List) error {
+func (w *Watch) apply(l List) error {
 	if l.Instances == nil && !l.Reset && l.Generation == 0 {
 		return errors.New("what discovery says holds no list")
 	}
-	members, err := w.cfg.members(&w.ids, l, w.told.Load())
+	members, err := w.cfg.members(&w.ids, l, w.synced.Load())
 	if err != nil {
 		if len(members) > 0 {
-			w.core.Discovered(members, false)
+			w.sink.Discovered(members, false)
 		}
 		return fmt.Errorf("list %d not used, but for %d that leave: %w", l.Generation, len(members), err)
 	}
 	for _, in := range l.Instances {
-		// The clock of the one or the other is wrong; such a worker counts as started now.
-		if ahead := time.Until(time.UnixMilli(in.StartedAtMs)); ahead > clocksDiffer && in.Lifecycle != "terminated" {
+		// One of the two clocks is wrong. The worker is treated as started now.
+		if ahead := time.Until(time.UnixMilli(in.StartedAtMs)); ahead > maxClockSkew && in.Lifecycle != "terminated" {
 			w.log.WithFields(logrus.Fields{"worker": in.ID, "started_ms": in.StartedAtMs, "ahead": ahead.Round(time.Second)}).
-				Warn("a worker's start lies in the future, it counts as just started")
+				Warn("start time of a worker lies in the future; treating it as just started")
 		}
 	}
 	if w.Took != nil {
-		w.Took(w.at, l.Generation)
+		w.Took(w.listAddr, l.Generation)
 	}
-	w.core.Discovered(members, l.Reset)
+	w.sink.Discovered(members, l.Reset)
 	w.generation = l.Generation
-	w.log.WithFields(logrus.Fields{"generation": l.Generation, "instances": len(members)}).Debug("list taken over")
+	w.log.WithFields(logrus.Fields{"generation": l.Generation, "instances": len(members)}).Debug("worker list applied")
 	if w.log.IsLevelEnabled(logrus.DebugLevel) {
 		for _, in := range l.Instances {
 			w.log.WithFields(logrus.Fields{"worker": in.ID, "kind": in.Kind, "cell": in.Cell, "zone": in.Zone,
