--- a/front/modelapi/config.go
+++ b/front/modelapi/config.go
@@ -1,5 +1,5 @@
-// Package modelapi is the second front: chat, embeddings and rerank over the
-// public OpenAI and Cohere-style interfaces, routed by the same core.
+// Package modelapi implements the front that serves chat, embeddings and rerank requests over the
+// public OpenAI and Cohere-style interfaces, routed by the same core as the platform's.
 package modelapi
 
 import (
@@ -16,20 +16,20 @@
 	"lichenshelf/logic"
 )
 
-// Config is the second front's file.
+// Config is the configuration file of the model API front.
 type Config struct {
-	Listen    string   `toml:"listen"` // empty: the front is off
-	MaxOpen   int      `toml:"max_open"`
-	MaxBody   int      `toml:"max_body_bytes"`
-	MaxBytes  int64    `toml:"max_bytes_in_hand"` // all bodies together
-	MaxAnswer int      `toml:"max_answer_bytes"`
-	Routers   int      `toml:"routers"` // how many share the backends
-	Attempts  int      `toml:"attempts"`
-	Connect   duration `toml:"connect_timeout"`
-	ConnIdle  duration `toml:"backend_conn_idle"`
-	Stall     duration `toml:"stream_stall"`
-	RetryMost duration `toml:"retry_after_most"`
-	OverShare float64  `toml:"over_share_worth"`
+	Listen         string   `toml:"listen"` // empty: the front is off
+	MaxOpen        int      `toml:"max_open"`
+	MaxBody        int      `toml:"max_body_bytes"`
+	MaxBytes       int64    `toml:"max_bytes_in_hand"` // of all open requests together
+	MaxAnswer      int      `toml:"max_answer_bytes"`
+	Routers        int      `toml:"routers"` // number of routers that share the backends
+	Attempts       int      `toml:"attempts"`
+	ConnectTimeout duration `toml:"connect_timeout"`
+	ConnIdle       duration `toml:"backend_conn_idle"`
+	StreamStall    duration `toml:"stream_stall"`
+	MaxRetryAfter  duration `toml:"retry_after_most"`
+	OverShare      float64  `toml:"over_share_worth"`
 
 	Chat       Class `toml:"chat"`
 	Embeddings Class `toml:"embeddings"`
@@ -39,39 +39,39 @@
 	Backends []Backend `toml:"backend"`
 }
 
-// Class holds the times of one kind of request.
+// Class holds the time limits and points of one kind of request.
 type Class struct {
-	Aim        duration `toml:"aim"` // an answer, or its first event, is wanted within this
+	Aim        duration `toml:"aim"` // target time to the answer, or to its first event
 	AimPer1000 duration `toml:"aim_per_1000_tokens"`
-	Deadline   duration `toml:"deadline"` // and is given up after this
+	Deadline   duration `toml:"deadline"` // a request is cancelled after this
 	Points     float64  `toml:"points"`
 }
 
-// Account is a tenant, known by its key.
+// Account is a tenant, identified by its API key.
 type Account struct {
 	Name           string  `toml:"name"`
 	Key            string  `toml:"key"`
 	QuotaPerSecond float64 `toml:"quota_per_s"`
 }
 
-// Backend is a model server that the file names.
+// Backend is a model server listed in the file.
 type Backend struct {
 	Name     string `toml:"name"`
 	Addr     string `toml:"addr"`
 	Cell     int    `toml:"cell"`
-	Draining bool   `toml:"draining"` // finishes what it has, gets nothing new
-	// StartedAtMs is when it last started, in Unix milliseconds: a fresh one is
-	// cold and gets little at first. 0 means long ago.
+	Draining bool   `toml:"draining"` // completes open requests and gets no new ones
+	// StartedAtMs is the time of its last start, in Unix milliseconds. A backend that started
+	// recently is cold and gets few requests at first. 0 means long ago.
 	StartedAtMs int64 `toml:"started_at_ms"`
 }
 
-// ConfigPath is the node of the store that may hold the text of a file like the
-// front's, which goes before it.
+// ConfigPath is the store node that may contain a configuration text in the format of the file; its
+// values override the file's.
 const ConfigPath = "/config/modelapi"
 
 type duration = conffile.Duration
 
-// The classes, as the decisions number them.
+// The class numbers, as used by the routing logic.
 const (
 	classChat = iota
 	classEmbeddings
@@ -84,14 +84,14 @@
 	}
 	return Config{
 		MaxOpen: 128, MaxBody: 1 << 20, MaxBytes: 64 << 20, MaxAnswer: 8 << 20, Routers: 1, Attempts: 4,
-		Connect: s(0.25), ConnIdle: s(30), Stall: s(30), RetryMost: s(2), OverShare: 0.1,
+		ConnectTimeout: s(0.25), ConnIdle: s(30), StreamStall: s(30), MaxRetryAfter: s(2), OverShare: 0.1,
 		Chat:       Class{Aim: s(3), AimPer1000: s(0.1), Deadline: s(60), Points: 1},
 		Embeddings: Class{Aim: s(2), AimPer1000: s(0.1), Deadline: s(15), Points: 1},
 		Rerank:     Class{Aim: s(3), AimPer1000: s(0.1), Deadline: s(30), Points: 1},
 	}
 }
 
-// LoadConfig reads the file. What it leaves out has a default.
+// LoadConfig reads the configuration file. Keys that it does not set have defaults.
 func LoadConfig(path string) (*Config, error) {
 	c := defaults()
 	if _, err := conffile.Read(path, &c); err != nil {
@@ -132,16 +132,16 @@
 	return err
 }
 
-// drainGrace is the window in which sends to a leaving backend must have ceased.
+// drainGrace is the time after which no more requests may be sent to a leaving backend.
 const drainGrace = 250 * time.Millisecond
 
-// Settings states the front's classes and backends to the decisions. A backend
-// reads and answers whole, and every request may be repeated.
+// Settings returns the settings of the routing logic for this front. Each backend both reads
+// prompts and writes answers, and every request may be repeated.
 func (c *Config) Settings() logic.Settings {
 	s := logic.Settings{
 		Gateways: c.Routers, Kinds: []logic.Kind{{Role: logic.RoleBoth}},
-		CancelAllowed: true, RetryAfter: true, Weights: true, MaxRetryAfter: c.RetryMost.Duration,
-		MaxAttempts: c.Attempts, ConnectTimeout: c.Connect.Duration, OverShareWorth: c.OverShare,
+		CancelAllowed: true, RetryAfter: true, Weights: true, MaxRetryAfter: c.MaxRetryAfter.Duration,
+		MaxAttempts: c.Attempts, ConnectTimeout: c.ConnectTimeout.Duration, OverShareWorth: c.OverShare,
 		DrainGrace: drainGrace, ColdShare: 0.27, WarmWithin: 14 * time.Second,
 		FallMultiple: 2.5, FallAfter: 1500 * time.Millisecond, ReleaseWithin: 300 * time.Millisecond,
 	}
@@ -155,7 +155,7 @@
 	return s
 }
 
-// Entries turns the file's backends into what a source reports.
+// Entries converts the backends of the file to the entries that a source reports.
 func Entries(backends []Backend) ([]membership.Entry, error) {
 	names := map[string]bool{}
 	out := make([]membership.Entry, 0, len(backends))
@@ -180,10 +180,10 @@
 	return out, nil
 }
 
-// ConfigName is what the configuration is called where it is published.
+// ConfigName is the name under which the configuration is published.
 const ConfigName = "modelapi"
 
-// CheckText looks at a text that is to be published, as strictly as at the file.
+// CheckText validates a configuration text before it is published, as strictly as the file.
 func CheckText(text []byte) error {
 	c := defaults()
 	if _, err := conffile.Parse(ConfigName, string(text), &c); err != nil {
@@ -192,16 +192,16 @@
 	if c.Listen != "" || len(c.Backends) > 0 {
 		return fmt.Errorf("%s: listen and backend are each router's own, not published", ConfigName)
 	}
-	c.Listen = "127.0.0.1:1" // without one nothing else is looked at
+	c.Listen = "127.0.0.1:1" // without an address, check skips everything else
 	if err := c.check(); err != nil {
 		return fmt.Errorf("%s: %w", ConfigName, err)
 	}
 	return nil
 }
 
-// Applied returns what a front that runs by c goes by once next is taken, and names the keys
-// in which next differs that count from the next start on only. Quotas are shared by a fleet
-// or not: without one, the decisions know the accounts by their number, which is fixed.
+// Applied returns the configuration in effect after a front that runs with c takes over next, and
+// the keys whose changes need a restart. Changes to accounts apply at once only in a fleet, which
+// shares the quotas; otherwise the routing logic identifies accounts by number, which is fixed.
 func (c *Config) Applied(next *Config, fleet bool) (now *Config, restart []string) {
 	out := *c
 	out.Chat, out.Embeddings, out.Rerank, out.Attempts = next.Chat, next.Embeddings, next.Rerank, next.Attempts
@@ -211,8 +211,8 @@
 	for key, differs := range map[string]bool{
 		"max_open": out.MaxOpen != next.MaxOpen, "max_body_bytes": out.MaxBody != next.MaxBody, "max_bytes_in_hand": out.MaxBytes != next.MaxBytes,
 		"max_answer_bytes": out.MaxAnswer != next.MaxAnswer, "routers": !fleet && out.Routers != next.Routers,
-		"connect_timeout": out.Connect != next.Connect, "backend_conn_idle": out.ConnIdle != next.ConnIdle, "stream_stall": out.Stall != next.Stall,
-		"retry_after_most": out.RetryMost != next.RetryMost, "over_share_worth": out.OverShare != next.OverShare,
+		"connect_timeout": out.ConnectTimeout != next.ConnectTimeout, "backend_conn_idle": out.ConnIdle != next.ConnIdle, "stream_stall": out.StreamStall != next.StreamStall,
+		"retry_after_most": out.MaxRetryAfter != next.MaxRetryAfter, "over_share_worth": out.OverShare != next.OverShare,
 		"account": !slices.Equal(out.Accounts, next.Accounts),
 	} {
 		if differs {
@@ -223,8 +223,8 @@
 	return &out, restart
 }
 
-// Override takes over what the text of another file says, but for the address to
-// listen on and the backends.
+// Override applies the text of another configuration file over c, except for the listen address and
+// the backends.
 func (c *Config) Override(text string) error {
 	next := *c
 	if _, err := toml.Decode(text, &next); err != nil {
--- a/front/modelapi/front.go
+++ b/front/modelapi/front.go
@@ -35,37 +35,39 @@
 	errFailed     = errors.New("the backends failed to answer")
 )
 
-// endpoint is one path of the interface.
+// endpoint is one path of the API.
 type endpoint struct {
-	read  func([]byte) (parsed, error)
+	read  func([]byte) (parsedRequest, error)
 	class Class
 }
 
-// Front turns calls into requests for the core and its answers into theirs.
+// Front translates HTTP calls into requests to the core, and the core's answers into HTTP
+// responses.
 type Front struct {
-	rules   atomic.Pointer[rules]
+	active  atomic.Pointer[activeConfig]
 	shut    atomic.Bool
 	ready   func() bool
 	prefix  string
 	last    atomic.Uint64
-	budgets Budgets // nil: each router goes by an even part of the quotas
+	budgets Budgets // nil: each router enforces an equal share of the quotas
 }
 
-// rules are what a call goes by from its beginning to its end, whatever is taken meanwhile.
-type rules struct {
+// activeConfig is a configuration in effect. A call uses the same one from start to end, even if
+// the front takes over another configuration meanwhile.
+type activeConfig struct {
 	cfg       *Config
 	endpoints map[string]endpoint
 	accounts  map[string]int // by key
 	rates     []*rate.Limiter
 }
 
-// Budgets are the accounts' quotas where routers share them.
+// Budgets holds the accounts' quotas when routers share them.
 type Budgets interface {
-	// Spend takes cost out of a budget, if it is there.
+	// Spend deducts cost from a budget and reports whether the budget had enough left.
 	Spend(key string, cost float64) bool
 }
 
-// Quotas are the accounts' quotas as budgets, in requests a second over all routers.
+// Quotas returns the accounts' quotas as budgets, in requests per second over all routers.
 func (c *Config) Quotas() map[string]float64 {
 	out := map[string]float64{}
 	for _, a := range c.Accounts {
@@ -76,20 +78,20 @@
 	return out
 }
 
-// QuotaPrefix begins the names of the accounts' budgets.
+// QuotaPrefix is the prefix of the names of the accounts' budgets.
 const QuotaPrefix = "account/"
 
-// NewFront returns a front; ready tells whether there is a backend to serve with.
-// With budgets, a call past its account's quota is refused with 429.
+// NewFront returns a front; ready reports whether a backend is in service. With budgets, a call
+// that exceeds its account's quota is refused with 429.
 func NewFront(cfg *Config, ready func() bool, budgets Budgets) *Front {
 	f := &Front{ready: ready, budgets: budgets, prefix: "req-" + strconv.FormatInt(time.Now().UnixNano(), 36) + "-"}
 	f.Take(cfg)
 	return f
 }
 
-// Take goes over to another configuration, for calls that begin from now on.
+// Take makes another configuration active for calls that begin from now on.
 func (f *Front) Take(cfg *Config) {
-	r := &rules{cfg: cfg, accounts: map[string]int{}, endpoints: map[string]endpoint{
+	r := &activeConfig{cfg: cfg, accounts: map[string]int{}, endpoints: map[string]endpoint{
 		"/v1/chat/completions": {chat, cfg.Chat},
 		"/v1/embeddings":       {embeddings, cfg.Embeddings},
 		"/v1/rerank":           {rerank, cfg.Rerank},
@@ -102,13 +104,13 @@
 		}
 		r.rates = append(r.rates, rate.NewLimiter(limit, burst))
 	}
-	f.rules.Store(r)
+	f.active.Store(r)
 }
 
-// Shut makes the front take nothing new, or take it again. What it has in hand ends as usual.
+// Shut makes the front refuse new requests, or accept them again. Open requests complete as usual.
 func (f *Front) Shut(shut bool) { f.shut.Store(shut) }
 
-// Handle answers one call.
+// Handle serves one HTTP call.
 func (f *Front) Handle(call *downstream.Call) {
 	path, _, _ := strings.Cut(string(call.Request.Header.RequestURI()), "?")
 	if path == "/healthz" {
@@ -124,8 +126,8 @@
 		}
 		return
 	}
-	by := f.rules.Load()
-	e, ok := by.endpoints[path]
+	current := f.active.Load()
+	e, ok := current.endpoints[path]
 	switch {
 	case !ok:
 		call.Problem(fasthttp.StatusNotFound, fmt.Errorf("unknown path %s", path))
@@ -133,12 +135,12 @@
 		setRetryAfter(call, time.Second)
 		call.Problem(fasthttp.StatusServiceUnavailable, errShutOut)
 	case call.Allow(fasthttp.MethodPost):
-		f.route(call, e, by)
+		f.route(call, e, current)
 	}
 }
 
-func (f *Front) route(call *downstream.Call, e endpoint, by *rules) {
-	tenant, ok := by.account(call)
+func (f *Front) route(call *downstream.Call, e endpoint, current *activeConfig) {
+	tenant, ok := current.account(call)
 	if !ok {
 		call.Problem(fasthttp.StatusUnauthorized, errKey)
 		return
@@ -156,13 +158,13 @@
 		call.Problem(fasthttp.StatusBadRequest, err)
 		return
 	}
-	if f.budgets != nil && tenant < len(by.cfg.Accounts) && !f.budgets.Spend(QuotaPrefix+by.cfg.Accounts[tenant].Name, 1) {
+	if f.budgets != nil && tenant < len(current.cfg.Accounts) && !f.budgets.Spend(QuotaPrefix+current.cfg.Accounts[tenant].Name, 1) {
 		setRetryAfter(call, time.Second)
 		call.Problem(fasthttp.StatusTooManyRequests, errRate)
 		return
 	}
 	p.Tenant = tenant
-	within := tenant >= len(by.rates) || by.rates[tenant].Allow()
+	withinRate := tenant >= len(current.rates) || current.rates[tenant].Allow()
 	r := &router.Request{Request: p.Request, Received: call.Received, Read: call.ReadWhole,
 		Name: f.prefix + strconv.FormatUint(f.last.Add(1), 36)}
 	id := string(call.Request.Header.Peek(headerRequestID))
@@ -171,10 +173,10 @@
 	}
 	r.Payload = message(call, id, body, p.stream)
 	call.Response.Header.Set(headerRequestID, id)
-	f.answer(call, call.Route(r), within)
+	f.answer(call, call.Route(r), withinRate)
 }
 
-func (f *Front) answer(call *downstream.Call, a downstream.Answer, within bool) {
+func (f *Front) answer(call *downstream.Call, a downstream.Answer, withinRate bool) {
 	switch {
 	case a.Body != nil:
 		head, _ := a.Body.Head().(upstream.Head)
@@ -187,7 +189,7 @@
 	case a.Refused && a.Last == logic.TimedOut:
 		setRetryAfter(call, a.RetryAfter)
 		call.Problem(fasthttp.StatusGatewayTimeout, errTimedOut)
-	case a.Refused && within:
+	case a.Refused && withinRate:
 		setRetryAfter(call, a.RetryAfter)
 		call.Problem(fasthttp.StatusServiceUnavailable, errOverloaded)
 	case a.Refused:
@@ -202,14 +204,15 @@
 	}
 }
 
-// setRetryAfter tells when to come back: whole seconds, as the public interfaces say.
+// setRetryAfter sets the Retry-After header in whole seconds, as the public interfaces specify.
 func setRetryAfter(call *downstream.Call, after time.Duration) {
 	seconds := max(1, int(math.Ceil(after.Seconds())))
 	call.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 }
 
-// account finds the caller by its key. Without accounts anyone may call.
-func (r *rules) account(call *downstream.Call) (int, bool) {
+// account returns the number of the account with the call's API key. Without configured accounts
+// every call is allowed.
+func (r *activeConfig) account(call *downstream.Call) (int, bool) {
 	if len(r.accounts) == 0 {
 		return 0, true
 	}
@@ -221,7 +224,7 @@
 	return i, ok
 }
 
-// patience is the class's deadline, or less where the client says so.
+// patience returns the class's deadline, or the client's own if that is shorter.
 func patience(call *downstream.Call, c Class) (time.Duration, error) {
 	text := string(call.Request.Header.Peek(headerWait))
 	if text == "" {
@@ -229,12 +232,12 @@
 	}
 	ms, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
-		return 0, &invalid{headerWait, headerWait + " is not a number of milliseconds"}
+		return 0, &requestError{headerWait, headerWait + " is not a number of milliseconds"}
 	}
 	return min(c.Deadline.Duration, time.Duration(ms)*time.Millisecond), nil
 }
 
-// message is what goes on to a backend. The account's key stays here.
+// message returns the message to a backend, which does not include the account's key.
 func message(call *downstream.Call, id string, body []byte, stream bool) *upstream.Message {
 	m := &upstream.Message{Method: fasthttp.MethodPost, URI: string(call.Request.Header.RequestURI()), Body: body,
 		Stream: stream, Header: [][2]string{{fasthttp.HeaderContentType, jsonType}, {headerRequestID, id}}}
@@ -244,7 +247,7 @@
 	return m
 }
 
-// Problem answers with an error object.
+// Problem answers with a JSON error object.
 func Problem(ctx *fasthttp.RequestCtx, status int, fault error) {
 	kind, code := "invalid_request_error", ""
 	switch {
@@ -268,7 +271,7 @@
 		Code    *string `json:"code"`
 	}
 	o := object{Message: fault.Error(), Type: kind}
-	var field *invalid
+	var field *requestError
 	if errors.As(fault, &field) && field.param != "" {
 		o.Param = &field.param
 	}
--- a/front/modelapi/request.go
+++ b/front/modelapi/request.go
@@ -11,61 +11,61 @@
 	"lichenshelf/logic"
 )
 
-// Bounds of the public interfaces.
+// Limits of the public interfaces.
 const (
 	maxInputs    = 2048 // texts of one embeddings request
 	maxDocuments = 1000 // passages of one rerank request
 )
 
-// charsPerToken is the usual rough length of a token.
+// charsPerToken is the approximate length of a token.
 const charsPerToken = 4
 
-// invalid is a fault in a request; param names the field.
-type invalid struct {
+// requestError is a fault in a request; param names the field.
+type requestError struct {
 	param string
 	text  string
 }
 
-func (e *invalid) Error() string { return e.text }
+func (e *requestError) Error() string { return e.text }
 
-// parsed is what a request's body tells the decisions.
-type parsed struct {
+// parsedRequest is what routing needs from a request's body.
+type parsedRequest struct {
 	logic.Request
 	stream bool
 }
 
-// tokens is the length of so many characters.
-func tokens(chars int) float64 { return float64(chars)/charsPerToken + 1 }
+// estimateTokens estimates the number of tokens in a text of this many characters.
+func estimateTokens(chars int) float64 { return float64(chars)/charsPerToken + 1 }
 
 func decode(text []byte, to any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	if err := d.Decode(to); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) && wrong.Field != "" {
-			return &invalid{wrong.Field, fmt.Sprintf("%s has the wrong type: %s", wrong.Field, wrong.Value)}
+			return &requestError{wrong.Field, fmt.Sprintf("%s has the wrong type: %s", wrong.Field, wrong.Value)}
 		}
-		return &invalid{"", "the body is not valid JSON"}
+		return &requestError{"", "the body is not valid JSON"}
 	}
 	if d.More() {
-		return &invalid{"", "the body holds more than one JSON value"}
+		return &requestError{"", "the body holds more than one JSON value"}
 	}
 	return nil
 }
 
-func needModel(model string) error {
+func requireModel(model string) error {
 	if model == "" {
-		return &invalid{"model", "model is required"}
+		return &requestError{"model", "model is required"}
 	}
 	return nil
 }
 
-// defaultAnswer is the answer's length where a chat request sets no limit.
-const defaultAnswer = 1024
+// defaultMaxTokens is the assumed limit on the answer when a chat request sets none.
+const defaultMaxTokens = 1024
 
-// chat reads a request of /v1/chat/completions. The conversation is known by its
-// opening up to the first user's message, the shared beginning by what stands
-// before that.
-func chat(text []byte) (parsed, error) {
+// chat parses a request to /v1/chat/completions. The hash of the messages up to and including the
+// first one by the user or the assistant identifies the session; the hash of those before it
+// identifies the shared prefix.
+func chat(text []byte) (parsedRequest, error) {
 	var q struct {
 		Model     string `json:"model"`
 		Stream    bool   `json:"stream"`
@@ -77,19 +77,19 @@
 		} `json:"messages"`
 	}
 	if err := decode(text, &q); err != nil {
-		return parsed{}, err
+		return parsedRequest{}, err
 	}
-	if err := needModel(q.Model); err != nil {
-		return parsed{}, err
+	if err := requireModel(q.Model); err != nil {
+		return parsedRequest{}, err
 	}
 	if len(q.Messages) == 0 {
-		return parsed{}, &invalid{"messages", "messages must hold at least one message"}
+		return parsedRequest{}, &requestError{"messages", "messages must hold at least one message"}
 	}
-	p := parsed{stream: q.Stream}
-	p.Class, p.MaxTokens = classChat, defaultAnswer
+	p := parsedRequest{stream: q.Stream}
+	p.Class, p.MaxTokens = classChat, defaultMaxTokens
 	for name, n := range map[string]*int{"max_tokens": q.MaxTokens, "max_completion_tokens": q.MaxNew} {
 		if n != nil && *n < 1 {
-			return parsed{}, &invalid{name, name + " must be 1 or more"}
+			return parsedRequest{}, &requestError{name, name + " must be 1 or more"}
 		}
 		if n != nil {
 			p.MaxTokens = float64(*n)
@@ -100,11 +100,11 @@
 		switch m.Role {
 		case "system", "developer", "user", "assistant", "tool", "function":
 		default:
-			return parsed{}, &invalid{"messages", fmt.Sprintf("messages[%d] has no known role", i)}
+			return parsedRequest{}, &requestError{"messages", fmt.Sprintf("messages[%d] has no known role", i)}
 		}
 		n, err := contentLength(m.Content)
 		if err != nil {
-			return parsed{}, &invalid{"messages", fmt.Sprintf("messages[%d]: %v", i, err)}
+			return parsedRequest{}, &requestError{"messages", fmt.Sprintf("messages[%d]: %v", i, err)}
 		}
 		chars += n
 		if opened {
@@ -115,15 +115,15 @@
 		}
 		_, _ = opening.Write(m.Content)
 		if !opened {
-			p.Prefix, p.PrefixTokens = logic.Key(opening.Sum64()), tokens(chars)
+			p.Prefix, p.PrefixTokens = logic.Key(opening.Sum64()), estimateTokens(chars)
 		}
 	}
-	p.Session, p.PromptTokens = logic.Key(opening.Sum64()), tokens(chars)
+	p.Session, p.PromptTokens = logic.Key(opening.Sum64()), estimateTokens(chars)
 	return p, nil
 }
 
-// contentLength counts the characters of a message: a text, a list of parts, or
-// nothing where a message only calls tools.
+// contentLength counts the characters of a message's content: a text, a list of parts, or nothing
+// if the message only calls tools.
 func contentLength(content json.RawMessage) (int, error) {
 	if len(content) == 0 || string(content) == "null" {
 		return 0, nil
@@ -149,9 +149,9 @@
 	return n, nil
 }
 
-// embeddings reads a request of /v1/embeddings. The input is a text, a list of
-// texts, a list of token numbers, or a list of such lists.
-func embeddings(text []byte) (parsed, error) {
+// embeddings parses a request to /v1/embeddings. The input is a text, a list of texts, a list of
+// token numbers, or a list of such lists.
+func embeddings(text []byte) (parsedRequest, error) {
 	var q struct {
 		Model      string          `json:"model"`
 		Input      json.RawMessage `json:"input"`
@@ -159,34 +159,34 @@
 		Dimensions *int            `json:"dimensions"`
 	}
 	if err := decode(text, &q); err != nil {
-		return parsed{}, err
+		return parsedRequest{}, err
 	}
-	if err := needModel(q.Model); err != nil {
-		return parsed{}, err
+	if err := requireModel(q.Model); err != nil {
+		return parsedRequest{}, err
 	}
 	if q.Encoding != "" && q.Encoding != "float" && q.Encoding != "base64" {
-		return parsed{}, &invalid{"encoding_format", "encoding_format must be float or base64"}
+		return parsedRequest{}, &requestError{"encoding_format", "encoding_format must be float or base64"}
 	}
 	if q.Dimensions != nil && *q.Dimensions < 1 {
-		return parsed{}, &invalid{"dimensions", "dimensions must be 1 or more"}
+		return parsedRequest{}, &requestError{"dimensions", "dimensions must be 1 or more"}
 	}
 	n, err := inputTokens(q.Input)
 	if err != nil {
-		return parsed{}, err
+		return parsedRequest{}, err
 	}
-	p := parsed{}
+	p := parsedRequest{}
 	p.Class, p.PromptTokens, p.MaxTokens = classEmbeddings, n, 1
 	return p, nil
 }
 
 func inputTokens(input json.RawMessage) (float64, error) {
-	bad := func(text string) error { return &invalid{"input", text} }
+	bad := func(text string) error { return &requestError{"input", text} }
 	var one string
 	if len(input) > 0 && json.Unmarshal(input, &one) == nil && input[0] == '"' {
 		if one == "" {
 			return 0, bad("input must not be empty")
 		}
-		return tokens(utf8.RuneCountInString(one)), nil
+		return estimateTokens(utf8.RuneCountInString(one)), nil
 	}
 	var items []json.RawMessage
 	if json.Unmarshal(input, &items) != nil || len(items) == 0 {
@@ -204,7 +204,7 @@
 		var s string
 		switch {
 		case json.Unmarshal(item, &s) == nil && s != "":
-			sum += tokens(utf8.RuneCountInString(s))
+			sum += estimateTokens(utf8.RuneCountInString(s))
 		case json.Unmarshal(item, &ids) == nil && len(ids) > 0:
 			sum += float64(len(ids))
 		default:
@@ -214,9 +214,9 @@
 	return sum, nil
 }
 
-// rerank reads a request of /v1/rerank. The whole batch is one request. A model
-// reads the query anew with each passage, so that is what it weighs.
-func rerank(text []byte) (parsed, error) {
+// rerank parses a request to /v1/rerank. The whole batch is one request. The model reads the query
+// again with each passage, so its length counts once for each passage.
+func rerank(text []byte) (parsedRequest, error) {
 	var q struct {
 		Model     string            `json:"model"`
 		Query     string            `json:"query"`
@@ -224,28 +224,28 @@
 		TopN      *int              `json:"top_n"`
 	}
 	if err := decode(text, &q); err != nil {
-		return parsed{}, err
+		return parsedRequest{}, err
 	}
-	if err := needModel(q.Model); err != nil {
-		return parsed{}, err
+	if err := requireModel(q.Model); err != nil {
+		return parsedRequest{}, err
 	}
 	switch {
 	case q.Query == "":
-		return parsed{}, &invalid{"query", "query is required"}
+		return parsedRequest{}, &requestError{"query", "query is required"}
 	case len(q.Documents) == 0 || len(q.Documents) > maxDocuments:
-		return parsed{}, &invalid{"documents", fmt.Sprintf("documents must hold 1 to %d passages", maxDocuments)}
+		return parsedRequest{}, &requestError{"documents", fmt.Sprintf("documents must hold 1 to %d passages", maxDocuments)}
 	case q.TopN != nil && *q.TopN < 1:
-		return parsed{}, &invalid{"top_n", "top_n must be 1 or more"}
+		return parsedRequest{}, &requestError{"top_n", "top_n must be 1 or more"}
 	}
-	query, sum := tokens(utf8.RuneCountInString(q.Query)), 0.0
+	query, sum := estimateTokens(utf8.RuneCountInString(q.Query)), 0.0
 	for i, d := range q.Documents {
 		s, ok := passage(d)
 		if !ok {
-			return parsed{}, &invalid{"documents", fmt.Sprintf("documents[%d] must be a text or an object with a text", i)}
+			return parsedRequest{}, &requestError{"documents", fmt.Sprintf("documents[%d] must be a text or an object with a text", i)}
 		}
-		sum += query + tokens(utf8.RuneCountInString(s))
+		sum += query + estimateTokens(utf8.RuneCountInString(s))
 	}
-	p := parsed{}
+	p := parsedRequest{}
 	p.Class, p.PromptTokens, p.MaxTokens = classRerank, sum, 1
 	return p, nil
 }
--- a/front/modelapi/request_test.go
+++ b/front/modelapi/request_test.go
@@ -10,8 +10,8 @@
 	"lichenshelf/discovery/membership"
 )
 
-// A batch is one request, and weighs all that the model has to read for it.
-func TestRerankWeighsTheWholeBatch(t *testing.T) {
+// A batch is one request whose length is all that the model has to read for it.
+func TestRerankCountsTheWholeBatch(t *testing.T) {
 	p, err := rerank([]byte(`{"model":"m","query":"12345678","documents":["1234",{"text":"12345678"}]}`))
 	require.NoError(t, err)
 	require.Equal(t, classRerank, p.Class)
@@ -33,10 +33,10 @@
 	}
 }
 
-// The next turn of a conversation must be known as the same, and conversations
-// with the same system prompt as sharing it.
-func TestChatKnowsConversationsAndSharedOpenings(t *testing.T) {
-	read := func(rest string) parsed {
+// The next turn of a conversation must get the same session, and conversations with the same system
+// prompt the same prefix.
+func TestChatIdentifiesSessionsAndSharedPrefixes(t *testing.T) {
+	read := func(rest string) parsedRequest {
 		p, err := chat([]byte(`{"model":"m","messages":[{"role":"system","content":"charts"},` + rest + `]}`))
 		require.NoError(t, err)
 		return p
@@ -53,7 +53,7 @@
 	require.InDelta(t, first.PromptTokens, parts.PromptTokens, 1e-9)
 }
 
-func TestShippedFileIsOffAndHoldsTheDefaults(t *testing.T) {
+func TestDeployedFileIsOffAndHasTheDefaults(t *testing.T) {
 	c, err := LoadConfig("../../deploy/modelapi.toml")
 	require.NoError(t, err)
 	require.Empty(t, c.Listen)
@@ -73,13 +73,13 @@
 	c := defaults()
 	c.Listen = "a:1"
 	require.NoError(t, c.Override("listen = \"b:2\"\nmax_open = 3"))
-	require.Equal(t, "a:1", c.Listen, "where to listen is the router's own")
+	require.Equal(t, "a:1", c.Listen, "the listen address is not overridden")
 	require.Equal(t, 3, c.MaxOpen)
 	require.Error(t, c.Override("max_open = 0"))
 	require.Equal(t, 3, c.MaxOpen)
 }
 
-func TestEntriesHaveNamesOfTheirOwn(t *testing.T) {
+func TestEntriesNeedUniqueNames(t *testing.T) {
 	list := []Backend{{Name: "m-a", Addr: "h:1"}, {Name: "m-b", Addr: "h:2", Draining: true}}
 	entries, err := Entries(list)
 	require.NoError(t, err)
--- a/front/modelapi/transport.go
+++ b/front/modelapi/transport.go
@@ -11,14 +11,14 @@
 // NewTransport returns the transport to the backends.
 func NewTransport(cfg *Config, conns int, counters router.Counters) *upstream.Client {
 	return upstream.New(upstream.Config{
-		ConnectTimeout: cfg.Connect.Duration, ConnIdle: cfg.ConnIdle.Duration, MaxConns: conns,
-		MaxAnswer: cfg.MaxAnswer, StreamStall: cfg.Stall.Duration, WaitHeader: headerWait,
-		Judge: judge, Final: final, Counters: counters,
+		ConnectTimeout: cfg.ConnectTimeout.Duration, ConnIdle: cfg.ConnIdle.Duration, MaxConns: conns,
+		MaxAnswer: cfg.MaxAnswer, StreamStall: cfg.StreamStall.Duration, WaitHeader: headerWait,
+		Judge: classifyAnswer, Final: isFinal, Counters: counters,
 	})
 }
 
-// final tells which statuses are an answer to the client: its own mistakes.
-func final(status int) bool {
+// isFinal reports whether a backend's status is an answer for the client, as for faulty requests.
+func isFinal(status int) bool {
 	switch status {
 	case fasthttp.StatusRequestTimeout, fasthttp.StatusConflict, fasthttp.StatusTooManyRequests:
 		return false
@@ -26,8 +26,9 @@
 	return status/100 == 4
 }
 
-// judge maps what is no answer. A backend that is full has not run the request.
-func judge(status int, _ *fasthttp.ResponseHeader, _ []byte) router.Outcome {
+// classifyAnswer maps the status of any other answer to the outcome of the attempt. A backend that
+// is full has not run the request.
+func classifyAnswer(status int, _ *fasthttp.ResponseHeader, _ []byte) router.Outcome {
 	if status == fasthttp.StatusTooManyRequests || status == fasthttp.StatusServiceUnavailable {
 		return router.Outcome{Status: logic.Full}
 	}
