--- a/front/console/console.go
+++ b/front/console/console.go
@@ -1,6 +1,6 @@
-// Package console is the operators' address: readiness, metrics, and workers taken out
-// and put back by hand. It speaks HTTP/1.1 with one call to a connection, over a
-// listener and a server of its own, so that no client's load stands before it.
+// Package console implements the operators' HTTP interface: readiness, metrics, the state of the
+// fleet, and suspending and resuming workers by hand. It serves HTTP/1.1 with one call per
+// connection, on a separate listener and server, so that it stays reachable under client load.
 package console
 
 import (
@@ -19,8 +19,8 @@
 	"lichenshelf/router"
 )
 
-// MaxConns bounds the console's connections. Past it the one that is missed
-// least gives way: one that lingers, idles or is slowest to send its call.
+// MaxConns is the maximum number of the console's connections. Beyond it, the least useful one is
+// closed: one that lingers, is idle, or is slowest to send its call.
 const MaxConns = 16
 
 const (
@@ -32,61 +32,61 @@
 
 var errNoPath = errors.New("no such path")
 
-// Workers is what takes workers out and puts them back.
+// Workers suspends workers, so that they get no new requests, and resumes them.
 type Workers interface {
 	Suspend(name string) error
 	Resume(name string) error
 }
 
-// Console answers operators' calls.
+// Console serves the calls of operators.
 type Console struct {
 	ready   func() bool
-	workers Workers // nil: no front takes workers by hand
-	fleet   Fleet   // nil: none
-	metrics Metrics // nil: none
+	workers Workers // nil: no front supports suspending workers
+	fleet   Fleet   // nil: no fleet pages
+	metrics Metrics // nil: no metrics page
 
 	metricsType string
 }
 
-// Metrics are figures for who scrapes them.
+// Metrics are the process's metrics, for scraping.
 type Metrics interface {
-	// Write writes them as text.
+	// Write writes all metrics as text.
 	Write(w io.Writer) error
 }
 
-// WithMetrics makes the console answer with metrics of a content type.
+// WithMetrics makes the console serve metrics with the given content type.
 func (c *Console) WithMetrics(m Metrics, contentType string) *Console {
 	c.metrics, c.metricsType = m, contentType
 	return c
 }
 
-// Fleet is what there is to see of a fleet of routers.
+// Fleet provides the state and the actions of a fleet of routers.
 type Fleet interface {
-	// Page returns what goes by a name, to be shown as JSON; an io.ReadCloser is sent as it
-	// is, and closed.
+	// Page returns the content of the named page and whether it exists. The content is sent as
+	// JSON, except that an io.ReadCloser is streamed unchanged and closed.
 	Page(name string) (any, bool)
-	// Do does what goes by a name; an error says why not, and nothing was done then.
+	// Do performs the named action. If it returns an error, nothing was changed.
 	Do(name string) error
 }
 
-// WithFleet makes the console show the fleet.
+// WithFleet makes the console serve the pages and actions of a fleet.
 func (c *Console) WithFleet(f Fleet) *Console {
 	c.fleet = f
 	return c
 }
 
-// New returns a console; ready tells whether this process takes clients.
+// New returns a console; ready reports whether this process accepts clients.
 func New(ready func() bool, workers Workers) *Console {
 	return &Console{ready: ready, workers: workers}
 }
 
-// Server returns the console's server over l.
+// Server returns the console's server on l.
 func (c *Console) Server(l net.Listener, counters router.Counters) *downstream.Server {
 	return downstream.NewServer(l, downstream.Config{Handler: c.Handle, Problem: downstream.TextProblem,
 		MaxBody: 4 << 10, MaxConns: MaxConns, Counters: counters})
 }
 
-// Handle answers one call, and closes its connection after.
+// Handle serves one call and closes its connection afterwards.
 func (c *Console) Handle(call *downstream.Call) {
 	call.Response.SetConnectionClose()
 	path, _, _ := strings.Cut(string(call.Request.Header.RequestURI()), "?")
--- a/front/console/console_test.go
+++ b/front/console/console_test.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// call sends one call on a new connection and reads the status.
+// call sends a request on a new connection and returns the status of the answer.
 func call(t *testing.T, addr, method, path string) int {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -35,11 +35,11 @@
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
-	require.True(t, resp.Close, "one call a connection")
+	require.True(t, resp.Close, "one call per connection")
 	return resp.StatusCode
 }
 
-func TestCallsAnswerBesideIdleAndHalfWrittenConnections(t *testing.T) {
+func TestCallsAreAnsweredDespiteIdleAndIncompleteConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var ready atomic.Bool
@@ -48,7 +48,7 @@
 	go func() { _ = s.Serve() }()
 	addr := l.Addr().String()
 
-	// More callers than the bound hold connections with no whole call.
+	// More connections than the limit are open without a complete request.
 	for i := range 2 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
