--- a/front/zkfront/bench_test.go
+++ b/front/zkfront/bench_test.go
@@ -13,15 +13,14 @@
 	"lichenshelf/discovery/zkwire"
 )
 
-// BenchmarkCreate is creates a second on three replicas, by 64 sessions at all of
-// them.
+// BenchmarkCreate measures creates per second with three replicas and 64 sessions spread over them.
 func BenchmarkCreate(b *testing.B) {
 	c := newCluster(b)
 	var conns []*zk.Conn
 	for i := range 64 {
 		conns = append(conns, c.dial(10*time.Second, i%3))
 	}
-	_, err := conns[0].Create("/b", nil, 0, open)
+	_, err := conns[0].Create("/b", nil, 0, openACL)
 	require.NoError(b, err)
 	var next, failed atomic.Int64
 	b.ResetTimer()
@@ -31,7 +30,7 @@
 		go func() {
 			defer wg.Done()
 			for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
-				if _, err := conn.Create(fmt.Sprintf("/b/n%08d", i), nil, 0, open); err != nil {
+				if _, err := conn.Create(fmt.Sprintf("/b/n%08d", i), nil, 0, openACL); err != nil {
 					failed.Add(1)
 				}
 			}
@@ -42,13 +41,13 @@
 	require.Zero(b, failed.Load())
 }
 
-// BenchmarkFanOut is the time from a change to the last of 2,000 sessions' word of
-// it, beside 3,000 idle ones.
+// BenchmarkFanOut measures the time from a change until the last of 2,000 watching sessions has
+// received the event, with 3,000 idle sessions besides.
 func BenchmarkFanOut(b *testing.B) {
 	const watching, idle = 2000, 3000
 	c := newCluster(b)
 	writer := c.dial(30*time.Second, 0)
-	_, err := writer.Create("/f", nil, 0, open)
+	_, err := writer.Create("/f", nil, 0, openACL)
 	require.NoError(b, err)
 	type client struct {
 		read func() error
@@ -69,7 +68,7 @@
 			}
 			clients[i] = client{
 				read: func() error {
-					if err := raw.SetReadDeadline(time.Now().Add(patient)); err != nil {
+					if err := raw.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 						return err
 					}
 					_, err := zkwire.ReadFrame(raw, zkwire.MaxFrame)
--- a/front/zkfront/calls.go
+++ b/front/zkfront/calls.go
@@ -9,8 +9,8 @@
 	"lichenshelf/store"
 )
 
-// call answers one call. An error ends the connection, as when the outcome of a
-// write is not known.
+// call answers one call. An error closes the connection, for example when the outcome of a write is
+// unknown.
 func (c *conn) call(body []byte) error {
 	var h zkwire.RequestHeader
 	body, err := zkwire.Decode(body, &h)
@@ -25,7 +25,7 @@
 		if err := zkwire.DecodeAll(body, &q); err != nil {
 			return err
 		}
-		return c.read(&h, func(v store.View) (zkwire.Record, zkwire.Code, error) { return c.look(v, h.Op, &q) })
+		return c.read(&h, func(v store.View) (zkwire.Record, zkwire.Code, error) { return c.readNode(v, h.Op, &q) })
 	case zkwire.OpSetWatches:
 		var q zkwire.SetWatches
 		if err := zkwire.DecodeAll(body, &q); err != nil {
@@ -33,7 +33,7 @@
 		}
 		return c.read(&h, func(v store.View) (zkwire.Record, zkwire.Code, error) { return nil, zkwire.OK, c.setWatches(v, &q) })
 	case zkwire.OpCreate, zkwire.OpCreate2, zkwire.OpSetData, zkwire.OpDelete, zkwire.OpCheck:
-		return c.one(&h, body)
+		return c.single(&h, body)
 	case zkwire.OpMulti:
 		return c.multi(&h, body)
 	case zkwire.OpSync:
@@ -41,18 +41,18 @@
 		if err := zkwire.DecodeAll(body, &q); err != nil {
 			return err
 		}
-		ctx, cancel := c.wait()
+		ctx, cancel := c.callContext()
 		defer cancel()
 		if err := c.server.replica.Sync(ctx); err != nil {
 			return err
 		}
 		return c.read(&h, func(store.View) (zkwire.Record, zkwire.Code, error) { return &q, zkwire.OK, nil })
-	case zkwire.OpAuth: // there is one access list, open to all, so nobody needs to be known
+	case zkwire.OpAuth: // all nodes are open to everyone, so any credentials are accepted
 		return c.read(&h, func(store.View) (zkwire.Record, zkwire.Code, error) { return nil, zkwire.OK, nil })
 	case zkwire.OpCloseSession:
-		ctx, cancel := c.wait()
+		ctx, cancel := c.callContext()
 		defer cancel()
-		c.leave() // the end of the session must not cut off the answer
+		c.detach() // the end of the session must not close the connection before the answer is sent
 		if err := c.server.replica.CloseSession(ctx, c.session); err != nil && !errors.Is(err, store.ErrNoSession) {
 			return err
 		}
@@ -65,12 +65,12 @@
 	return c.read(&h, func(store.View) (zkwire.Record, zkwire.Code, error) { return nil, zkwire.ErrUnimplemented, nil })
 }
 
-func (c *conn) wait() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(c.server.ctx, callWait)
+func (c *conn) callContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(c.server.ctx, callTimeout)
 }
 
-// leave has the connection no longer speak for its session here.
-func (c *conn) leave() {
+// detach makes this connection no longer the one that represents its session at this replica.
+func (c *conn) detach() {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// read answers with what f finds in the state. The answer is queued before the
-// state can change again, so what a watch tells of that comes after it.
+// read answers with the result of f on the current state. The answer is queued before the state can
+// change again, so events about later changes follow it.
 func (c *conn) read(h *zkwire.RequestHeader, f func(store.View) (zkwire.Record, zkwire.Code, error)) (err error) {
 	c.server.replica.View(func(v store.View) {
 		var answer zkwire.Record
@@ -97,8 +97,8 @@
 	return err
 }
 
-// watch sets a watch, with the state locked.
-func (c *conn) watch(k kind, path string) error {
+// watch sets a watch. The caller holds the lock on the state.
+func (c *conn) watch(k watchKind, path string) error {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,22 +109,22 @@
 	return nil
 }
 
-func (c *conn) look(v store.View, op zkwire.Op, q *zkwire.PathWatch) (zkwire.Record, zkwire.Code, error) {
+func (c *conn) readNode(v store.View, op zkwire.Op, q *zkwire.PathWatch) (zkwire.Record, zkwire.Code, error) {
 	data, st, children, err := v.Node(q.Path)
 	k := dataWatch
 	if op == zkwire.OpGetChildren || op == zkwire.OpGetChildren2 {
 		k = childWatch
 	}
-	// Only a question for existence watches for what is not there yet.
+	// Only a check for existence can watch a node that does not exist yet.
 	if q.Watch && (err == nil || op == zkwire.OpExists && errors.Is(err, store.ErrNoNode)) {
 		if err := c.watch(k, q.Path); err != nil {
 			return nil, 0, err
 		}
 	}
 	if err != nil {
-		return nil, code(err), nil
+		return nil, errorCode(err), nil
 	}
-	s := stat(st, len(data), children)
+	s := wireStat(st, len(data), children)
 	switch op {
 	case zkwire.OpExists:
 		return &s, zkwire.OK, nil
@@ -136,13 +136,13 @@
 	return &zkwire.ChildrenStat{Names: v.Children(q.Path), Stat: s}, zkwire.OK, nil
 }
 
-// setWatches sets a client's watches again after it has come back, and tells at
-// once what it has missed.
+// setWatches sets the watches of a reconnected client again, and at once sends the events that it
+// missed.
 func (c *conn) setWatches(v store.View, q *zkwire.SetWatches) error {
 	for set, paths := range map[string][]string{"data": q.Data, "exist": q.Exist, "children": q.ChildrenPaths} {
 		for _, p := range paths {
 			data, st, children, err := v.Node(p)
-			if event, told := missed(set, err == nil, stat(st, len(data), children), q.RelativeZxid); told {
+			if event, missed := missedEvent(set, err == nil, wireStat(st, len(data), children), q.RelativeZxid); missed {
 				c.notify(event, p)
 				continue
 			}
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// stat is a node's in the protocol's form.
-func stat(s store.Stat, size, children int) zkwire.Stat {
+// wireStat converts a node's stat to the protocol's form.
+func wireStat(s store.Stat, size, children int) zkwire.Stat {
 	out := zkwire.Stat{Czxid: int64(s.Created), Mzxid: int64(s.Modified), Ctime: s.CreatedMs, Mtime: s.ModifiedMs,
 		Version: int32(s.Version), Cversion: int32(s.Children), DataLength: int32(size), NumChildren: int32(children),
 		Pzxid: int64(max(s.ChildrenOp, s.Created))}
@@ -169,8 +169,8 @@
 	return out
 }
 
-// code is a fault in the protocol's form.
-func code(err error) zkwire.Code {
+// errorCode converts an error to the protocol's error code.
+func errorCode(err error) zkwire.Code {
 	for _, f := range []struct {
 		err  error
 		code zkwire.Code
@@ -186,15 +186,15 @@
 }
 
 var (
-	errACL   = errors.New("access lists other than world:anyone with all rights are not kept")
-	errData  = fmt.Errorf("a node holds %d bytes at most", maxData)
-	errFlags = errors.New("container and TTL nodes are not kept")
+	errACL   = errors.New("access lists other than world:anyone with all rights are not supported")
+	errData  = fmt.Errorf("node data exceeds %d bytes", maxData)
+	errFlags = errors.New("container and TTL nodes are not supported")
 )
 
 const allRights = 31
 
-// step turns one operation into the store's.
-func step(op zkwire.Op, body zkwire.Record) (store.Step, error) {
+// toStep converts one operation to a step of a store transaction.
+func toStep(op zkwire.Op, body zkwire.Record) (store.Step, error) {
 	switch q := body.(type) {
 	case *zkwire.CreateRequest:
 		s := store.Step{Op: store.StepCreate, Path: q.Path, Data: q.Data, Ephemeral: q.Flags&zkwire.FlagEphemeral != 0,
@@ -229,8 +229,8 @@
 	return store.Step{}, fmt.Errorf("operation %d: %w", op, zkwire.ErrUnimplemented)
 }
 
-// one answers a write of one operation.
-func (c *conn) one(h *zkwire.RequestHeader, body []byte) error {
+// single answers a write of one operation.
+func (c *conn) single(h *zkwire.RequestHeader, body []byte) error {
 	var q zkwire.Record
 	switch h.Op {
 	case zkwire.OpSetData:
@@ -243,7 +243,7 @@
 	if err := zkwire.DecodeAll(body, q); err != nil {
 		return err
 	}
-	s, fault := step(h.Op, q)
+	s, fault := toStep(h.Op, q)
 	var results []zkwire.MultiResult
 	if fault == nil {
 		var err error
@@ -256,13 +256,13 @@
 	}
 	return c.read(h, func(store.View) (zkwire.Record, zkwire.Code, error) {
 		if fault != nil {
-			return nil, code(fault), nil
+			return nil, errorCode(fault), nil
 		}
 		return results[0].Body, zkwire.OK, nil
 	})
 }
 
-// fatal is a fault after which the connection can't go on.
+// fatal returns the fault if the connection can't continue after it, and nil otherwise.
 func (c *conn) fatal(fault error) error {
 	if errors.Is(fault, store.ErrNoSession) || errors.Is(fault, store.ErrMoved) {
 		return fault
@@ -270,10 +270,10 @@
 	return nil
 }
 
-// commit applies steps. Failed and fault are of the step that could not be, an
-// error says that what became of them is not known here.
+// commit applies steps as one transaction. If a step was rejected, failed is its index and fault
+// the reason. An error means that the outcome is unknown.
 func (c *conn) commit(ops []zkwire.Op, steps ...store.Step) (out []zkwire.MultiResult, failed int, fault, err error) {
-	ctx, cancel := c.wait()
+	ctx, cancel := c.callContext()
 	defer cancel()
 	r, err := c.server.replica.Commit(ctx, c.session, c.holder, steps...)
 	if err != nil {
@@ -284,7 +284,7 @@
 	}
 	for i, op := range ops {
 		x := zkwire.MultiResult{Op: op}
-		s := stat(r.Results[i].Stat, len(steps[i].Data), r.Results[i].Children)
+		s := wireStat(r.Results[i].Stat, len(steps[i].Data), r.Results[i].Children)
 		switch op {
 		case zkwire.OpCreate:
 			x.Body = &zkwire.Path{Path: r.Results[i].Path}
@@ -298,7 +298,7 @@
 	return out, -1, nil, nil
 }
 
-// multi answers a write of several operations, which are one entry of the log.
+// multi answers a write of several operations, which form one log entry.
 func (c *conn) multi(h *zkwire.RequestHeader, body []byte) error {
 	var q zkwire.Multi
 	if err := zkwire.DecodeAll(body, &q); err != nil {
@@ -308,7 +308,7 @@
 	var ops []zkwire.Op
 	failed, fault := -1, error(nil)
 	for i, op := range q.Ops {
-		s, err := step(op.Op, op.Body)
+		s, err := toStep(op.Op, op.Body)
 		if err != nil && fault == nil {
 			failed, fault = i, err
 		}
@@ -324,13 +324,15 @@
 	if err := c.fatal(fault); err != nil {
 		return err
 	}
-	if fault != nil { // none was applied: those before it would have been, those after were not looked at
+	// No operation was applied. Those before the failed one report OK, those after it were not
+	// checked.
+	if fault != nil {
 		results = make([]zkwire.MultiResult, len(ops))
 		for i := range results {
 			results[i] = zkwire.MultiResult{Op: zkwire.OpError}
 			switch {
 			case i == failed:
-				results[i].Err = code(fault)
+				results[i].Err = errorCode(fault)
 			case i > failed:
 				results[i].Err = zkwire.ErrRuntimeInconsistency
 			}
--- a/front/zkfront/front_test.go
+++ b/front/zkfront/front_test.go
@@ -21,18 +21,18 @@
 	"lichenshelf/store"
 )
 
-const patient = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// cluster is three replicas on loopback, each with its API and its front.
+// cluster is a set of three replicas on loopback, each with its API and its front.
 type cluster struct {
-	t     testing.TB
-	peers []store.Peer
-	dirs  []string
-	apis  []string // where the APIs listen: as the peers say, unless something stands before them
-	addrs []string // of the fronts
-	nodes []*member
-	mutes []*mute
-	conns int // that each front takes at most; 0: its default
+	t       testing.TB
+	peers   []store.Peer
+	dirs    []string
+	apis    []string // listen addresses of the APIs: those of the peers, unless a proxy is in between
+	addrs   []string // listen addresses of the fronts
+	nodes   []*member
+	proxies []*muteProxy
+	conns   int // maximum connections of each front; 0: its default
 }
 
 type member struct {
@@ -41,14 +41,14 @@
 	front   *Server
 }
 
-var given sync.Map // addresses that were handed out
+var usedAddrs sync.Map // addresses that freeAddr has returned
 
-// freeAddr is an address for a server that comes and goes. Its port lies below
-// those that the system gives to clients, or one of them could take it meanwhile.
+// freeAddr returns an address for a server that is stopped and restarted. Its port is below the
+// ephemeral port range, so that no client socket can take it in between.
 func freeAddr(t testing.TB) string {
 	for range 1000 {
 		addr := fmt.Sprintf("127.0.0.1:%d", 12_000+rand.IntN(20_000))
-		if _, taken := given.LoadOrStore(addr, true); taken {
+		if _, taken := usedAddrs.LoadOrStore(addr, true); taken {
 			continue
 		}
 		if l, err := net.Listen("tcp", addr); err == nil {
@@ -123,20 +123,20 @@
 			}
 		}
 		return false
-	}, patient, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	return found
 }
 
-// dial connects the library's client to replicas.
+// dial connects a client of the ZooKeeper library to the given replicas.
 func (c *cluster) dial(timeout time.Duration, at ...int) *zk.Conn {
 	var addrs []string
 	for _, i := range at {
 		addrs = append(addrs, c.addrs[i])
 	}
-	conn, events, err := zk.Connect(addrs, timeout, zk.WithLogInfo(false), zk.WithLogger(silent{}))
+	conn, events, err := zk.Connect(addrs, timeout, zk.WithLogInfo(false), zk.WithLogger(discardLogger{}))
 	require.NoError(c.t, err)
 	c.t.Cleanup(conn.Close)
-	for deadline := time.After(patient); ; {
+	for deadline := time.After(testTimeout); ; {
 		select {
 		case ev := <-events:
 			if ev.State == zk.StateHasSession {
@@ -148,24 +148,24 @@
 	}
 }
 
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-var open = zk.WorldACL(zk.PermAll)
+var openACL = zk.WorldACL(zk.PermAll)
 
-func (c *cluster) next(events <-chan zk.Event) zk.Event {
+func (c *cluster) nextEvent(events <-chan zk.Event) zk.Event {
 	c.t.Helper()
 	select {
 	case ev := <-events:
 		return ev
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		c.t.Fatal("no event")
 		return zk.Event{}
 	}
 }
 
-// The calls, with a client that nobody here wrote, at every replica.
+// All calls behave as in ZooKeeper, checked with an independent client library at every replica.
 func TestConformance(t *testing.T) {
 	c := newCluster(t)
 	for i := range c.nodes {
@@ -176,15 +176,15 @@
 			do   func() error
 			want error
 		}{
-			{"create", func() error { _, err := conn.Create(root, []byte("x"), 0, open); return err }, nil},
-			{"create again", func() error { _, err := conn.Create(root, nil, 0, open); return err }, zk.ErrNodeExists},
-			{"create below nothing", func() error { _, err := conn.Create("/none/x", nil, 0, open); return err }, zk.ErrNoNode},
+			{"create", func() error { _, err := conn.Create(root, []byte("x"), 0, openACL); return err }, nil},
+			{"create again", func() error { _, err := conn.Create(root, nil, 0, openACL); return err }, zk.ErrNodeExists},
+			{"create below nothing", func() error { _, err := conn.Create("/none/x", nil, 0, openACL); return err }, zk.ErrNoNode},
 			{"get nothing", func() error { _, _, err := conn.Get("/none"); return err }, zk.ErrNoNode},
 			{"children of nothing", func() error { _, _, err := conn.Children("/none"); return err }, zk.ErrNoNode},
 			{"set a wrong version", func() error { _, err := conn.Set(root, nil, 7); return err }, zk.ErrBadVersion},
 			{"delete a wrong version", func() error { return conn.Delete(root, 7) }, zk.ErrBadVersion},
-			{"ephemeral", func() error { _, err := conn.Create(root+"/e", nil, zk.FlagEphemeral, open); return err }, nil},
-			{"below an ephemeral", func() error { _, err := conn.Create(root+"/e/x", nil, 0, open); return err }, zk.ErrNoChildrenForEphemerals},
+			{"ephemeral", func() error { _, err := conn.Create(root+"/e", nil, zk.FlagEphemeral, openACL); return err }, nil},
+			{"below an ephemeral", func() error { _, err := conn.Create(root+"/e/x", nil, 0, openACL); return err }, zk.ErrNoChildrenForEphemerals},
 			{"delete with children", func() error { return conn.Delete(root, -1) }, zk.ErrNotEmpty},
 			{"delete nothing", func() error { return conn.Delete(root+"/none", -1) }, zk.ErrNoNode},
 			{"closed access list", func() error {
@@ -217,7 +217,7 @@
 
 		var made []string
 		for range 3 {
-			p, err := conn.Create(root+"/s-", nil, zk.FlagSequence, open)
+			p, err := conn.Create(root+"/s-", nil, zk.FlagSequence, openACL)
 			require.NoError(t, err)
 			require.Len(t, p, len(root)+3+10)
 			made = append(made, p[len(root)+1:])
@@ -227,17 +227,17 @@
 		require.NoError(t, err)
 		require.Equal(t, append([]string{"e"}, made...), names)
 
-		// A multi is one change, or none.
+		// A multi is applied as a whole or not at all.
 		_, stat, err = conn.Get(root)
 		require.NoError(t, err)
-		_, err = conn.Multi(&zk.CreateRequest{Path: root + "/m", Acl: open}, &zk.SetDataRequest{Path: root, Data: []byte("z"), Version: -1},
+		_, err = conn.Multi(&zk.CreateRequest{Path: root + "/m", Acl: openACL}, &zk.SetDataRequest{Path: root, Data: []byte("z"), Version: -1},
 			&zk.CheckVersionRequest{Path: root, Version: 99})
 		require.Equal(t, zk.ErrBadVersion, err)
 		again, after, err := conn.Get(root)
 		require.NoError(t, err)
 		require.Equal(t, "yy", string(again))
 		require.Equal(t, stat, after)
-		results, err := conn.Multi(&zk.CreateRequest{Path: root + "/m", Acl: open}, &zk.CheckVersionRequest{Path: root + "/m", Version: 0},
+		results, err := conn.Multi(&zk.CreateRequest{Path: root + "/m", Acl: openACL}, &zk.CheckVersionRequest{Path: root + "/m", Version: 0},
 			&zk.SetDataRequest{Path: root + "/m", Data: []byte("z"), Version: 0}, &zk.DeleteRequest{Path: root + "/" + made[0], Version: 0})
 		require.NoError(t, err)
 		require.Equal(t, root+"/m", results[0].String)
@@ -246,43 +246,43 @@
 		_, dir, err := conn.Get(root)
 		require.NoError(t, err)
 		require.Equal(t, m.Czxid, m.Mzxid)
-		require.Equal(t, m.Czxid, dir.Pzxid, "one entry of the log")
-		conn.Close() // the end of a session takes its ephemerals
+		require.Equal(t, m.Czxid, dir.Pzxid, "one log entry")
+		conn.Close() // ending the session deletes its ephemeral nodes
 		other := c.dial(4*time.Second, (i+1)%3)
-		require.Eventually(t, func() bool { there, _, err := other.Exists(root + "/e"); return err == nil && !there }, patient, 5*time.Millisecond)
+		require.Eventually(t, func() bool { there, _, err := other.Exists(root + "/e"); return err == nil && !there }, testTimeout, 5*time.Millisecond)
 	}
 }
 
-func TestWatchesOfEveryKind(t *testing.T) {
+func TestAllKindsOfWatches(t *testing.T) {
 	c := newCluster(t)
 	watcher, writer := c.dial(4*time.Second, 0), c.dial(4*time.Second, 1)
 	_, _, made, err := watcher.ExistsW("/w")
 	require.NoError(t, err)
-	_, err = writer.Create("/w", nil, 0, open)
+	_, err = writer.Create("/w", nil, 0, openACL)
 	require.NoError(t, err)
-	require.Equal(t, zk.EventNodeCreated, c.next(made).Type)
+	require.Equal(t, zk.EventNodeCreated, c.nextEvent(made).Type)
 	_, _, children, err := watcher.ChildrenW("/w")
 	require.NoError(t, err)
 	_, _, data, err := watcher.GetW("/w")
 	require.NoError(t, err)
-	_, err = writer.Create("/w/x", nil, 0, open)
+	_, err = writer.Create("/w/x", nil, 0, openACL)
 	require.NoError(t, err)
-	require.Equal(t, zk.EventNodeChildrenChanged, c.next(children).Type)
+	require.Equal(t, zk.EventNodeChildrenChanged, c.nextEvent(children).Type)
 	_, err = writer.Set("/w", []byte("1"), -1)
 	require.NoError(t, err)
-	require.Equal(t, zk.EventNodeDataChanged, c.next(data).Type)
+	require.Equal(t, zk.EventNodeDataChanged, c.nextEvent(data).Type)
 	_, _, gone, err := watcher.GetW("/w/x")
 	require.NoError(t, err)
 	require.NoError(t, writer.Delete("/w/x", -1))
-	require.Equal(t, zk.EventNodeDeleted, c.next(gone).Type)
-	// Each tells once.
+	require.Equal(t, zk.EventNodeDeleted, c.nextEvent(gone).Type)
+	// Each watch sends one event.
 	_, _, data, err = watcher.GetW("/w")
 	require.NoError(t, err)
 	for i := range 5 {
 		_, err = writer.Set("/w", []byte{byte(i)}, -1)
 		require.NoError(t, err)
 	}
-	c.next(data)
+	c.nextEvent(data)
 	select {
 	case ev, ok := <-data:
 		require.False(t, ok, "%v", ev)
@@ -290,12 +290,11 @@
 	}
 }
 
-// A write at one replica is seen by its own session at once, and by a session
-// that moves to another replica, whichever that is.
-func TestASessionNeverSeesThePast(t *testing.T) {
+// A session sees its own write at once, also after it moves to any other replica.
+func TestSessionNeverReadsOlderState(t *testing.T) {
 	c := newCluster(t)
 	conn := c.dial(10*time.Second, 0, 1, 2)
-	_, err := conn.Create("/n", []byte("0"), 0, open)
+	_, err := conn.Create("/n", []byte("0"), 0, openACL)
 	require.NoError(t, err)
 	for i := range 30 {
 		if i%10 == 5 { // move it
@@ -307,21 +306,21 @@
 				}
 			}
 			want := fmt.Sprint(i)
-			require.Eventually(t, func() bool { _, err := conn.Set("/n", []byte(want), -1); return err == nil }, patient, 5*time.Millisecond)
+			require.Eventually(t, func() bool { _, err := conn.Set("/n", []byte(want), -1); return err == nil }, testTimeout, 5*time.Millisecond)
 			continue
 		}
 		want := fmt.Sprint(i)
 		var err error
-		require.Eventually(t, func() bool { _, err = conn.Set("/n", []byte(want), -1); return err == nil }, patient, 5*time.Millisecond)
+		require.Eventually(t, func() bool { _, err = conn.Set("/n", []byte(want), -1); return err == nil }, testTimeout, 5*time.Millisecond)
 		got, _, err := conn.Get("/n")
-		if err == nil { // else its connection broke between the two
+		if err == nil { // otherwise the connection was closed between the two calls
 			require.Equal(t, want, string(got))
 		}
 	}
 }
 
-// A replica that has seen less than the client must not serve it.
-func TestAReplicaThatIsBehindServesNobodyWhoHasSeenMore(t *testing.T) {
+// A replica whose state is older than what the client has seen must not serve the client.
+func TestLaggingReplicaRefusesClientAhead(t *testing.T) {
 	c := newCluster(t)
 	answer := func(hello zkwire.ConnectRequest) (*zkwire.ConnectResponse, error) {
 		raw, err := net.Dial("tcp", c.addrs[0])
@@ -329,7 +328,7 @@
 		defer raw.Close()
 		_, err = raw.Write(zkwire.Append(nil, &hello))
 		require.NoError(t, err)
-		require.NoError(t, raw.SetReadDeadline(time.Now().Add(patient)))
+		require.NoError(t, raw.SetReadDeadline(time.Now().Add(testTimeout)))
 		body, err := zkwire.ReadFrame(raw, zkwire.MaxFrame)
 		if err != nil {
 			return nil, err
@@ -342,7 +341,7 @@
 	require.NotZero(t, r.SessionID)
 	_, err = answer(zkwire.ConnectRequest{TimeoutMs: 4000, LastZxidSeen: 1 << 40, SessionID: r.SessionID, Password: r.Password})
 	require.Error(t, err)
-	// Another password, or a session that never was, has expired.
+	// A wrong password or an unknown session gets the answer of an expired session.
 	for _, h := range []zkwire.ConnectRequest{{SessionID: r.SessionID, Password: make([]byte, 16)}, {SessionID: 77, Password: r.Password}} {
 		e, err := answer(h)
 		require.NoError(t, err)
@@ -354,12 +353,11 @@
 	require.Equal(t, r.SessionID, again.SessionID)
 }
 
-// The leader is killed and comes back, again and again; no acknowledged create is
-// lost, and ephemerals of a lost client vanish within the stated bound.
-func TestLeadersThatDie(t *testing.T) {
+// No acknowledged create is lost when the leader is repeatedly killed and restarted.
+func TestAcknowledgedCreatesSurviveLeaderRestarts(t *testing.T) {
 	c := newCluster(t)
 	conn := c.dial(8*time.Second, 0, 1, 2)
-	_, err := conn.Create("/d", nil, 0, open)
+	_, err := conn.Create("/d", nil, 0, openACL)
 	require.NoError(t, err)
 	acknowledged := map[string]bool{}
 	for round := range 3 {
@@ -370,7 +368,7 @@
 				c.kill(l)
 				c.start(l)
 			}
-			if _, err := conn.Create("/d/"+name, nil, 0, open); err == nil {
+			if _, err := conn.Create("/d/"+name, nil, 0, openACL); err == nil {
 				acknowledged[name] = true
 			}
 		}
@@ -388,7 +386,9 @@
 	}
 }
 
-func TestEphemeralsOfALostClientVanish(t *testing.T) {
+// An ephemeral node of a client that falls silent is deleted after the session timeout, although
+// the connection stays open.
+func TestEphemeralsOfSilentClientExpire(t *testing.T) {
 	c := newCluster(t)
 	raw, err := net.Dial("tcp", c.addrs[0])
 	require.NoError(t, err)
@@ -403,36 +403,36 @@
 	require.NoError(t, err)
 	_, err = zkwire.ReadFrame(raw, zkwire.MaxFrame)
 	require.NoError(t, err)
-	last := time.Now() // it says nothing from here on, but its connection stays up
+	last := time.Now() // the client is silent from here on, but its connection stays open
 	watcher := c.dial(10*time.Second, 1, 2)
 	there, _, gone, err := watcher.ExistsW("/e")
 	require.NoError(t, err)
 	require.True(t, there)
-	require.Equal(t, zk.EventNodeDeleted, c.next(gone).Type)
+	require.Equal(t, zk.EventNodeDeleted, c.nextEvent(gone).Type)
 	took := time.Since(last)
 	require.Greater(t, took, timeout)
-	t.Logf("vanished %v after its last word, its time-out being %v", took, timeout)
+	t.Logf("deleted %v after the last call of the session, whose timeout is %v", took, timeout)
 }
 
-// Frames that make no sense cost their connection and nothing else.
-func TestFramesThatMakeNoSense(t *testing.T) {
+// A malformed frame closes its connection and has no other effect.
+func TestMalformedFrames(t *testing.T) {
 	c := newCluster(t)
 	hello := zkwire.Append(nil, &zkwire.ConnectRequest{TimeoutMs: 4000, Password: make([]byte, 16)})
 	for name, bytes := range map[string][]byte{
 		"2 GB announced":        {0x7f, 0xff, 0xff, 0xff},
-		"of negative length":    {0xff, 0xff, 0xff, 0xfe},
-		"nonsense for a hello":  {0, 0, 0, 2, 1, 2},
+		"negative length":       {0xff, 0xff, 0xff, 0xfe},
+		"malformed hello":       {0, 0, 0, 2, 1, 2},
 		"2 GB after the hello":  append(slices.Clone(hello), 0x7f, 0xff, 0xff, 0xff),
-		"a header that is cut":  append(slices.Clone(hello), 0, 0, 0, 3, 1, 2, 3),
-		"a body that is cut":    append(slices.Clone(hello), 0, 0, 0, 12, 0, 0, 0, 1, 0, 0, 0, 4, 0, 0, 0, 9),
+		"a truncated header":    append(slices.Clone(hello), 0, 0, 0, 3, 1, 2, 3),
+		"a truncated body":      append(slices.Clone(hello), 0, 0, 0, 12, 0, 0, 0, 1, 0, 0, 0, 4, 0, 0, 0, 9),
 		"a list of 1e9 strings": append(slices.Clone(hello), 0, 0, 0, 20, 0, 0, 0, 1, 0, 0, 0, 101, 0, 0, 0, 0, 0, 0, 0, 0, 0x3b, 0x9a, 0xca, 0),
 	} {
 		raw, err := net.Dial("tcp", c.addrs[0])
 		require.NoError(t, err)
 		_, err = raw.Write(bytes)
 		require.NoError(t, err, name)
-		require.NoError(t, raw.SetReadDeadline(time.Now().Add(patient)))
-		_, err = io.ReadAll(raw) // the hello's answer, and then the end
+		require.NoError(t, raw.SetReadDeadline(time.Now().Add(testTimeout)))
+		_, err = io.ReadAll(raw) // the answer to the hello, then EOF
 		require.NoError(t, err, name)
 		require.NoError(t, raw.Close())
 	}
@@ -441,8 +441,8 @@
 	require.NoError(t, err)
 }
 
-// A client that never reads is cut off, and holds up nobody.
-func TestAClientThatNeverReads(t *testing.T) {
+// A client that never reads is disconnected and does not delay others.
+func TestClientThatNeverReadsIsDisconnected(t *testing.T) {
 	c := newCluster(t)
 	raw, err := net.Dial("tcp", c.addrs[0])
 	require.NoError(t, err)
@@ -450,26 +450,26 @@
 	_, err = raw.Write(zkwire.Append(nil, &zkwire.ConnectRequest{TimeoutMs: 40000, Password: make([]byte, 16)}))
 	require.NoError(t, err)
 	conn := c.dial(10*time.Second, 0)
-	_, err = conn.Create("/big", make([]byte, 200_000), 0, open)
+	_, err = conn.Create("/big", make([]byte, 200_000), 0, openACL)
 	require.NoError(t, err)
 	ask := zkwire.Append(nil, &zkwire.RequestHeader{Xid: 1, Op: zkwire.OpGetData}, &zkwire.PathWatch{Path: "/big"})
-	require.NoError(t, raw.SetWriteDeadline(time.Now().Add(patient)))
+	require.NoError(t, raw.SetWriteDeadline(time.Now().Add(testTimeout)))
 	for err == nil {
 		_, err = raw.Write(ask)
 	}
-	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it is cut off, not waited for")
+	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the connection is closed instead of blocking the server")
 	_, err = conn.Set("/big", nil, -1)
 	require.NoError(t, err)
 }
 
-// hello opens or takes up a session by hand.
+// hello opens or resumes a session over a raw connection.
 func (c *cluster) hello(at int, h zkwire.ConnectRequest) (net.Conn, zkwire.ConnectResponse) {
 	raw, err := net.Dial("tcp", c.addrs[at])
 	require.NoError(c.t, err)
 	c.t.Cleanup(func() { _ = raw.Close() })
 	_, err = raw.Write(zkwire.Append(nil, &h))
 	require.NoError(c.t, err)
-	require.NoError(c.t, raw.SetReadDeadline(time.Now().Add(patient)))
+	require.NoError(c.t, raw.SetReadDeadline(time.Now().Add(testTimeout)))
 	body, err := zkwire.ReadFrame(raw, zkwire.MaxFrame)
 	require.NoError(c.t, err)
 	var r zkwire.ConnectResponse
@@ -482,9 +482,9 @@
 		&zkwire.CreateRequest{Path: path, ACL: []zkwire.ACL{{Perms: allRights, Scheme: "world", ID: "anyone"}}, Flags: flags})
 }
 
-// A client moves to another replica with calls in flight: what the old connection
-// had not got through is void from then on, and calls are answered in order.
-func TestASessionThatMovesWithCallsInFlight(t *testing.T) {
+// A session moves to another replica with calls in flight. Calls that the old connection had not
+// completed by then are not applied afterwards, and calls are answered in order.
+func TestSessionMovesWithCallsInFlight(t *testing.T) {
 	c := newCluster(t)
 	old, session := c.hello(0, zkwire.ConnectRequest{TimeoutMs: 8000, Password: make([]byte, 16)})
 	const calls = 200
@@ -502,7 +502,7 @@
 	for {
 		body, err := zkwire.ReadFrame(old, zkwire.MaxFrame)
 		if err != nil {
-			break // the old connection is cut off
+			break // the old connection was closed
 		}
 		var h zkwire.ReplyHeader
 		_, err = zkwire.Decode(body, &h)
@@ -535,27 +535,27 @@
 	for _, at := range made {
 		require.Less(t, at, moved)
 	}
-	require.GreaterOrEqual(t, len(made), answered, "what was acknowledged is there")
+	require.GreaterOrEqual(t, len(made), answered, "acknowledged nodes exist")
 }
 
-// Pings that come just before the time-out keep a session.
-func TestPingsThatAreNearlyTooLate(t *testing.T) {
+// Pings that arrive just before the timeout keep a session alive.
+func TestPingsJustBeforeTimeout(t *testing.T) {
 	c := newCluster(t)
 	raw, session := c.hello(0, zkwire.ConnectRequest{TimeoutMs: 1000, Password: make([]byte, 16)})
 	require.EqualValues(t, 1000, session.TimeoutMs)
 	ping := zkwire.Append(nil, &zkwire.RequestHeader{Xid: zkwire.XidPing, Op: zkwire.OpPing})
 	for range 4 {
-		time.Sleep(900 * time.Millisecond) // the case itself: silence of nearly the time-out
+		time.Sleep(900 * time.Millisecond) // the case under test: silence for nearly the timeout
 		_, err := raw.Write(ping)
 		require.NoError(t, err)
-		require.NoError(t, raw.SetReadDeadline(time.Now().Add(patient)))
+		require.NoError(t, raw.SetReadDeadline(time.Now().Add(testTimeout)))
 		_, err = zkwire.ReadFrame(raw, zkwire.MaxFrame)
-		require.NoError(t, err, "the session lives")
+		require.NoError(t, err, "the session is alive")
 	}
 }
 
-// Bounds on sessions, watches and connections refuse one client and leave the rest.
-func TestBounds(t *testing.T) {
+// Exceeding the limits on sessions or watches affects only the client that exceeds them.
+func TestSessionAndWatchLimits(t *testing.T) {
 	c := newCluster(t)
 	s := c.nodes[0].front
 	s.cfg.MaxWatches, s.cfg.MaxSessions = 3, 4
@@ -574,18 +574,18 @@
 	defer raw.Close()
 	_, err = raw.Write(zkwire.Append(nil, &zkwire.ConnectRequest{TimeoutMs: 1000, Password: make([]byte, 16)}))
 	require.NoError(t, err)
-	require.NoError(t, raw.SetReadDeadline(time.Now().Add(patient)))
+	require.NoError(t, raw.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = zkwire.ReadFrame(raw, zkwire.MaxFrame)
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A session that comes back sets its watches again, and is told at once of what it
-// has missed, and of nothing else.
-func TestWatchesThatAreSetAgain(t *testing.T) {
+// A reconnected session sets its watches again and at once receives exactly the events that it
+// missed.
+func TestWatchesAreSetAgainAfterReconnect(t *testing.T) {
 	c := newCluster(t)
 	writer := c.dial(10*time.Second, 0)
 	for _, p := range []string{"/same", "/set", "/gone", "/grown"} {
-		_, err := writer.Create(p, nil, 0, open)
+		_, err := writer.Create(p, nil, 0, openACL)
 		require.NoError(t, err)
 	}
 	_, stat, err := writer.Get("/grown")
@@ -594,9 +594,9 @@
 	_, err = writer.Set("/set", nil, -1)
 	require.NoError(t, err)
 	require.NoError(t, writer.Delete("/gone", -1))
-	_, err = writer.Create("/grown/x", nil, 0, open)
+	_, err = writer.Create("/grown/x", nil, 0, openACL)
 	require.NoError(t, err)
-	_, err = writer.Create("/made", nil, 0, open)
+	_, err = writer.Create("/made", nil, 0, openACL)
 	require.NoError(t, err)
 	raw, _ := c.hello(0, zkwire.ConnectRequest{TimeoutMs: 8000, Password: make([]byte, 16)})
 	_, err = raw.Write(zkwire.Append(nil, &zkwire.RequestHeader{Xid: zkwire.XidSetWatches, Op: zkwire.OpSetWatches},
@@ -620,11 +620,11 @@
 	require.Equal(t, map[string]zkwire.EventType{"/set": zkwire.EventDataChanged, "/gone": zkwire.EventDeleted,
 		"/made": zkwire.EventCreated, "/grown": zkwire.EventChildrenChanged}, events)
 	clear(events)
-	_, err = writer.Create("/same/x", nil, 0, open)
+	_, err = writer.Create("/same/x", nil, 0, openACL)
 	require.NoError(t, err)
 	read()
-	_, err = writer.Create("/later", nil, 0, open)
+	_, err = writer.Create("/later", nil, 0, openACL)
 	require.NoError(t, err)
 	read()
-	require.Equal(t, map[string]zkwire.EventType{"/same": zkwire.EventChildrenChanged, "/later": zkwire.EventCreated}, events, "the others stand")
+	require.Equal(t, map[string]zkwire.EventType{"/same": zkwire.EventChildrenChanged, "/later": zkwire.EventCreated}, events, "the other watches are set")
 }
--- a/front/zkfront/hard_test.go
+++ b/front/zkfront/hard_test.go
@@ -17,33 +17,32 @@
 	"lichenshelf/store"
 )
 
-// mute stands before a replica's API and, on command, hands calls on but not
-// their answers.
-type mute struct {
+// muteProxy forwards calls to a replica's API and, while it is muted, drops the answers.
+type muteProxy struct {
 	net.Listener
 	to      string
 	dropped atomic.Int64
-	on      atomic.Bool
+	muted   atomic.Bool
 }
 
-func newMute(t testing.TB, at, to string) *mute {
+func newMuteProxy(t testing.TB, at, to string) *muteProxy {
 	l, err := net.Listen("tcp", at)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	m := &mute{Listener: l, to: to}
+	m := &muteProxy{Listener: l, to: to}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go m.pass(c)
+			go m.forward(c)
 		}
 	}()
 	return m
 }
 
-func (m *mute) pass(c net.Conn) {
+func (m *muteProxy) forward(c net.Conn) {
 	defer c.Close()
 	up, err := net.Dial("tcp", m.to)
 	if err != nil {
@@ -57,7 +56,7 @@
 		if err != nil {
 			return
 		}
-		if m.on.Load() {
+		if m.muted.Load() {
 			m.dropped.Add(1)
 			return
 		}
@@ -67,26 +66,26 @@
 	}
 }
 
-// The leader is lost between the commit of a create and its answer: the client is
-// told that the outcome is unknown, never that it failed, and the node is there once.
-func TestTheAnswerOfACreateIsLost(t *testing.T) {
+// The leader's answer to a forwarded create is lost after the commit. The client must learn that
+// the outcome is unknown, not that the create failed, and the node exists once.
+func TestAnswerOfCreateIsLost(t *testing.T) {
 	c := newClusterWith(t, func(c *cluster) {
-		for i := range c.peers { // replicas reach each other's API through these
+		for i := range c.peers { // replicas reach each other's API through the proxies
 			real := freeAddr(t)
-			c.mutes = append(c.mutes, newMute(t, c.peers[i].API, real))
+			c.proxies = append(c.proxies, newMuteProxy(t, c.peers[i].API, real))
 			c.apis[i] = real
 		}
 	})
 	leader := c.leader()
 	follower := (leader + 1) % 3
 	conn := c.dial(8*time.Second, follower)
-	_, err := conn.Create("/a", nil, 0, open)
+	_, err := conn.Create("/a", nil, 0, openACL)
 	require.NoError(t, err)
-	c.mutes[leader].on.Store(true)
-	_, err = conn.Create("/b", []byte("once"), 0, open)
+	c.proxies[leader].muted.Store(true)
+	_, err = conn.Create("/b", []byte("once"), 0, openACL)
 	require.Equal(t, zk.ErrConnectionClosed, err, "the outcome is unknown")
-	require.NotZero(t, c.mutes[leader].dropped.Load(), "an answer was lost")
-	c.mutes[leader].on.Store(false)
+	require.NotZero(t, c.proxies[leader].dropped.Load(), "an answer was lost")
+	c.proxies[leader].muted.Store(false)
 	there := c.dial(8*time.Second, leader)
 	data, stat, err := there.Get("/b")
 	require.NoError(t, err, "it was committed")
@@ -95,9 +94,9 @@
 	require.Zero(t, stat.Version)
 }
 
-// An ephemeral node of a client that is lost together with the leader goes within
-// its time-out, the time to elect a leader, and the time-out that that one gives.
-func TestEphemeralsOutliveALeaderByOneTimeout(t *testing.T) {
+// An ephemeral node of a client that is lost together with the leader is deleted within its session
+// timeout, the time to elect a leader, and the whole timeout that the new leader grants again.
+func TestEphemeralsOutliveLeaderByOneTimeout(t *testing.T) {
 	c := newCluster(t)
 	leader := c.leader()
 	raw, _ := c.hello(leader, zkwire.ConnectRequest{TimeoutMs: 1000, Password: make([]byte, 16)})
@@ -106,7 +105,7 @@
 	_, err = zkwire.ReadFrame(raw, zkwire.MaxFrame)
 	require.NoError(t, err)
 	last := time.Now()
-	time.Sleep(500 * time.Millisecond) // half of its time-out is over when the leader goes
+	time.Sleep(500 * time.Millisecond) // half of the timeout has passed when the leader is killed
 	c.kill(leader)
 	next := c.leader()
 	elected := time.Since(last)
@@ -117,13 +116,13 @@
 			gone = errors.Is(err, store.ErrNoNode)
 		})
 		return gone
-	}, patient, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	took := time.Since(last)
-	require.Greater(t, took, elected+time.Second, "the new leader gives it its whole time-out again")
-	t.Logf("vanished %v after its last word, %v after the next leader was there; its time-out was 1s", took, took-elected)
+	require.Greater(t, took, elected+time.Second, "the new leader grants the whole timeout again")
+	t.Logf("deleted %v after the last call of the session, %v after the next leader was elected; the timeout was 1s", took, took-elected)
 }
 
-// Thousands of sessions that only ping live on, and hold up nobody.
+// Thousands of sessions that only ping stay alive and do not delay other clients.
 func TestThousandsOfIdleSessions(t *testing.T) {
 	idle := 5000
 	var limit syscall.Rlimit
@@ -154,7 +153,7 @@
 		if _, err := conns[i].Write(ping); err != nil {
 			return fmt.Errorf("session %d: %w", i, err)
 		}
-		if err := conns[i].SetReadDeadline(time.Now().Add(patient)); err != nil {
+		if err := conns[i].SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 			return err
 		}
 		_, err := zkwire.ReadFrame(conns[i], zkwire.MaxFrame)
@@ -179,7 +178,8 @@
 			}
 		}
 	}()
-	// On a busy machine to connect them all may take longer than a session may be silent.
+	// On a busy machine, connecting all sessions may take longer than the session timeout, so the
+	// connected ones are pinged in between.
 	const part = 500
 	for from := 0; from < idle; from += part {
 		to := min(from+part, idle)
@@ -189,20 +189,20 @@
 	busy := c.dial(10*time.Second, 0)
 	for from, round := time.Now(), 0; time.Since(from) < timeout+2*time.Second; round++ {
 		each(0, idle, pinged)
-		_, err := busy.Create(fmt.Sprintf("/busy%d", round), nil, 0, open)
+		_, err := busy.Create(fmt.Sprintf("/busy%d", round), nil, 0, openACL)
 		require.NoError(t, err)
 		time.Sleep(time.Second)
 	}
 }
 
-// Past the bound on connections, new ones are closed and the others served.
-func TestTooManyConnections(t *testing.T) {
+// Beyond the limit on connections, new ones are closed and the others are still served.
+func TestConnectionLimit(t *testing.T) {
 	c := newClusterWith(t, func(c *cluster) { c.conns = 1 })
 	conn := c.dial(4*time.Second, 0)
 	raw, err := net.Dial("tcp", c.addrs[0])
 	require.NoError(t, err)
 	defer raw.Close()
-	require.NoError(t, raw.SetReadDeadline(time.Now().Add(patient)))
+	require.NoError(t, raw.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = raw.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	_, _, err = conn.Get("/")
--- a/front/zkfront/server.go
+++ b/front/zkfront/server.go
@@ -19,31 +19,32 @@
 	"lichenshelf/store"
 )
 
-// Config is a front's. Zero values take the defaults.
+// Config configures a Server. Zero values select the defaults.
 type Config struct {
-	// Self names this replica; with it connections are told apart over all of them.
+	// Self is the name of this replica, which makes the names of connections unique over all
+	// replicas.
 	Self        string
-	MaxConns    int           // connections at once
-	MaxSessions int           // sessions in the store that this front opens new ones beside
-	MaxWatches  int           // of one connection
-	MaxQueue    int           // frames that wait for a client to read them
-	TimeoutMin  time.Duration // of a session; clients ask, and get what lies between
+	MaxConns    int           // concurrent connections
+	MaxSessions int           // sessions in the store up to which this front opens new ones
+	MaxWatches  int           // watches of one connection
+	MaxQueue    int           // frames queued for a client that does not read them
+	TimeoutMin  time.Duration // session timeouts that clients request are limited to this range
 	TimeoutMax  time.Duration
 	Log         logrus.FieldLogger
 }
 
 const (
-	helloWait = 5 * time.Second // for the first message of a connection
-	callWait  = 10 * time.Second
-	touchPace = 200 * time.Millisecond
-	// grace is added to a session's time-out at the leader: a ping is handed on up
-	// to one touchPace after it came, and so may the one before it not have been.
-	grace    = 2 * touchPace
-	maxData  = 256 << 10 // of one node, as over HTTP
-	password = 16
+	helloTimeout  = 5 * time.Second // to the first message of a connection
+	callTimeout   = 10 * time.Second
+	touchInterval = 200 * time.Millisecond
+	// sessionGrace is added to a session's timeout at the leader. A ping is forwarded up to one
+	// touchInterval after it arrived, and the one before it may have been delayed as well.
+	sessionGrace = 2 * touchInterval
+	maxData      = 256 << 10 // bytes of data of one node, the same as over HTTP
+	passwordSize = 16        // bytes
 )
 
-func (c *Config) defaults() {
+func (c *Config) setDefaults() {
 	set := func(v *int, d int) {
 		if *v == 0 {
 			*v = d
@@ -61,50 +62,50 @@
 	}
 }
 
-// Server serves one replica's ZooKeeper clients.
+// Server serves the ZooKeeper clients of one replica.
 type Server struct {
-	cfg     Config
-	replica *store.Replica
-	ctx     context.Context
-	stop    context.CancelFunc
-	wg      sync.WaitGroup
-	last    atomic.Uint64
-	boot    string // tells this run's connections from an earlier one's
+	cfg      Config
+	replica  *store.Replica
+	ctx      context.Context
+	stop     context.CancelFunc
+	wg       sync.WaitGroup
+	lastConn atomic.Uint64
+	runID    string // distinguishes connections of this run from those of earlier ones
 
-	// The state is locked before mu, never the other way round.
+	// Lock order: the store's state first, then mu.
 	mu       sync.Mutex
-	open     map[*conn]bool
-	sessions map[string]*conn // by session, who speaks for it here
+	conns    map[*conn]bool
+	sessions map[string]*conn // the connection of each session at this replica
 	watches  *watches[*conn]
 }
 
-// conn is a client's connection. Its own goroutine reads and answers; another
-// one writes what out holds.
+// conn is a client's connection. One goroutine reads and answers calls, another one writes the
+// queued frames.
 type conn struct {
 	net.Conn
-	server  *Server
-	session string
-	holder  string
-	timeout time.Duration
-	out     chan []byte
-	ended   chan struct{}
-	end     sync.Once
-	heard   atomic.Bool // since the session was touched last
+	server    *Server
+	session   string
+	holder    string
+	timeout   time.Duration
+	queue     chan []byte
+	closed    chan struct{}
+	closeOnce sync.Once
+	active    atomic.Bool // a frame arrived since the session was last touched
 }
 
-// New returns a server for a replica, whose observer it becomes. It must be closed.
+// New returns a server for a replica and registers it as the replica's observer. It must be closed.
 func New(replica *store.Replica, cfg Config) *Server {
-	cfg.defaults()
-	s := &Server{cfg: cfg, replica: replica, boot: strconv.FormatInt(time.Now().UnixNano(), 36), open: map[*conn]bool{},
+	cfg.setDefaults()
+	s := &Server{cfg: cfg, replica: replica, runID: strconv.FormatInt(time.Now().UnixNano(), 36), conns: map[*conn]bool{},
 		sessions: map[string]*conn{}, watches: newWatches[*conn]()}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	replica.Observe(s.observe)
 	s.wg.Add(1)
-	go s.touch()
+	go s.touchSessions()
 	return s
 }
 
-// Serve serves a listener until Close.
+// Serve accepts clients on a listener until Close.
 func (s *Server) Serve(l net.Listener) error {
 	defer context.AfterFunc(s.ctx, func() { _ = l.Close() })()
 	open := listener.Resilient(l, nil)
@@ -119,18 +120,18 @@
 		if err != nil {
 			return fmt.Errorf("accept ZooKeeper clients: %w", err)
 		}
-		s.take(c)
+		s.accept(c)
 	}
 }
 
-// take serves a new connection, if there is room for it.
-func (s *Server) take(raw net.Conn) {
-	c := &conn{Conn: raw, server: s, out: make(chan []byte, s.cfg.MaxQueue), ended: make(chan struct{}),
-		holder: s.cfg.Self + "-" + s.boot + "-" + strconv.FormatUint(s.last.Add(1), 36)}
+// accept starts serving a new connection, or closes it if there are too many.
+func (s *Server) accept(raw net.Conn) {
+	c := &conn{Conn: raw, server: s, queue: make(chan []byte, s.cfg.MaxQueue), closed: make(chan struct{}),
+		holder: s.cfg.Self + "-" + s.runID + "-" + strconv.FormatUint(s.lastConn.Add(1), 36)}
 	s.mu.Lock()
-	room := len(s.open) < s.cfg.MaxConns && s.ctx.Err() == nil
+	room := len(s.conns) < s.cfg.MaxConns && s.ctx.Err() == nil
 	if room {
-		s.open[c] = true
+		s.conns[c] = true
 		s.wg.Add(2)
 	}
 	s.mu.Unlock()
@@ -142,11 +143,11 @@
 	go func() {
 		defer s.wg.Done()
 		why := c.serve()
-		s.cfg.Log.WithError(why).WithFields(logrus.Fields{"client": raw.RemoteAddr(), "session": c.session}).Debug("ZooKeeper connection ends")
+		s.cfg.Log.WithError(why).WithFields(logrus.Fields{"client": raw.RemoteAddr(), "session": c.session}).Debug("ZooKeeper connection closed")
 		c.close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.open, c)
+		delete(s.conns, c)
 		s.watches.drop(c)
 		if s.sessions[c.session] == c {
 			delete(s.sessions, c.session)
@@ -154,20 +155,20 @@
 	}()
 }
 
-// Close ends all connections; sessions live on until they time out.
+// Close closes all connections. Sessions stay open until they time out.
 func (s *Server) Close() {
 	s.stop()
 	s.replica.Observe(nil)
 	s.mu.Lock()
-	for c := range s.open {
+	for c := range s.conns {
 		c.close()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-// observe takes the changes of one operation, with the state locked: what the
-// watches tell is in the queues before any read can show the change.
+// observe processes the changes of one operation. The caller holds the lock on the state, so watch
+// events are queued before any read can show the change.
 func (s *Server) observe(_ uint64, changes []store.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +183,7 @@
 				old.close()
 			}
 		case store.StateReplaced:
-			for c := range s.open { // they come back, and are told what they missed
+			for c := range s.conns { // clients reconnect, set their watches again and get missed events
 				c.close()
 			}
 		default:
@@ -191,10 +192,11 @@
 	}
 }
 
-// touch hands on which sessions have been heard of.
-func (s *Server) touch() {
+// touchSessions periodically reports the sessions with received frames to the store, which extends
+// their timeouts.
+func (s *Server) touchSessions() {
 	defer s.wg.Done()
-	tick := time.NewTicker(touchPace)
+	tick := time.NewTicker(touchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -205,7 +207,7 @@
 		var ids []string
 		s.mu.Lock()
 		for id, c := range s.sessions {
-			if c.heard.Load() {
+			if c.active.Load() {
 				ids = append(ids, id)
 			}
 		}
@@ -213,36 +215,36 @@
 		if len(ids) == 0 {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(s.ctx, callWait)
+		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 		err := s.replica.TouchAll(ctx, ids)
 		cancel()
 		if err != nil {
-			s.cfg.Log.WithError(err).Debug("sessions not touched, trying again")
+			s.cfg.Log.WithError(err).Debug("sessions not touched in the store, retrying")
 			continue
 		}
 		s.mu.Lock()
 		for _, id := range ids {
 			if c := s.sessions[id]; c != nil {
-				c.heard.Store(false)
+				c.active.Store(false)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// close ends a connection; any goroutine may call it.
+// close closes the connection. It is safe for concurrent use.
 func (c *conn) close() {
-	c.end.Do(func() {
-		close(c.ended)
+	c.closeOnce.Do(func() {
+		close(c.closed)
 		_ = c.Conn.Close()
 	})
 }
 
-// send queues a frame. A client that does not read is cut off: it may not hold
-// up the state, and must not miss an event.
+// send queues a frame. If the queue is full because the client does not read, the connection is
+// closed: waiting would block the state, and dropping the frame would lose an event.
 func (c *conn) send(frame []byte) {
 	select {
-	case c.out <- frame:
+	case c.queue <- frame:
 	default:
 		c.close()
 	}
@@ -256,12 +258,12 @@
 func (c *conn) write() {
 	for {
 		select {
-		case frame := <-c.out:
-			if frame == nil { // the last one has gone out
+		case frame := <-c.queue:
+			if frame == nil { // all earlier frames have been written
 				c.close()
 				return
 			}
-			if err := c.SetWriteDeadline(time.Now().Add(callWait)); err != nil {
+			if err := c.SetWriteDeadline(time.Now().Add(callTimeout)); err != nil {
 				c.close()
 				return
 			}
@@ -269,24 +271,24 @@
 				c.close()
 				return
 			}
-		case <-c.ended:
+		case <-c.closed:
 			return
 		}
 	}
 }
 
-// finish closes the connection once what is queued has gone out.
+// finish closes the connection after the queued frames have been written.
 func (c *conn) finish() {
 	select {
-	case c.out <- nil:
-		<-c.ended
-	case <-c.ended:
+	case c.queue <- nil:
+		<-c.closed
+	case <-c.closed:
 	}
 }
 
-// serve answers a connection's calls, one after the other, and returns why it ended.
+// serve answers the connection's calls one after the other, and returns why the connection ended.
 func (c *conn) serve() error {
-	if err := c.SetReadDeadline(time.Now().Add(helloWait)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
 	body, err := zkwire.ReadFrame(c, zkwire.MaxFrame)
@@ -308,7 +310,7 @@
 		if err != nil {
 			return err
 		}
-		c.heard.Store(true)
+		c.active.Store(true)
 		if err := c.call(body); err != nil {
 			return err
 		}
@@ -316,22 +318,22 @@
 }
 
 var (
-	errBehind  = errors.New("this replica has seen less than the client")
-	errExpired = errors.New("the session has ended, or its password is another")
+	errBehind  = errors.New("replica is behind the state that the client has seen")
+	errExpired = errors.New("session has ended or its password is wrong")
 	errFull    = errors.New("too many sessions")
 	errClosed  = errors.New("session closed")
 	errWatches = errors.New("too many watches")
 )
 
-// connect opens a session or takes one up.
+// connect opens a new session or resumes one.
 func (c *conn) connect(hello *zkwire.ConnectRequest) error {
 	s := c.server
-	ctx, cancel := context.WithTimeout(s.ctx, callWait)
+	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	seen, sessions := uint64(0), 0
 	s.replica.View(func(v store.View) { seen, sessions = v.Index(), v.Sessions() })
 	if hello.LastZxidSeen > int64(seen) {
-		return errBehind // another replica may know more
+		return errBehind // another replica may be further ahead
 	}
 	c.timeout = min(max(time.Duration(hello.TimeoutMs)*time.Millisecond, s.cfg.TimeoutMin), s.cfg.TimeoutMax)
 	answer := zkwire.ConnectResponse{TimeoutMs: int32(c.timeout.Milliseconds()), SessionID: hello.SessionID,
@@ -340,21 +342,21 @@
 		if sessions >= s.cfg.MaxSessions {
 			return errFull
 		}
-		secret := make([]byte, 8+password)
+		secret := make([]byte, 8+passwordSize)
 		if _, err := rand.Read(secret); err != nil {
 			return fmt.Errorf("session id: %w", err)
 		}
 		answer.SessionID = int64(binary.BigEndian.Uint64(secret)>>1) | 1 // positive, and not 0
 		answer.Password = secret[8:]
 		c.session = sessionName(answer.SessionID)
-		if err := s.replica.OpenSession(ctx, c.session, answer.Password, c.holder, c.timeout+grace); err != nil {
+		if err := s.replica.OpenSession(ctx, c.session, answer.Password, c.holder, c.timeout+sessionGrace); err != nil {
 			return err
 		}
 	} else {
 		c.session = sessionName(hello.SessionID)
 		err := s.replica.TakeSession(ctx, c.session, hello.Password, c.holder)
 		if errors.Is(err, store.ErrNoSession) {
-			c.send(zkwire.Append(nil, &zkwire.ConnectResponse{Password: make([]byte, password), HasReadOnly: hello.HasReadOnly}))
+			c.send(zkwire.Append(nil, &zkwire.ConnectResponse{Password: make([]byte, passwordSize), HasReadOnly: hello.HasReadOnly}))
 			c.finish()
 			return errExpired
 		}
@@ -373,14 +375,14 @@
 		s.sessions[c.session] = c
 	})
 	if !current {
-		return errExpired // ended or moved on in this very moment
+		return errExpired // ended or taken over by another connection since the call above
 	}
-	c.heard.Store(true)
+	c.active.Store(true)
 	c.send(zkwire.Append(nil, &answer))
 	return nil
 }
 
-// sessionName is a session's name in the store.
+// sessionName returns a session's name in the store.
 func sessionName(id int64) string { return fmt.Sprintf("%016x", uint64(id)) }
 
 func sessionID(name string) int64 {
--- a/front/zkfront/watches.go
+++ b/front/zkfront/watches.go
@@ -1,11 +1,10 @@
-// Package zkfront lets ZooKeeper clients use the replicated store: it speaks
-// their protocol at a replica of the store, over the same state as the HTTP API.
+// Package zkfront serves the ZooKeeper protocol at a replica of the store, over the same state as
+// the HTTP API.
 //
-// What a client may rely on is what ZooKeeper promises: its calls are answered in
-// the order in which it made them; a watch is told before the read that would show
-// the change; it never sees a state older than one that it has seen, at whatever
-// replica. When the outcome of a write is not known, its connection is closed, and
-// the client's library tells it so.
+// It gives clients ZooKeeper's guarantees: calls are answered in the order in which they were sent;
+// a watch event arrives before the answer to a read that shows the change; and a client never sees
+// an older state than it has already seen, at any replica. If the outcome of a write is unknown,
+// the connection is closed, which the client's library reports as a lost connection.
 package zkfront
 
 import (
@@ -13,99 +12,99 @@
 	"lichenshelf/store"
 )
 
-// kind is a kind of watch. Reads of data and of existence set one kind: both tell
-// when a node comes, goes, or changes its data.
-type kind uint8
+// watchKind is the kind of a watch. Reads of data and of existence set the same kind, since both
+// report when a node is created, is deleted, or changes its data.
+type watchKind uint8
 
 const (
-	dataWatch kind = iota
+	dataWatch watchKind = iota
 	childWatch
-	kinds
+	kindCount
 )
 
-// watches is who waits for which path's next change. W is the watcher. It is not
-// safe for concurrent use.
+// watches records which watchers wait for the next change of which path. W is the type of a
+// watcher. It is not safe for concurrent use.
 type watches[W comparable] struct {
-	byPath [kinds]map[string]map[W]struct{}
-	of     map[W]map[spot]struct{}
+	byPath    [kindCount]map[string]map[W]struct{}
+	byWatcher map[W]map[watchKey]struct{}
 }
 
-// spot is what one watch is set on.
-type spot struct {
-	kind kind
+// watchKey identifies what a watch is set on.
+type watchKey struct {
+	kind watchKind
 	path string
 }
 
 func newWatches[W comparable]() *watches[W] {
-	w := &watches[W]{of: map[W]map[spot]struct{}{}}
+	w := &watches[W]{byWatcher: map[W]map[watchKey]struct{}{}}
 	for k := range w.byPath {
 		w.byPath[k] = map[string]map[W]struct{}{}
 	}
 	return w
 }
 
-// set has a watcher told once of the path's next change.
-func (w *watches[W]) set(who W, k kind, path string) {
+// set registers a watcher for one notification of the path's next change.
+func (w *watches[W]) set(watcher W, k watchKind, path string) {
 	if w.byPath[k][path] == nil {
 		w.byPath[k][path] = map[W]struct{}{}
 	}
-	w.byPath[k][path][who] = struct{}{}
-	if w.of[who] == nil {
-		w.of[who] = map[spot]struct{}{}
+	w.byPath[k][path][watcher] = struct{}{}
+	if w.byWatcher[watcher] == nil {
+		w.byWatcher[watcher] = map[watchKey]struct{}{}
 	}
-	w.of[who][spot{k, path}] = struct{}{}
+	w.byWatcher[watcher][watchKey{k, path}] = struct{}{}
 }
 
-// count is how many watches a watcher has set.
-func (w *watches[W]) count(who W) int { return len(w.of[who]) }
+// count returns the number of watches that a watcher has set.
+func (w *watches[W]) count(watcher W) int { return len(w.byWatcher[watcher]) }
 
-// drop takes away all watches of a watcher.
-func (w *watches[W]) drop(who W) {
-	for s := range w.of[who] {
-		if delete(w.byPath[s.kind][s.path], who); len(w.byPath[s.kind][s.path]) == 0 {
+// drop removes all watches of a watcher.
+func (w *watches[W]) drop(watcher W) {
+	for s := range w.byWatcher[watcher] {
+		if delete(w.byPath[s.kind][s.path], watcher); len(w.byPath[s.kind][s.path]) == 0 {
 			delete(w.byPath[s.kind], s.path)
 		}
 	}
-	delete(w.of, who)
+	delete(w.byWatcher, watcher)
 }
 
-// fire takes the watches that a change sets off and tells each watcher, once even
-// if it has watches of both kinds on a node that goes.
-func (w *watches[W]) fire(c store.Change, tell func(W, zkwire.EventType, string)) {
+// fire removes the watches that a change triggers and notifies each watcher, only once even if it
+// has watches of both kinds on a deleted node.
+func (w *watches[W]) fire(c store.Change, notify func(W, zkwire.EventType, string)) {
 	var event zkwire.EventType
-	var hit []kind
+	var triggered []watchKind
 	switch c.Kind {
 	case store.NodeCreated:
-		event, hit = zkwire.EventCreated, []kind{dataWatch}
+		event, triggered = zkwire.EventCreated, []watchKind{dataWatch}
 	case store.NodeDeleted:
-		event, hit = zkwire.EventDeleted, []kind{dataWatch, childWatch}
+		event, triggered = zkwire.EventDeleted, []watchKind{dataWatch, childWatch}
 	case store.DataChanged:
-		event, hit = zkwire.EventDataChanged, []kind{dataWatch}
+		event, triggered = zkwire.EventDataChanged, []watchKind{dataWatch}
 	case store.ChildrenChanged:
-		event, hit = zkwire.EventChildrenChanged, []kind{childWatch}
+		event, triggered = zkwire.EventChildrenChanged, []watchKind{childWatch}
 	default:
 		return
 	}
-	told := map[W]bool{}
-	for _, k := range hit {
-		for who := range w.byPath[k][c.Path] {
-			delete(w.of[who], spot{k, c.Path})
-			if !told[who] {
-				told[who] = true
-				tell(who, event, c.Path)
+	notified := map[W]bool{}
+	for _, k := range triggered {
+		for watcher := range w.byPath[k][c.Path] {
+			delete(w.byWatcher[watcher], watchKey{k, c.Path})
+			if !notified[watcher] {
+				notified[watcher] = true
+				notify(watcher, event, c.Path)
 			}
 		}
 		delete(w.byPath[k], c.Path)
 	}
 }
 
-// missed is what a watch that is set again would have told meanwhile: there is
-// nothing to tell, and the watch is to be set, if it returns false.
-func missed(set string, there bool, stat zkwire.Stat, since int64) (zkwire.EventType, bool) {
+// missedEvent returns the event that a watch would have reported since the zxid since, if it had
+// been set then. It returns false if there was none, in which case the watch must be set again.
+func missedEvent(set string, exists bool, stat zkwire.Stat, since int64) (zkwire.EventType, bool) {
 	switch {
 	case set == "exist":
-		return zkwire.EventCreated, there
-	case !there:
+		return zkwire.EventCreated, exists
+	case !exists:
 		return zkwire.EventDeleted, true
 	case set == "data":
 		return zkwire.EventDataChanged, stat.Mzxid > since
