--- a/metrics/exposition/exposition.go
+++ b/metrics/exposition/exposition.go
@@ -1,7 +1,9 @@
-// Package exposition shows the router's counters and gauges in the Prometheus text format, for who scrapes the console.
+// Package exposition writes the router's counters and gauges in the Prometheus text format, for
+// scraping at the console.
 //
-// Nothing is kept for it: a scrape reads the counters as they are. Labels take values that the program itself names (reasons,
-// statuses, rules), never ones of clients or workers, so their number is bounded.
+// It keeps no state of its own: each scrape reads the current counters. Label values are defined by
+// the program (reasons, statuses, rules) and never come from clients or workers, so their number is
+// bounded.
 package exposition
 
 import (
@@ -19,19 +21,20 @@
 )
 
 const (
-	// ContentType is that of what Write writes.
+	// ContentType is the content type of the text that Write writes.
 	ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
 	namespace = "lichenshelf_"
 )
 
-// family is a group of counters of one prefix: what is left of a name is the value of a label.
+// family is a group of counters with a common name prefix. The rest of a counter's name becomes the
+// value of a label.
 type family struct {
 	prefix, name, label, help string
-	values                    []string // that the label may have; nil: any
+	values                    []string // allowed label values; nil: any
 }
 
-// families hold what the router counts by reason, the longer prefixes first.
+// families lists the counters that have a label, with longer prefixes before shorter ones.
 var families = []family{
 	{prefix: "attempts_repeated_after_", name: "attempts_repeated", label: "after", help: "Attempts that followed another one of their request, by how that had ended."},
 	{prefix: "attempts_", name: "attempts", label: "outcome", help: "Attempts at workers, by how they ended.",
@@ -43,11 +46,11 @@
 	{prefix: "rule_violations_", name: "rule_violations", label: "rule", help: "Acts that would have broken a rule, or had. Zero when well."},
 }
 
-// sums are counters whose parts are counted as well.
-var sums = map[string]bool{"rule_violations": true}
+// totals lists counters that are sums over a family and therefore left out of the exposition.
+var totals = map[string]bool{"rule_violations": true}
 
-// place finds the family of a counter and the label's value; nil: it has none.
-func place(counter string) (*family, string) {
+// findFamily returns the family of a counter and its label value, or nil if it belongs to none.
+func findFamily(counter string) (*family, string) {
 	for i := range families {
 		f := &families[i]
 		value, ok := strings.CutPrefix(counter, f.prefix)
@@ -61,23 +64,25 @@
 	return nil, ""
 }
 
-// Gauge is a figure that is read when it is asked for.
+// Gauge is a metric whose value is read at each scrape.
 type Gauge struct {
-	Name, Help string // the name without the namespace, with its unit
+	Name, Help string // Name is without the namespace prefix and includes the unit
 	Value      func() float64
 }
 
-// Exposition is what there is to scrape. It is safe for use from any goroutine.
+// Exposition is the set of metrics to scrape. It is safe for concurrent use.
 type Exposition struct {
-	// registry is made at the first scrape: what it takes is spared where nobody scrapes.
+	// registry is created at the first scrape, so that a process without scrapes doesn't pay for
+	// it.
 	registry func() *prometheus.Registry
 }
 
-// New returns an exposition of the counters, the gauges, the process and the Go runtime.
+// New returns an exposition of the counters, the gauges, and the metrics of the process and the Go
+// runtime.
 func New(counters *metrics.Set, gauges ...Gauge) *Exposition {
 	return &Exposition{sync.OnceValue(func() *prometheus.Registry {
 		r := prometheus.NewRegistry()
-		r.MustRegister(counted{counters}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+		r.MustRegister(counterCollector{counters}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 		for _, g := range gauges {
 			r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: namespace + g.Name, Help: g.Help}, g.Value))
 		}
@@ -85,7 +90,7 @@
 	})}
 }
 
-// Write writes all of it as text.
+// Write writes all metrics as text.
 func (e *Exposition) Write(w io.Writer) error {
 	all, err := e.registry().Gather()
 	if err != nil {
@@ -99,21 +104,22 @@
 	return nil
 }
 
-// counted collects the counters under their names of the moment.
-type counted struct{ set *metrics.Set }
+// counterCollector collects the counters that exist at the time of a scrape.
+type counterCollector struct{ set *metrics.Set }
 
-// Describe implements prometheus.Collector. It describes nothing: counters appear as they are first counted.
-func (counted) Describe(chan<- *prometheus.Desc) {}
+// Describe implements prometheus.Collector. It sends no descriptions, since a counter exists only
+// once it has been incremented.
+func (counterCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
-func (c counted) Collect(to chan<- prometheus.Metric) {
+func (c counterCollector) Collect(to chan<- prometheus.Metric) {
 	for counter, n := range c.set.All() {
-		if sums[counter] {
+		if totals[counter] {
 			continue
 		}
 		name, help := counter, "The counter "+counter+" (ARCHITECTURE.md, Counters)."
 		var label, value []string
-		if f, v := place(counter); f != nil {
+		if f, v := findFamily(counter); f != nil {
 			name, help, label, value = f.name, f.help, []string{f.label}, []string{v}
 		}
 		desc := prometheus.NewDesc(namespace+name+"_total", help, label, nil)
--- a/metrics/exposition/exposition_test.go
+++ b/metrics/exposition/exposition_test.go
@@ -11,8 +11,9 @@
 	"lichenshelf/metrics"
 )
 
-// Each counter has a name, and a label where its name holds a reason; what a parser of the format reads is what was counted.
-func TestCountersAreShownByFamilies(t *testing.T) {
+// Each counter is exposed under its family's name with a label, or under its own name, and a parser
+// of the format reads back the counted values.
+func TestCountersAreExposedByFamily(t *testing.T) {
 	set := &metrics.Set{}
 	for counter, n := range map[string]int64{"attempts_sent": 9, "attempts_served": 5, "attempts_reset": 2, "attempts_repeated_after_reset": 1, "attempts_unconfirmed": 3,
 		"refused_queue": 4, "refused_time_over": 6, "calls_answered_503": 7, "rule_violations": 2, "rule_violations_time_over": 2, "releases": 8, "answers_served": 5} {
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what the router does.
+// Package metrics provides the router's named counters.
 package metrics
 
 import (
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Set is a set of named counters. The zero value is ready; it may be shared.
+// Set is a set of named counters. The zero value is ready to use. It is safe for concurrent use.
 type Set struct {
 	mu sync.Mutex
 	n  map[string]int64
@@ -25,21 +25,21 @@
 	s.n[name] += n
 }
 
-// Get returns the named counter.
+// Get returns the value of the named counter.
 func (s *Set) Get(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.n[name]
 }
 
-// All returns all counters as they are.
+// All returns a copy of all counters.
 func (s *Set) All() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.n)
 }
 
-// Print writes all counters, a line each, in order of their names.
+// Print writes all counters, one per line, sorted by name.
 func (s *Set) Print(w io.Writer) error {
 	n := s.All()
 	for _, name := range slices.Sorted(maps.Keys(n)) {
