--- a/front/modelapi/front.go
+++ b/front/modelapi/front.go
@@ -85,12 +85,12 @@
 // that exceeds its account's quota is refused with 429.
 func NewFront(cfg *Config, ready func() bool, budgets Budgets) *Front {
 	f := &Front{ready: ready, budgets: budgets, prefix: "req-" + strconv.FormatInt(time.Now().UnixNano(), 36) + "-"}
-	f.Take(cfg)
+	f.SetConfig(cfg)
 	return f
 }
 
-// Take makes another configuration active for calls that begin from now on.
-func (f *Front) Take(cfg *Config) {
+// SetConfig makes another configuration active for calls that begin from now on.
+func (f *Front) SetConfig(cfg *Config) {
 	r := &activeConfig{cfg: cfg, accounts: map[string]int{}, endpoints: map[string]endpoint{
 		"/v1/chat/completions": {chat, cfg.Chat},
 		"/v1/embeddings":       {embeddings, cfg.Embeddings},
--- a/front/platform/config.go
+++ b/front/platform/config.go
@@ -67,11 +67,11 @@
 // maxCountedDeadline caps the deadline that the platform waits for before it kills a process.
 const maxCountedDeadline = 3 * time.Second
 
-// LeaveAfter returns the time after SIGTERM at which a process cancels its open requests: the
+// CancelAfter returns the time after SIGTERM at which a process cancels its open requests: the
 // longest deadline, capped as the platform caps it. The platform kills the process 0.7 s later.
 // In that time held state is released, and clients that ask for the rest of a stream are
 // served by another router.
-func (c *Config) LeaveAfter() time.Duration {
+func (c *Config) CancelAfter() time.Duration {
 	longest := c.LongestDeadline
 	if longest <= 0 {
 		longest = maxCountedDeadline
@@ -83,13 +83,13 @@
 // would be lost if the process is killed.
 const acceptUnresumable = 500 * time.Millisecond
 
-// TakeFor returns how long after SIGTERM new requests are accepted: up to LeaveAfter if
+// AcceptFor returns how long after SIGTERM new requests are accepted: up to CancelAfter if
 // interrupted streams can be resumed at another router, shorter otherwise.
-func (c *Config) TakeFor() time.Duration {
+func (c *Config) AcceptFor() time.Duration {
 	if c.Settings.Resume {
-		return c.LeaveAfter()
+		return c.CancelAfter()
 	}
-	return min(acceptUnresumable, c.LeaveAfter())
+	return min(acceptUnresumable, c.CancelAfter())
 }
 
 // ReadConfig reads the configuration file, without the environment variables.
--- a/front/platform/describe.go
+++ b/front/platform/describe.go
@@ -90,9 +90,9 @@
 	return strconv.Itoa(n)
 }
 
-// Doubts returns warnings about settings that are valid but unlikely to be intended. Each names the
+// Warnings returns warnings about settings that are valid but unlikely to be intended. Each names the
 // key, the value and what the router does with it. The router starts despite warnings.
-func (c *Config) Doubts() []string { return c.warnings }
+func (c *Config) Warnings() []string { return c.warnings }
 
 // findWarnings returns the warnings about the flat settings.
 func findWarnings(values map[string]string, c *Config) []string {
--- a/front/platform/describe_test.go
+++ b/front/platform/describe_test.go
@@ -43,7 +43,7 @@
 		"let go of within 500ms", "streams that break: lost"} {
 		require.Contains(t, text, want)
 	}
-	require.Empty(t, c.Doubts())
+	require.Empty(t, c.Warnings())
 }
 
 // Unlikely settings are accepted with a warning that names key and value; malformed settings are an
@@ -84,11 +84,11 @@
 			require.NoError(t, err)
 			require.NotEmpty(t, c.Describe())
 			if tc.warning == "" {
-				require.Empty(t, c.Doubts())
+				require.Empty(t, c.Warnings())
 				return
 			}
-			require.Len(t, c.Doubts(), 1)
-			require.Contains(t, c.Doubts()[0], tc.warning)
+			require.Len(t, c.Warnings(), 1)
+			require.Contains(t, c.Warnings()[0], tc.warning)
 		})
 	}
 }
--- a/front/platform/watch.go
+++ b/front/platform/watch.go
@@ -45,11 +45,11 @@
 // Watch follows discovery and passes worker lists to a MemberSink. Package agentrule decides when
 // it sends requests and how many are open at once.
 type Watch struct {
-	// Took, if set before Run, is called with the address and version of each list before the list
+	// OnList, if set before Run, is called with the address and version of each list before the list
 	// is applied.
-	Took func(addr string, generation int64)
-	// Failed, if set before Run, is called when following discovery fails.
-	Failed func(error)
+	OnList func(addr string, generation int64)
+	// OnError, if set before Run, is called when following discovery fails.
+	OnError func(error)
 
 	cfg        *Config
 	sink       MemberSink
@@ -87,8 +87,8 @@
 	err   error
 }
 
-// Told reports whether a list has arrived from discovery since the start.
-func (w *Watch) Told() bool { return w.synced.Load() }
+// HasSynced reports whether a list has arrived from discovery since the start.
+func (w *Watch) HasSynced() bool { return w.synced.Load() }
 
 // NewWatch returns a watch after passing the workers that the configuration lists as known to sink.
 func NewWatch(cfg *Config, sink MemberSink, log *logrus.Logger) *Watch {
@@ -104,11 +104,11 @@
 	return w
 }
 
-// Move switches at once to the discovery address of a reloaded configuration. Lists from the old
+// SwitchDiscovery switches at once to the discovery address of a reloaded configuration. Lists from the old
 // address are applied until the new one answers. ROUTER_DISCOVERY overrides the file only at the
 // start, since it can't change in a running process. Nothing changes if the address in the file is
 // the same as before.
-func (w *Watch) Move(c *Config) error {
+func (w *Watch) SwitchDiscovery(c *Config) error {
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		return fmt.Errorf("discovery address: %w", err)
 	}
@@ -128,9 +128,9 @@
 	return nil
 }
 
-// Again sends discovery a new request for changes since the applied list. Open calls are kept until
+// Refresh sends discovery a new request for changes since the applied list. Open calls are kept until
 // it has been answered.
-func (w *Watch) Again() {
+func (w *Watch) Refresh() {
 	select {
 	case w.refresh <- struct{}{}:
 	default:
@@ -227,8 +227,8 @@
 		level = logrus.DebugLevel
 	}
 	w.failing = true
-	if w.Failed != nil {
-		w.Failed(err)
+	if w.OnError != nil {
+		w.OnError(err)
 	}
 	w.log.WithError(err).Log(level, "discovery watch ended, retrying")
 }
@@ -385,8 +385,8 @@
 				Warn("start time of a worker lies in the future; treating it as just started")
 		}
 	}
-	if w.Took != nil {
-		w.Took(w.listAddr, l.Generation)
+	if w.OnList != nil {
+		w.OnList(w.listAddr, l.Generation)
 	}
 	w.sink.Discovered(members, l.Reset)
 	w.generation = l.Generation
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -228,7 +228,7 @@
 	}
 	settings := p.cfg.Settings()
 	p.core.Retune(settings.Classes, settings.MaxAttempts)
-	p.front.Take(p.cfg)
+	p.front.SetConfig(p.cfg)
 	p.change(func(a *Ack) { *a = Ack{Router: a.Router, Version: r.Version, Number: number, Restart: restart} })
 	log.WithField("restart", restart).Info("published configuration taken")
 }
--- a/internal/daemon/ending.go
+++ b/internal/daemon/ending.go
@@ -25,7 +25,7 @@
 }
 
 // platformEnding is how the platform's front ends by its configuration.
-func platformEnding(cfg *platform.Config) ending { return ending{cfg.TakeFor(), cfg.LeaveAfter()} }
+func platformEnding(cfg *platform.Config) ending { return ending{cfg.AcceptFor(), cfg.CancelAfter()} }
 
 // sooner is the ending that is safe where either of two may hold.
 func (e ending) sooner(than ending) ending {
--- a/internal/daemon/look.go
+++ b/internal/daemon/look.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	watch := platform.NewWatch(cfg, ownList{feed}, log)
-	watch.Failed = ownList{feed}.failed
+	watch.OnError = ownList{feed}.failed
 	go watch.Run(ctx)
 	return feed, nil
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -34,7 +34,7 @@
 // Doubts names what is legal in the platform's file but can hardly be meant, with
 // key and value and what the router does about it.
 func Doubts(cfg *platform.Config) []string {
-	out := cfg.Doubts()
+	out := cfg.Warnings()
 	if cfg.Sockets <= 2*spareSockets {
 		out = append(out, fmt.Sprintf("limits.sockets is %d: too few to work with or not stated, counted as %d", cfg.Sockets, defaultSockets))
 	}
@@ -101,11 +101,11 @@
 	d.cordon.OnChange(func(v uint64) { d.acts.follow(version.Here+"workers/by-hand", v) })
 	taker = d.cordon
 	d.watch = platform.NewWatch(cfg, taker, d.log)
-	d.watch.Failed, d.watch.Took = failed, d.tookList
+	d.watch.OnError, d.watch.OnList = failed, d.tookList
 	go d.watch.Run(ctx)
 	started := time.Now()
 	ready := func() bool {
-		settled := d.watch.Told() || len(cfg.Known.Instances) > 0 && time.Since(started) > settleWait
+		settled := d.watch.HasSynced() || len(cfg.Known.Instances) > 0 && time.Since(started) > settleWait
 		return settled && !d.stopping.Load()
 	}
 	d.platform, d.platCore = platform.NewFront(cfg, ready), core
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -53,7 +53,7 @@
 		// Checked whole before anything is taken: a file that fails changes nothing.
 		cfg, err := platform.ReadConfig(d.files.Platform)
 		if err == nil {
-			err = d.watch.Move(cfg)
+			err = d.watch.SwitchDiscovery(cfg)
 		}
 		if err != nil {
 			d.log.WithError(err).Error("configuration not read again, discovery stays as it is, and so do the settings")
--- a/internal/daemon/straggler.go
+++ b/internal/daemon/straggler.go
@@ -192,7 +192,7 @@
 	}
 	for part, v := range s.view.Newest {
 		if s.d.watch != nil && strings.HasPrefix(part, discoveryPart) && s.view.Held[part] < v {
-			s.d.watch.Again()
+			s.d.watch.Refresh()
 		}
 	}
 }
