--- a/discovery/membership/bench_test.go
+++ b/discovery/membership/bench_test.go
@@ -8,13 +8,13 @@
 
 const (
 	benchWorkers = 10_000
-	benchShare   = 100 // one in so many changes
+	benchShare   = 100 // one in benchShare workers changes
 )
 
 var benchSources = []string{"list", "dns", "store", "zk"}
 
-// benchReports are the first lists of four sources: each lists three quarters of
-// the workers, one of them by address alone.
+// benchReports returns the first lists of four sources. Each one lists three quarters of the
+// workers, and the source "dns" lists them by address only.
 func benchReports() (out []Report) {
 	for k, s := range benchSources {
 		r := Report{Source: s, Whole: true}
@@ -36,8 +36,8 @@
 	return e
 }
 
-// benchChanges is one source's report of a hundredth of all workers: half of
-// them drain and half come back, or the other way round.
+// benchChanges returns one source's report of changes to a hundredth of all workers: half of them
+// begin to drain and half end draining, or the other way round.
 func benchChanges(round int) Report {
 	source := round % len(benchSources)
 	r := Report{Source: benchSources[source]}
@@ -55,8 +55,8 @@
 	return r
 }
 
-// BenchmarkChanges applies changes of 1% to 10,000 workers from four sources.
-// The ratio of its two parts is what the index is worth.
+// BenchmarkChanges applies changes of 1% to 10,000 workers from four sources. The ratio of its two
+// parts is the gain of the incremental set over a full rebuild.
 func BenchmarkChanges(b *testing.B) {
 	var rounds []Report
 	for i := range 8 {
@@ -85,7 +85,7 @@
 		}
 	})
 	b.Run("rebuild", func(b *testing.B) {
-		p := newPlain(benchSources...)
+		p := newRebuild(benchSources...)
 		for _, rep := range benchReports() {
 			p.report(t0, rep)
 		}
@@ -109,7 +109,7 @@
 	})
 }
 
-// BenchmarkWhole is a whole report in which 1% changes, as DNS gives it.
+// BenchmarkWhole applies whole reports in which 1% changes, as DNS gives them.
 func BenchmarkWhole(b *testing.B) {
 	r := newRig(b, Policy{Name: "dns"})
 	one, two := Report{Source: "dns", Whole: true}, Report{Source: "dns", Whole: true}
--- a/discovery/membership/membership.go
+++ b/discovery/membership/membership.go
@@ -1,27 +1,26 @@
-// Package membership decides which workers a router may use when several
-// sources list them: it takes the sources' reports and gives the smallest list
-// of changes that brings a router up to date, each with its reason.
+// Package membership decides which workers a router may use when several sources list them. It
+// takes the reports of the sources and returns the smallest list of changes that brings a router up
+// to date, each with its reason.
 //
-// It does no I/O, starts no goroutine and takes the time from its caller. A Set
-// is not safe for concurrent use.
+// It does no I/O, starts no goroutine and takes the time from its caller. A Set is not safe for
+// concurrent use.
 //
-// The rule, in the order in which it is applied:
+// The rules, in the order in which they are applied:
 //
-//  1. A worker's own words are those of all sources that list it by its name,
-//     and of those that list its address without a name.
-//  2. An explicit gone or draining from any source wins, at once, until that
-//     very source lists the worker as serving again.
-//  3. Otherwise the worker is served while at least one source lists it. That a
-//     source does not list it is no word against it.
-//  4. A source that fails or is silent keeps its last good list, marked stale,
-//     up to its Keep.
-//  5. An answer that is empty after one that was not, or that drops more than a
-//     share of the source's workers, drops nobody until it has been confirmed.
-//  6. Of a source's priorities, only the best one that has a worker in service
-//     is used.
+//  1. The entries that count for a worker are those under its name, from all sources, and those
+//     that list its address without a name.
+//  2. An explicit Gone or Draining from any source takes effect at once and holds until the same
+//     source lists the worker as serving again.
+//  3. Otherwise the worker is served while at least one source lists it. That another source does
+//     not list it has no effect.
+//  4. A source that fails or is silent keeps its last good list, marked stale, for the time in its
+//     policy's Keep.
+//  5. A report that is empty after one that was not, or that drops more than a stated share of the
+//     source's workers, removes no worker until it has been confirmed.
+//  6. Of a source's priorities, only the best one with a worker in service is used.
 //
-// The outcome is a function of what each source has said and when; the order
-// in which the reports of different sources arrive does not change it.
+// The outcome is a function of what each source reported and when. The order in which the reports
+// of different sources arrive does not change it.
 package membership
 
 import (
@@ -31,39 +30,39 @@
 	"time"
 )
 
-// Word is what a source says of one worker.
-type Word uint8
+// Status is the state in which a source reports one worker.
+type Status uint8
 
-// The words of a source. Serving and Absent are weak: another source may know
-// better. Draining and Gone are explicit: they win over all other sources.
+// The statuses. Serving and Absent are weak: the reports of another source may override them.
+// Draining and Gone are explicit and override all other sources.
 const (
-	Serving  Word = iota
-	Draining      // finishes what it has, gets nothing new
-	Gone          // has ended
-	Absent        // no longer listed, in a Report that holds changes
+	Serving  Status = iota
+	Draining        // finishes its open requests, gets no new ones
+	Gone            // has ended
+	Absent          // no longer listed, in a Report of changes
 )
 
-func (w Word) String() string {
-	return [...]string{"serving", "draining", "gone", "absent"}[w]
+func (s Status) String() string {
+	return [...]string{"serving", "draining", "gone", "absent"}[s]
 }
 
 // Entry is one worker in a report.
 type Entry struct {
-	Name     string // identity over sources; empty: the address is the identity
+	Name     string // identity across sources; empty: the address is the identity
 	Addr     string // host:port; may be empty with Gone and Absent
 	Weight   float64
 	Cell     int
 	Zone     int
 	Kind     int
 	Priority int   // lower is better; compared within one source
-	Since    int64 // its latest start in Unix nanoseconds; 0: not known
-	Word     Word
+	Since    int64 // latest start in Unix nanoseconds; 0: unknown
+	Word     Status
 }
 
-// LongAgo is the start of a worker that is known to have run for long.
+// LongAgo is the start time of a worker that has been running for a long time.
 const LongAgo int64 = 1
 
-// key is the entry's identity: its name, or where it has none its address.
+// key returns the entry's identity: its name or, without one, its address.
 func (e *Entry) key() string {
 	if e.Name != "" {
 		return "=" + e.Name
@@ -73,7 +72,7 @@
 
 func (e *Entry) label() string { return e.key()[1:] }
 
-// Check tells what is wrong with an entry.
+// Check reports what is wrong with an entry.
 func (e *Entry) Check() error {
 	if e.Name == "" && e.Addr == "" {
 		return errors.New("a worker has neither name nor address")
@@ -96,23 +95,23 @@
 	return nil
 }
 
-// Report is what a source says at one time.
+// Report is what a source reports at one time.
 type Report struct {
 	Source string
-	// Whole means that Entries are all that the source lists.
+	// Whole means that Entries is the complete list of the source's workers.
 	Whole bool
-	// Final means that a whole report is known to be meant, however little it
-	// lists: it needs no confirmation.
+	// Final means that a whole report is intended by the source, however few workers it lists. It
+	// needs no confirmation.
 	Final bool
-	// Version is the source's own count of its states, 0 if it has none. A
-	// report of a version below the last one came late and is dropped.
+	// Version is the source's own version number of its list, 0 if it has none. A report with a
+	// lower version than the last one arrived out of order and is dropped.
 	Version uint64
-	// Anew means that the source counts from another start than before.
-	Anew    bool
-	Entries []Entry
+	// VersionReset means that the source has restarted its version numbers.
+	VersionReset bool
+	Entries      []Entry
 }
 
-// Member is a worker as the router is to use it.
+// Member is a worker in the form in which the router uses it.
 type Member struct {
 	Name   string
 	Addr   string
@@ -120,48 +119,48 @@
 	Cell   int
 	Zone   int
 	Kind   int
-	Since  int64 // its latest start in Unix nanoseconds; 0 or LongAgo: long ago
-	// Draining means that it gets nothing new: a source says so, or it is on
-	// standby behind a better priority.
+	Since  int64 // latest start in Unix nanoseconds; 0 or LongAgo: long ago
+	// Draining means that the worker gets no new requests: a source reports it as draining, or it
+	// is on standby behind a better priority.
 	Draining bool
 }
 
-// Kind tells what a Change does.
-type Kind uint8
+// ChangeKind is the effect of a Change.
+type ChangeKind uint8
 
 // The kinds of change.
 const (
-	Added Kind = iota
+	Added ChangeKind = iota
 	Updated
 	Removed
 )
 
-func (k Kind) String() string { return [...]string{"added", "updated", "removed"}[k] }
+func (k ChangeKind) String() string { return [...]string{"added", "updated", "removed"}[k] }
 
-// Change is one step from one served set to the next.
+// Change is one step from one set of served workers to the next.
 type Change struct {
-	Kind   Kind
-	Member Member // as it is now, or with Removed as it was last
+	Kind   ChangeKind
+	Member Member // the new state; for Removed, the last one
 	Reason Reason
-	Source string // whose word it follows; empty if it is nobody's alone
+	Source string // the source that decided; empty if no single one did
 }
 
-// Reason says why a worker is in, draining or out.
+// Reason is why a worker is served, draining or not served.
 type Reason uint8
 
 // The reasons of a worker's state.
 const (
-	Listed    Reason = iota // in: a source lists it
-	ToldDrain               // draining: a source says so
-	OnStandby               // draining: a better priority has workers in service
-	ToldGone                // out: a source says so
-	Dropped                 // out: no source lists it any longer
-	Expired                 // out: the sources that list it have been stale for too long
-	Damped                  // out: it came and went too often
-	Shadowed                // out: another name is served at its address
-	Restarted               // in: a later start than the one known
-	Moved                   // in: at another address
-	Amended                 // in: with another weight, cell, zone or kind
+	Listed           Reason = iota // served: a source lists it
+	ReportedDraining               // draining: a source reports it as draining
+	OnStandby                      // draining: a better priority has workers in service
+	ReportedGone                   // not served: a source reports it as gone
+	Dropped                        // not served: no source lists it any longer
+	Expired                        // not served: the sources that list it have been stale for too long
+	Damped                         // not served: it has left and returned too often
+	Shadowed                       // not served: another name is served at its address
+	Restarted                      // served: its start is later than the one known before
+	Moved                          // served: its address has changed
+	Amended                        // served: its weight, cell, zone or kind has changed
 )
 
 func (r Reason) String() string {
@@ -169,43 +168,43 @@
 		"damped", "shadowed", "restarted", "moved", "amended"}[r]
 }
 
-// Policy is how a source is taken.
+// Policy states how the reports of one source are applied.
 type Policy struct {
 	Name string
-	// EmptyTimes and EmptyOver say when an empty list is believed after one that
-	// was not: seen so often in a row, over at least that time. EmptyTimes of 0
-	// or 1 with EmptyOver of 0 believes at once.
+	// EmptyTimes and EmptyOver state when an empty list after a non-empty one is applied: after it
+	// was reported EmptyTimes times in a row over at least EmptyOver. With EmptyTimes of 0 or 1 and
+	// EmptyOver of 0 it is applied at once.
 	EmptyTimes int
 	EmptyOver  time.Duration
-	// LossShare is the part of the source's workers that one report may drop by
-	// absence. More is held until it was seen LossTimes in a row over LossOver; a
-	// report of changes, which isn't repeated, until LossOver has passed. 0 means
-	// no bound.
+	// LossShare is the share of the source's workers that one report may drop by not listing them.
+	// A larger loss is held until it was reported LossTimes times in a row over LossOver. A loss in
+	// a report of changes, which is not repeated, is held until LossOver has passed. 0 means no
+	// bound.
 	LossShare float64
 	LossTimes int
 	LossOver  time.Duration
-	// Silent is how long the source may say nothing before it counts as failed;
-	// 0 means for good.
+	// Silent is how long the source may send no report before it counts as failed; 0 means no
+	// limit.
 	Silent time.Duration
-	// Keep is how long a failed source's list is kept; 0 means for good.
+	// Keep is how long a failed source's list is kept; 0 means no limit.
 	Keep time.Duration
-	// GoneFor is how long an explicit gone holds against other sources that list
-	// the worker; 0 means until the source that said it lists it again.
+	// GoneFor is how long an explicit Gone overrides other sources that list the worker; 0 means
+	// until the source that reported it lists the worker again.
 	GoneFor time.Duration
 	Damping Damping
 }
 
-// Damping keeps out workers that come and go, as RFC 2439 does with routes:
-// each return costs one, the sum halves with time. It concerns one source's
-// listing, so another source's steady one still holds the worker.
+// Damping keeps out workers that repeatedly leave and return, as RFC 2439 does with routes: each
+// return adds 1 to a penalty that decays exponentially. It applies to the listing of one source, so
+// a steady listing of another source still keeps the worker served.
 type Damping struct {
-	HalfLife time.Duration // 0: no damping
-	Suppress float64       // kept out from this sum on
-	Reuse    float64       // and let in again below this one
-	Share    float64       // of the source's workers that are kept out at most
+	HalfLife time.Duration // of the penalty; 0: no damping
+	Suppress float64       // penalty from which a worker is kept out
+	Reuse    float64       // penalty below which it is served again
+	Share    float64       // largest share of the source's workers that is kept out
 }
 
-// Check tells what is wrong with a policy; key names the one that is.
+// Check reports what is wrong with a policy; key names the setting.
 func (p *Policy) Check() (key string, err error) {
 	d := p.Damping
 	switch {
@@ -223,15 +222,15 @@
 	return "", nil
 }
 
-// MaxEntries bounds what one source may list.
+// MaxEntries is the most workers that one source may list.
 const MaxEntries = 1 << 16
 
-// remember is how long a worker that nobody lists any more keeps its name.
-const remember = 10 * time.Minute
+// forgetAfter is how long the state of a worker that no source lists is kept.
+const forgetAfter = 10 * time.Minute
 
-// The errors of a report that is dropped whole.
+// The errors for which a whole report is dropped.
 var (
 	ErrUnknownSource = errors.New("no such source")
-	ErrOldVersion    = errors.New("an older version than the one in hand")
+	ErrOldVersion    = errors.New("older than the version already applied")
 	ErrTooMany       = fmt.Errorf("more than %d workers", MaxEntries)
 )
--- a/discovery/membership/plain_test.go
+++ b/discovery/membership/plain_test.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// plain is the obvious way: it keeps what each source has said and builds the
-// whole set anew each time. It knows no bounds on losses, no damping and no
-// ageing. The properties hold the Set against it, the benchmarks as well.
-type plain struct {
-	order []string
-	said  map[string]map[string]*plainWord
-	full  map[string]bool // it has listed a worker before
+// rebuild is a straightforward reference: it keeps the entries of each source and builds the whole
+// set anew each time. It has no bounds on losses, no damping and no expiry. The property tests and
+// the benchmarks compare the Set with it.
+type rebuild struct {
+	order        []string
+	listings     map[string]map[string]*rebuildListing
+	listedBefore map[string]bool // an earlier report has listed a worker
 }
 
-type plainWord struct {
+type rebuildListing struct {
 	Entry
-	rank     int
-	at       time.Time
-	listedAt int64
+	rank        int
+	statusSince time.Time
+	listedAt    int64
 }
 
-func newPlain(sources ...string) *plain {
-	p := &plain{order: sources, said: map[string]map[string]*plainWord{}, full: map[string]bool{}}
+func newRebuild(sources ...string) *rebuild {
+	p := &rebuild{order: sources, listings: map[string]map[string]*rebuildListing{}, listedBefore: map[string]bool{}}
 	for _, s := range sources {
-		p.said[s] = map[string]*plainWord{}
+		p.listings[s] = map[string]*rebuildListing{}
 	}
 	return p
 }
 
-func (p *plain) report(now time.Time, r Report) {
-	words, named := p.said[r.Source], map[string]bool{}
+func (p *rebuild) report(now time.Time, r Report) {
+	listings, named := p.listings[r.Source], map[string]bool{}
 	for _, e := range r.Entries {
-		w := words[e.key()]
+		w := listings[e.key()]
 		if e.Word == Absent {
 			if w != nil && w.Word <= Draining {
 				p.drop(w, now)
@@ -44,15 +44,15 @@
 		}
 		named[e.key()] = true
 		if w == nil {
-			w = &plainWord{Entry: Entry{Word: Absent}, rank: slices.Index(p.order, r.Source), at: now}
-			words[e.key()] = w
+			w = &rebuildListing{Entry: Entry{Word: Absent}, rank: slices.Index(p.order, r.Source), statusSince: now}
+			listings[e.key()] = w
 		}
 		if w.Word != e.Word {
-			w.at = now
+			w.statusSince = now
 		}
 		if w.Word > Draining && e.Word <= Draining {
 			w.listedAt = 0
-			if p.full[r.Source] {
+			if p.listedBefore[r.Source] {
 				w.listedAt = now.UnixNano()
 			}
 		}
@@ -63,19 +63,19 @@
 		}
 	}
 	if r.Whole {
-		for k, w := range words {
+		for k, w := range listings {
 			if !named[k] && w.Word <= Draining {
 				p.drop(w, now)
 			}
 		}
 	}
-	for _, w := range words {
-		p.full[r.Source] = p.full[r.Source] || w.Word <= Draining
+	for _, w := range listings {
+		p.listedBefore[r.Source] = p.listedBefore[r.Source] || w.Word <= Draining
 	}
 }
 
-func (p *plain) drop(w *plainWord, now time.Time) {
-	w.at = now
+func (p *rebuild) drop(w *rebuildListing, now time.Time) {
+	w.statusSince = now
 	if w.Word == Draining {
 		w.Word = Gone
 	} else {
@@ -83,40 +83,40 @@
 	}
 }
 
-// who is one identity in a rebuild.
-type who struct {
-	key   string
-	words []*plainWord
-	addr  string
-	since int64
-	live  bool
-	gone  bool
-	last  time.Time
+// rebuildWorker is one identity in a rebuild.
+type rebuildWorker struct {
+	key      string
+	listings []*rebuildListing
+	addr     string
+	since    int64
+	live     bool
+	gone     bool
+	last     time.Time
 }
 
-func (p *plain) members() []Member {
-	all := map[string]*who{}
+func (p *rebuild) members() []Member {
+	all := map[string]*rebuildWorker{}
 	for _, s := range p.order {
-		for k, w := range p.said[s] {
+		for k, w := range p.listings[s] {
 			x := all[k]
 			if x == nil {
-				x = &who{key: k}
+				x = &rebuildWorker{key: k}
 				all[k] = x
 			}
-			x.words = append(x.words, w)
+			x.listings = append(x.listings, w)
 		}
 	}
-	at := map[string][]*who{}
+	at := map[string][]*rebuildWorker{}
 	for _, x := range all {
-		var best *plainWord
-		for _, w := range x.words {
+		var best *rebuildListing
+		for _, w := range x.listings {
 			live := w.Word <= Draining
 			x.live, x.gone = x.live || live, x.gone || w.Word == Gone
 			if live {
 				x.since = max(x.since, w.Since)
 			}
-			if w.at.After(x.last) {
-				x.last = w.at
+			if w.statusSince.After(x.last) {
+				x.last = w.statusSince
 			}
 			if w.Addr == "" {
 				continue
@@ -125,7 +125,7 @@
 			case best == nil, live && best.Word > Draining:
 				best = w
 			case !live && best.Word <= Draining:
-			case live && w.Since > best.Since, !live && w.at.After(best.at):
+			case live && w.Since > best.Since, !live && w.statusSince.After(best.statusSince):
 				best = w
 			}
 		}
@@ -137,9 +137,9 @@
 		}
 	}
 	type found struct {
-		owner *who
-		word  Word
-		words []*plainWord
+		owner *rebuildWorker
+		word  Status
+		words []*rebuildListing
 	}
 	var sites []found
 	standing := map[int]int{}
@@ -168,23 +168,23 @@
 		})
 		owner := list[0]
 		f := found{owner: owner}
-		for _, w := range owner.words {
+		for _, w := range owner.listings {
 			if w.Word <= Draining {
 				f.words = append(f.words, w)
 			}
 		}
 		for _, x := range list {
 			bare := x.key[0] == '@'
-			for _, w := range x.words {
+			for _, w := range x.listings {
 				if bare && x != owner && w.Word <= Draining {
 					f.words = append(f.words, w)
 				}
 				if w.Word != Draining && w.Word != Gone {
 					continue
 				}
-				known := owner.since > w.at.UnixNano()
+				known := owner.since > w.statusSince.UnixNano()
 				if w.Word == Gone {
-					for _, o := range owner.words {
+					for _, o := range owner.listings {
 						known = known || o.rank == w.rank && o.Word <= Draining
 					}
 				}
@@ -227,8 +227,8 @@
 	return out
 }
 
-func firstRank(x *who) int {
-	for _, w := range x.words {
+func firstRank(x *rebuildWorker) int {
+	for _, w := range x.listings {
 		if w.Word <= Draining {
 			return w.rank
 		}
--- a/discovery/membership/property_test.go
+++ b/discovery/membership/property_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// steps are rounds of reports; what one round holds comes at the same time.
+// steps are rounds of reports; the reports of one round come at the same time.
 type steps [][]Report
 
 func drawSteps(t *rapid.T, sources []string) steps {
@@ -18,7 +18,7 @@
 			Cell:     rapid.IntRange(0, 1).Draw(t, "cell"),
 			Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
 			Since:    rapid.SampledFrom([]int64{0, 0, 5, t0.Add(3 * time.Second).UnixNano()}).Draw(t, "since"),
-			Word:     rapid.SampledFrom([]Word{Serving, Serving, Serving, Draining, Gone}).Draw(t, "word")}
+			Word:     rapid.SampledFrom([]Status{Serving, Serving, Serving, Draining, Gone}).Draw(t, "word")}
 		if rapid.Bool().Draw(t, "named") {
 			e.Name = rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")
 		}
@@ -43,7 +43,7 @@
 	return []string{"s1", "s2", "s3", "s4", "s5"}[:rapid.IntRange(1, 5).Draw(t, "sources")]
 }
 
-// shuffle puts one round's reports in another order that keeps each source's own.
+// shuffle returns one round's reports in another order that keeps each source's own order.
 func shuffle(t *rapid.T, round []Report) []Report {
 	queues := map[string][]Report{}
 	var turns []string
@@ -59,7 +59,7 @@
 	return out
 }
 
-// The set is what a rebuild from all that was said gives, and the changes lead there.
+// The set must equal a rebuild from all reports, and the changes must lead to it.
 func TestChangesEqualTheRebuild(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sources := drawSources(rt)
@@ -67,7 +67,7 @@
 		for _, s := range sources {
 			policies = append(policies, Policy{Name: s})
 		}
-		r, p := newRig(t, policies...), newPlain(sources...)
+		r, p := newRig(t, policies...), newRebuild(sources...)
 		for _, round := range drawSteps(rt, sources) {
 			for _, rep := range round {
 				r.report(rep)
@@ -81,7 +81,7 @@
 					rt.Fatalf("after %+v\nwant %+v\ngot  %+v", rep, want, got)
 				}
 			}
-			r.pass(time.Second)
+			r.advance(time.Second)
 		}
 		for _, m := range r.set.Members() {
 			require.Equal(t, m, r.router[m.Name])
@@ -108,7 +108,7 @@
 	return out
 }
 
-// What sources say at one time gives one outcome, in whatever order it arrives.
+// Reports that sources send at the same time must give one outcome, in whatever order they arrive.
 func TestTheOrderOfSourcesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sources := drawSources(rt)
@@ -124,26 +124,26 @@
 			if fmt.Sprint(a.set.Members()) != fmt.Sprint(b.set.Members()) {
 				rt.Fatalf("one order gives %+v\nanother     %+v", a.set.Members(), b.set.Members())
 			}
-			// Nor does it matter how often the time is told.
-			a.pass(1500 * time.Millisecond)
+			// Nor does it matter how often Advance is called.
+			a.advance(1500 * time.Millisecond)
 			b.now = b.now.Add(1500 * time.Millisecond)
-			b.took(b.set.Advance(b.now))
+			b.apply(b.set.Advance(b.now))
 			require.Equal(t, a.set.Members(), b.set.Members())
 		}
 	})
 }
 
-// No bound, no age and no other source ever overrides an explicit word.
-func TestNothingExplicitIsOverridden(t *testing.T) {
+// No bound on losses, no expiry and no other source ever overrides an explicit status.
+func TestExplicitStatusIsNeverOverridden(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sources := drawSources(rt)
 		r := newRig(t, boundedPolicies(rt, sources)...)
-		explicit := map[[2]string]Word{}
+		explicit := map[[2]string]Status{}
 		check := func() {
 			for at, word := range explicit {
 				m, in := r.router[at[1][1:]]
 				if in && (word == Gone || !m.Draining) && (at[1][0] == '=' || m.Addr == at[1][1:]) {
-					rt.Fatalf("%s said %v of %s, which is in as %+v", at[0], word, at[1], m)
+					rt.Fatalf("%s reported %s as %v, but it is served as %+v", at[0], at[1], word, m)
 				}
 			}
 		}
@@ -160,7 +160,7 @@
 				r.report(rep)
 				check()
 			}
-			r.pass(1500 * time.Millisecond)
+			r.advance(1500 * time.Millisecond)
 			check()
 		}
 	})
--- a/discovery/membership/set.go
+++ b/discovery/membership/set.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// Set is the workers that all sources together list. Work done for a report of
-// changes grows with the changes, not with the set.
+// Set is the workers that all sources together list. The work done for a report of changes grows
+// with the number of changes, not with the size of the set.
 type Set struct {
-	sources []*source
-	byName  map[string]*source
-	workers map[string]*worker
-	sites   map[string]*site
-	timers  timers
-	dirty   map[*site]struct{}
-	shifted map[*source]struct{} // whose standing has changed
-	serving int
+	sources         []*source
+	byName          map[string]*source
+	workers         map[string]*worker
+	sites           map[string]*site
+	timers          timers
+	dirty           map[*site]struct{}
+	servableChanged map[*source]struct{} // whose count of servable workers has changed
+	serving         int
 }
 
-// New returns an empty set. The order of the sources is their precedence: where
-// they disagree on what nobody is explicit about, the first one is believed.
+// New returns an empty set. The order of the sources is their precedence: where they disagree and
+// none is explicit, the first one counts.
 func New(policies ...Policy) (*Set, error) {
 	s := &Set{byName: map[string]*source{}, workers: map[string]*worker{}, sites: map[string]*site{},
-		dirty: map[*site]struct{}{}, shifted: map[*source]struct{}{}}
+		dirty: map[*site]struct{}{}, servableChanged: map[*source]struct{}{}}
 	_, err := s.Configure(time.Time{}, policies...)
 	return s, err
 }
 
-// Configure takes other sources. Those that stay keep what they have said, the
-// words of those that are left out are void. An error changes nothing.
+// Configure replaces the sources. Sources that remain keep what they have reported; what a source
+// that is left out has reported no longer counts. An error changes nothing.
 func (s *Set) Configure(now time.Time, policies ...Policy) ([]Change, error) {
 	names := map[string]bool{}
 	for i := range policies {
@@ -71,23 +71,23 @@
 	for _, src := range s.sources {
 		p := src.Policy
 		if p.Keep <= 0 {
-			s.expire(src, false)
+			s.setExpired(src, false)
 		}
 		for _, l := range src.listings {
 			if l.damped && p.Damping.HalfLife <= 0 {
 				s.undamp(l)
 			}
-			s.touch(l.worker)
+			s.markDirty(l.worker)
 		}
-		if !src.failed.IsZero() && src.Keep > 0 {
-			s.at(latest(now, src.failed.Add(src.Keep)), timer{kind: expire, src: src})
+		if !src.failedAt.IsZero() && src.Keep > 0 {
+			s.schedule(latest(now, src.failedAt.Add(src.Keep)), timer{kind: timerExpire, src: src})
 		}
-		if src.spoken && src.Silent > 0 && !src.silentSet {
-			src.silentSet = true
-			s.at(latest(now, src.lastWord.Add(src.Silent)), timer{kind: silent, src: src})
+		if src.reported && src.Silent > 0 && !src.silenceTimerSet {
+			src.silenceTimerSet = true
+			s.schedule(latest(now, src.lastReport.Add(src.Silent)), timer{kind: timerSilent, src: src})
 		}
 	}
-	return s.settle(), nil
+	return s.recompute(), nil
 }
 
 func latest(a, b time.Time) time.Time {
@@ -97,9 +97,9 @@
 	return b
 }
 
-// Report takes what a source says. The problems are entries that make no sense:
-// their workers stay as they were. An error means that the report was dropped
-// whole: ErrUnknownSource, ErrOldVersion, ErrTooMany.
+// Report applies a report of a source. The problems are invalid entries; their workers keep their
+// state. An error means that the whole report was dropped: ErrUnknownSource, ErrOldVersion or
+// ErrTooMany.
 func (s *Set) Report(now time.Time, r Report) (changes []Change, problems []error, err error) {
 	src := s.byName[r.Source]
 	if src == nil {
@@ -107,26 +107,25 @@
 	}
 	s.advance(now)
 	problems, err = s.report(src, now, &r)
-	return s.settle(), problems, err
+	return s.recompute(), problems, err
 }
 
-// Fail notes that a source could not be read, with what went wrong. Its list
-// stays, marked stale.
+// Fail records that a source could not be read, and why. Its list is kept and marked stale.
 func (s *Set) Fail(now time.Time, name, fault string) []Change {
 	s.advance(now)
 	if src := s.byName[name]; src != nil {
-		s.fail(src, now, fault)
+		s.markFailed(src, now, fault)
 	}
-	return s.settle()
+	return s.recompute()
 }
 
-// Advance does what has come due. Call it at the time that Next tells.
+// Advance applies what has come due by now. Call it at the time that Next returns.
 func (s *Set) Advance(now time.Time) []Change {
 	s.advance(now)
-	return s.settle()
+	return s.recompute()
 }
 
-// Next is when something comes due next.
+// Next returns when Advance has to be called next, and false if nothing is scheduled.
 func (s *Set) Next() (time.Time, bool) {
 	if len(s.timers) == 0 {
 		return time.Time{}, false
@@ -134,22 +133,22 @@
 	return s.timers[0].at, true
 }
 
-// Serving is the number of workers that may be sent something new.
+// Serving returns the number of workers that may get new requests.
 func (s *Set) Serving() int { return s.serving }
 
-// Members is the whole set, by name.
+// Members returns all served and draining workers, by name.
 func (s *Set) Members() []Member {
 	var out []Member
 	for _, w := range s.workers {
-		if w.in {
-			out = append(out, w.out)
+		if w.served {
+			out = append(out, w.member)
 		}
 	}
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
-// attach finds the worker that a listing is of.
+// attach links a listing to its worker, which it creates if necessary.
 func (s *Set) attach(l *listing) {
 	w := s.workers[l.key]
 	if w == nil {
@@ -161,23 +160,24 @@
 	w.listings = slices.Insert(w.listings, i, l)
 }
 
-// remove forgets a listing whole, with its word.
+// remove deletes a listing together with its status.
 func (s *Set) remove(l *listing) {
-	s.unrank(l)
+	s.removeLive(l)
 	if l.damped {
 		s.undamp(l)
 	}
 	delete(l.src.listings, l.key)
 	w := l.worker
 	w.listings = slices.DeleteFunc(w.listings, func(o *listing) bool { return o == l })
-	s.touch(w)
+	s.markDirty(w)
 }
 
-// touch has a worker judged anew, with all others at its address.
-func (s *Set) touch(w *worker) {
+// markDirty marks the worker's site, with all other workers there, for the next recompute. It moves
+// the worker to another site if its address has changed.
+func (s *Set) markDirty(w *worker) {
 	key := w.addr()
 	if key == "" {
-		key = w.key // nowhere: a place of its own
+		key = w.key // without an address: a site of its own
 	}
 	if w.site == nil || w.site.key != key {
 		if w.site != nil {
@@ -194,90 +194,90 @@
 	s.dirty[w.site] = struct{}{}
 }
 
-// settle brings the outcome up to date and returns how it has changed. Who is in
-// and who could serve comes first, since that tells which priorities are in use.
-func (s *Set) settle() []Change {
+// recompute brings the members up to date and returns the changes. The owners of the sites and the
+// servable listings come first, since they determine which priorities are in use.
+func (s *Set) recompute() []Change {
 	if len(s.dirty) == 0 {
 		return nil
 	}
-	for at := range s.dirty {
-		at.judge()
-		for _, w := range at.workers {
+	for dirtySite := range s.dirty {
+		dirtySite.resolve()
+		for _, w := range dirtySite.workers {
 			for _, l := range w.listings {
-				s.stand(l, at.standing(l))
+				s.setServable(l, dirtySite.servable(l))
 			}
 		}
 	}
-	for src := range s.shifted {
-		s.choose(src)
+	for src := range s.servableChanged {
+		s.selectPriority(src)
 	}
-	clear(s.shifted)
+	clear(s.servableChanged)
 	var changes []Change
-	for at := range s.dirty {
-		for _, w := range at.workers {
+	for dirtySite := range s.dirty {
+		for _, w := range dirtySite.workers {
 			if c, changed := s.update(w); changed {
 				changes = append(changes, c)
 			}
 		}
-		at.workers = slices.DeleteFunc(at.workers, func(w *worker) bool {
+		dirtySite.workers = slices.DeleteFunc(dirtySite.workers, func(w *worker) bool {
 			if len(w.listings) == 0 {
 				delete(s.workers, w.key)
 			}
 			return len(w.listings) == 0
 		})
-		if len(at.workers) == 0 {
-			delete(s.sites, at.key)
+		if len(dirtySite.workers) == 0 {
+			delete(s.sites, dirtySite.key)
 		}
 	}
 	clear(s.dirty)
-	// Who leaves comes first, then by name, so that equal reports give equal changes.
+	// Removals come first, then changes by name, so that equal reports give equal changes.
 	slices.SortFunc(changes, func(a, b Change) int {
 		return cmp.Or(-cmp.Compare(a.Kind, b.Kind), strings.Compare(a.Member.Name, b.Member.Name))
 	})
 	return changes
 }
 
-// choose finds the best priority of a source that has a worker in service. Only
-// the listings of the priorities between the old one and the new change.
-func (s *Set) choose(src *source) {
+// selectPriority finds the best priority of a source that has a worker in service. Only listings
+// with priorities between the old and the new one are affected.
+func (s *Set) selectPriority(src *source) {
 	best := noPriority
-	for p := range maps.Keys(src.standing) {
-		best = min(best, p)
+	for priority := range maps.Keys(src.servable) {
+		best = min(best, priority)
 	}
-	was := src.best
-	src.best = best
-	for p, level := range src.levels {
-		if (p <= was) != (p <= best) {
-			for l := range level {
+	previous := src.bestPriority
+	src.bestPriority = best
+	for priority, listings := range src.liveByPriority {
+		if (priority <= previous) != (priority <= best) {
+			for l := range listings {
 				s.dirty[l.worker.site] = struct{}{}
 			}
 		}
 	}
 }
 
-// update brings one worker up to date.
+// update brings the member of one worker up to date.
 func (s *Set) update(w *worker) (Change, bool) {
-	at := w.site
-	if at.owner != w || at.word == Gone {
-		w.reason, w.by = w.outside()
-		if !w.in {
+	place := w.site
+	if place.owner != w || place.status == Gone {
+		w.reason, w.decidedBy = w.exclusion()
+		if !w.served {
 			return Change{}, false
 		}
-		w.in = false
-		s.count(w.out, -1)
-		return Change{Kind: Removed, Member: w.out, Reason: w.reason, Source: w.by}, true
+		w.served = false
+		s.addServing(w.member, -1)
+		return Change{Kind: Removed, Member: w.member, Reason: w.reason, Source: w.decidedBy}, true
 	}
-	m, reason, by := at.member()
-	w.reason, w.by = reason, by
-	was, wasIn := w.out, w.in
+	m, reason, by := place.member()
+	w.reason, w.decidedBy = reason, by
+	was, wasIn := w.member, w.served
 	if wasIn && was == m {
 		return Change{}, false
 	}
-	w.in, w.out = true, m
+	w.served, w.member = true, m
 	if wasIn {
-		s.count(was, -1)
+		s.addServing(was, -1)
 	}
-	s.count(m, 1)
+	s.addServing(m, 1)
 	switch {
 	case !wasIn:
 		return Change{Kind: Added, Member: m, Reason: reason, Source: by}, true
@@ -292,13 +292,13 @@
 	return Change{Kind: Updated, Member: m, Reason: reason, Source: by}, true
 }
 
-func (s *Set) count(m Member, by int) {
+func (s *Set) addServing(m Member, by int) {
 	if !m.Draining {
 		s.serving += by
 	}
 }
 
-// timer is something that comes due.
+// timer is an action that is due at a later time.
 type timer struct {
 	at      time.Time
 	kind    timerKind
@@ -309,12 +309,12 @@
 type timerKind uint8
 
 const (
-	silent  timerKind = iota // src has said nothing for too long
-	expire                   // src has been stale for too long
-	confirm                  // a loss told by changes has stood long enough
-	reuse                    // a damped listing may count again
-	forget                   // a listing that holds nothing may be forgotten
-	pardon                   // a gone no longer holds against others
+	timerSilent      timerKind = iota // src has sent no report for too long
+	timerExpire                       // src has been stale for too long
+	timerConfirmLoss                  // a loss reported by changes has lasted long enough
+	timerReuse                        // a damped listing may count again
+	timerForget                       // a listing that is no longer live may be deleted
+	timerGoneEnds                     // a Gone no longer overrides other sources
 )
 
 type timers []timer
@@ -329,74 +329,74 @@
 	return last
 }
 
-func (s *Set) at(when time.Time, t timer) {
+func (s *Set) schedule(when time.Time, t timer) {
 	t.at = when
 	heap.Push(&s.timers, t)
 }
 
-// advance does what is due, as of the time at which it was due. A timer may have
-// been overtaken: each looks whether what it was set for still holds.
+// advance runs all due timers, each as of the time at which it was due. The state may have changed
+// since a timer was set, so each one checks whether its condition still holds.
 func (s *Set) advance(now time.Time) {
 	for len(s.timers) > 0 && !s.timers[0].at.After(now) {
 		t := heap.Pop(&s.timers).(timer)
 		if t.src != nil && s.byName[t.src.Name] != t.src || t.listing != nil && t.listing.src.listings[t.listing.key] != t.listing {
 			continue
 		}
-		s.due(t, t.at)
+		s.fire(t, t.at)
 	}
 }
 
-func (s *Set) due(t timer, now time.Time) {
+func (s *Set) fire(t timer, now time.Time) {
 	src, l := t.src, t.listing
 	switch t.kind {
-	case silent:
-		src.silentSet = false
-		switch quiet := now.Sub(src.lastWord); {
-		case src.Silent <= 0 || !src.failed.IsZero():
-		case quiet >= src.Silent:
-			s.fail(src, src.lastWord.Add(src.Silent), fmt.Sprintf("nothing heard for %v", src.Silent))
+	case timerSilent:
+		src.silenceTimerSet = false
+		switch silence := now.Sub(src.lastReport); {
+		case src.Silent <= 0 || !src.failedAt.IsZero():
+		case silence >= src.Silent:
+			s.markFailed(src, src.lastReport.Add(src.Silent), fmt.Sprintf("nothing heard for %v", src.Silent))
 		default:
-			src.silentSet = true
-			s.at(src.lastWord.Add(src.Silent), timer{kind: silent, src: src})
+			src.silenceTimerSet = true
+			s.schedule(src.lastReport.Add(src.Silent), timer{kind: timerSilent, src: src})
 		}
-	case expire:
-		if !src.failed.IsZero() && src.Keep > 0 && now.Sub(src.failed) >= src.Keep {
-			s.expire(src, true)
+	case timerExpire:
+		if !src.failedAt.IsZero() && src.Keep > 0 && now.Sub(src.failedAt) >= src.Keep {
+			s.setExpired(src, true)
 		}
-	case confirm:
-		if src.loss != nil && src.loss.byOne && now.Sub(src.loss.first) >= src.LossOver {
-			gone := slices.DeleteFunc(src.loss.gone, func(l *listing) bool { return !l.held })
+	case timerConfirmLoss:
+		if src.loss != nil && src.loss.byChanges && now.Sub(src.loss.first) >= src.LossOver {
+			missing := slices.DeleteFunc(src.loss.missing, func(l *listing) bool { return !l.held })
 			src.loss = nil
-			s.drop(gone, now)
+			s.dropListings(missing, now)
 		}
-	case reuse:
+	case timerReuse:
 		if l.damped {
-			if left := l.penaltyAt.Add(l.reuseIn()); left.After(now) {
-				s.at(left, t)
+			if reuseAt := l.penaltyAt.Add(l.untilReuse()); reuseAt.After(now) {
+				s.schedule(reuseAt, t)
 				return
 			}
 			s.undamp(l)
-			s.touch(l.worker)
+			s.markDirty(l.worker)
 		}
-	case forget:
-		l.forgets = false
+	case timerForget:
+		l.forgetTimerSet = false
 		switch {
 		case l.isLive():
-		case l.worker.site.listed() || now.Sub(l.at) < remember:
-			l.forgets = true
-			s.at(now.Add(remember), t)
+		case l.worker.site.listed() || now.Sub(l.statusSince) < forgetAfter:
+			l.forgetTimerSet = true
+			s.schedule(now.Add(forgetAfter), t)
 		default:
 			s.remove(l)
 		}
-	case pardon:
-		if l.entry.Word == Gone && l.src.GoneFor > 0 && now.Sub(l.at) >= l.src.GoneFor {
+	case timerGoneEnds:
+		if l.entry.Word == Gone && l.src.GoneFor > 0 && now.Sub(l.statusSince) >= l.src.GoneFor {
 			l.entry.Word = Absent
-			s.touch(l.worker)
+			s.markDirty(l.worker)
 		}
 	}
 }
 
-// listed tells whether any source lists a worker at the site.
+// listed reports whether any source lists a worker at the site.
 func (s *site) listed() bool {
 	for _, w := range s.workers {
 		if slices.ContainsFunc(w.listings, (*listing).isLive) {
--- a/discovery/membership/source.go
+++ b/discovery/membership/source.go
@@ -7,134 +7,136 @@
 	"time"
 )
 
-// source is one source and what it has said.
+// source is one source with all that it has reported.
 type source struct {
 	Policy
-	rank     int
-	spoken   bool
-	full     bool // it has listed a worker before
-	version  uint64
-	lastWord time.Time
-	failed   time.Time // since when it is stale; zero: it is not
-	fault    string
-	expired  bool
-	listings map[string]*listing
-	live     int // listings that hold a worker: serving or draining
-	damped   int
-	pass     uint64 // numbers the whole reports, to tell what one left out
-	loss     *loss  // held, not believed yet
-	// standing counts, for each priority, the listings whose worker could serve.
-	standing map[int]int
-	levels   map[int]map[*listing]struct{} // all live listings by priority
-	best     int                           // the priority in use
-	// silentSet tells that a timer for its silence is set.
-	silentSet bool
+	rank         int
+	reported     bool
+	listedBefore bool // an earlier report has listed a worker
+	version      uint64
+	lastReport   time.Time
+	failedAt     time.Time // when it became stale; zero: it is not
+	fault        string
+	expired      bool
+	listings     map[string]*listing
+	live         int // listings with status Serving or Draining
+	damped       int
+	reportNumber uint64 // counts the reports, to find the listings that one left out
+	loss         *loss  // a loss that is not confirmed yet
+	// servable counts, by priority, the listings whose worker can be served.
+	servable       map[int]int
+	liveByPriority map[int]map[*listing]struct{} // all live listings by priority
+	bestPriority   int                           // the priority in use
+	// silenceTimerSet reports whether a timerSilent is scheduled.
+	silenceTimerSet bool
 }
 
-// loss is an absence of many that waits for its confirmation.
+// loss is the absence of many workers that awaits confirmation.
 type loss struct {
-	first  time.Time
-	times  int
-	empty  bool
-	before int  // listed before it
-	byOne  bool // told by changes, so not repeated
-	gone   []*listing
+	first      time.Time
+	times      int
+	empty      bool
+	liveBefore int  // live listings before it
+	byChanges  bool // reported by changes, so not repeated
+	missing    []*listing
 }
 
-// noPriority is worse than any that is listed.
+// noPriority is worse than any listed priority.
 const noPriority = math.MaxInt
 
-// listing is one source's word on one worker.
+// listing is one source's entry for one worker.
 type listing struct {
-	src   *source
-	key   string
-	entry Entry
-	at    time.Time // when the word was first said
-	// listedAt is when the source began to list it, in Unix nanoseconds; 0 if
-	// that was with its first report that listed any.
-	listedAt  int64
-	pass      uint64
-	held      bool // the source's last report leaves it out, which is not believed yet
-	left      bool // it has been absent or gone before
-	penalty   float64
-	penaltyAt time.Time
-	damped    bool
-	forgets   bool // a timer to forget it is set
-	standing  bool
-	worker    *worker
+	src         *source
+	key         string
+	entry       Entry
+	statusSince time.Time // when the status was first reported
+	// listedAt is when the source began to list the worker, in Unix nanoseconds; 0 if that was in
+	// its first report with any worker.
+	listedAt       int64
+	reportNumber   uint64
+	held           bool // the last report leaves it out, which is not confirmed yet
+	leftBefore     bool // it has been Absent or Gone before
+	penalty        float64
+	penaltyAt      time.Time
+	damped         bool
+	forgetTimerSet bool // a timerForget is scheduled
+	servable       bool
+	worker         *worker
 }
 
-// isLive tells whether the source lists the worker, whatever it says of it.
-func (l *listing) isLive() bool { return live(l.entry.Word) }
+// isLive reports whether the source lists the worker, as Serving or Draining.
+func (l *listing) isLive() bool { return isLiveStatus(l.entry.Word) }
 
-func live(w Word) bool { return w <= Draining }
+func isLiveStatus(s Status) bool { return s <= Draining }
 
-// holds tells whether the listing holds its worker in the set.
-func (l *listing) holds() bool { return l.isLive() && !l.damped && !l.src.expired }
+// isEffective reports whether the listing counts: it is live, not damped, and its source not
+// expired.
+func (l *listing) isEffective() bool { return l.isLive() && !l.damped && !l.src.expired }
 
-// active tells whether the listing's priority is in use.
-func (l *listing) active() bool { return l.entry.Priority <= l.src.best }
+// priorityInUse reports whether the listing's priority is in use.
+func (l *listing) priorityInUse() bool { return l.entry.Priority <= l.src.bestPriority }
 
 func newSource(p Policy, rank int) *source {
-	return &source{Policy: p, rank: rank, listings: map[string]*listing{}, standing: map[int]int{},
-		levels: map[int]map[*listing]struct{}{}, best: noPriority}
+	return &source{Policy: p, rank: rank, listings: map[string]*listing{}, servable: map[int]int{},
+		liveByPriority: map[int]map[*listing]struct{}{}, bestPriority: noPriority}
 }
 
-// report takes a report and returns what in it made no sense; such entries leave
-// their workers as they were.
+// report applies a report and returns its invalid entries as problems; their workers keep their
+// state.
 func (s *Set) report(src *source, now time.Time, r *Report) (problems []error, err error) {
 	if len(r.Entries) > MaxEntries {
 		return nil, fmt.Errorf("source %s: %w", src.Name, ErrTooMany)
 	}
-	if r.Version != 0 && r.Version < src.version && !r.Anew {
+	if r.Version != 0 && r.Version < src.version && !r.VersionReset {
 		return nil, fmt.Errorf("source %s: version %d after %d: %w", src.Name, r.Version, src.version, ErrOldVersion)
 	}
 	src.version = r.Version
-	src.pass++
-	before := src.live
-	var gone []*listing
+	src.reportNumber++
+	liveBefore := src.live
+	var missing []*listing
 	for i := range r.Entries {
 		e := &r.Entries[i]
 		old := src.listings[e.key()]
 		if err := e.Check(); err != nil {
 			problems = append(problems, err)
 			if old != nil {
-				old.pass = src.pass // spoilt is not left out
+				old.reportNumber = src.reportNumber // an invalid entry does not count as left out
 			}
 			continue
 		}
-		if old != nil && old.pass == src.pass && r.Whole {
+		if old != nil && old.reportNumber == src.reportNumber && r.Whole {
 			problems = append(problems, fmt.Errorf("worker %q is listed twice, at %s and at %s", e.label(), old.entry.Addr, e.Addr))
-			if !better(e, &old.entry) {
+			if !preferred(e, &old.entry) {
 				continue
 			}
 		}
 		if e.Word == Absent {
 			if old != nil && old.isLive() {
-				old.pass = src.pass
-				gone = append(gone, old)
+				old.reportNumber = src.reportNumber
+				missing = append(missing, old)
 			}
 			continue
 		}
-		s.say(src, now, e)
+		s.applyEntry(src, now, e)
 	}
 	if r.Whole {
 		for _, l := range src.listings {
-			if l.pass != src.pass && l.isLive() {
-				gone = append(gone, l)
+			if l.reportNumber != src.reportNumber && l.isLive() {
+				missing = append(missing, l)
 			}
 		}
 	}
-	s.miss(src, now, r, gone, before)
-	src.heard(now)
-	s.later(src, now)
+	s.applyMissing(src, now, r, missing, liveBefore)
+	src.markReported(now)
+	s.armSilenceTimer(src, now)
 	return problems, nil
 }
 
-// better chooses between two entries of one report for the same worker.
-func better(a, b *Entry) bool {
+// preferred reports whether a is used rather than b, of two entries in one report for the same
+// worker.
+func preferred(a, b *Entry) bool {
 	if a.Word != b.Word {
-		return a.Word > b.Word // the explicit one
+		return a.Word > b.Word // the explicit status
 	}
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
@@ -142,24 +144,24 @@
 	return a.Addr < b.Addr
 }
 
-// heard notes that the source has spoken.
-func (src *source) heard(now time.Time) {
-	src.full = src.full || src.live > 0
-	src.spoken, src.lastWord, src.failed, src.fault = true, now, time.Time{}, ""
+// markReported records that the source has sent a valid report.
+func (src *source) markReported(now time.Time) {
+	src.listedBefore = src.listedBefore || src.live > 0
+	src.reported, src.lastReport, src.failedAt, src.fault = true, now, time.Time{}, ""
 }
 
-// say takes one entry: it is no absence.
-func (s *Set) say(src *source, now time.Time, e *Entry) {
+// applyEntry applies one entry that is not Absent.
+func (s *Set) applyEntry(src *source, now time.Time, e *Entry) {
 	l := src.listings[e.key()]
 	if l == nil {
-		if !live(e.Word) && len(src.listings) >= 2*MaxEntries {
-			return // the end of a worker that it never listed
+		if !isLiveStatus(e.Word) && len(src.listings) >= 2*MaxEntries {
+			return // the source reports the end of a worker that it never listed
 		}
-		l = &listing{src: src, key: e.key(), at: now, entry: Entry{Word: Absent}}
+		l = &listing{src: src, key: e.key(), statusSince: now, entry: Entry{Word: Absent}}
 		src.listings[l.key] = l
 		s.attach(l)
 	}
-	l.pass = src.pass
+	l.reportNumber = src.reportNumber
 	wasHeld := l.held
 	l.held = false
 	next := *e
@@ -168,149 +170,152 @@
 	}
 	if next == l.entry {
 		if wasHeld {
-			s.touch(l.worker)
+			s.markDirty(l.worker)
 		}
 		return
 	}
-	wasLive, was := l.isLive(), l.entry.Word
-	if was != next.Word {
-		l.at = now
+	wasLive, previousStatus := l.isLive(), l.entry.Word
+	if previousStatus != next.Word {
+		l.statusSince = now
 	}
-	s.unrank(l)
+	s.removeLive(l)
 	l.entry = next
-	s.rank(l)
+	s.addLive(l)
 	if !wasLive && l.isLive() {
 		l.listedAt = 0
-		if src.full {
+		if src.listedBefore {
 			l.listedAt = now.UnixNano()
 		}
-		if l.left {
-			s.flapped(l, now)
+		if l.leftBefore {
+			s.recordReturn(l, now)
 		}
 	}
 	if !l.isLive() {
-		s.leave(l, now)
+		s.markLeft(l, now)
 	}
-	s.touch(l.worker)
+	s.markDirty(l.worker)
 }
 
-// leave notes that a listing holds nothing any more.
-func (s *Set) leave(l *listing, now time.Time) {
-	l.left = true
+// markLeft records that a listing is no longer live and schedules its removal.
+func (s *Set) markLeft(l *listing, now time.Time) {
+	l.leftBefore = true
 	if l.damped {
 		s.undamp(l)
 	}
-	if !l.forgets {
-		l.forgets = true
-		s.at(now.Add(remember), timer{kind: forget, listing: l})
+	if !l.forgetTimerSet {
+		l.forgetTimerSet = true
+		s.schedule(now.Add(forgetAfter), timer{kind: timerForget, listing: l})
 	}
 	if l.entry.Word == Gone && l.src.GoneFor > 0 {
-		s.at(now.Add(l.src.GoneFor), timer{kind: pardon, listing: l})
+		s.schedule(now.Add(l.src.GoneFor), timer{kind: timerGoneEnds, listing: l})
 	}
 }
 
-// miss takes what a report leaves out, or drops without a word. The share that
-// it drops is that of the workers listed before it, or before the loss began.
-func (s *Set) miss(src *source, now time.Time, r *Report, gone []*listing, before int) {
-	if len(gone) == 0 {
-		if r.Whole || src.loss != nil && src.loss.allBack() {
+// applyMissing handles the listings that a report leaves out or marks as Absent: it drops them, or
+// holds them until the loss is confirmed. The share lost is measured against the workers listed
+// before the report or, during a loss, before the loss began.
+func (s *Set) applyMissing(src *source, now time.Time, r *Report, missing []*listing, liveBefore int) {
+	if len(missing) == 0 {
+		if r.Whole || src.loss != nil && src.loss.allReturned() {
 			src.loss = nil
 		}
 		return
 	}
-	empty := len(gone) == src.live && r.Whole && (src.EmptyTimes > 1 || src.EmptyOver > 0)
+	empty := len(missing) == src.live && r.Whole && (src.EmptyTimes > 1 || src.EmptyOver > 0)
 	times, over := src.LossTimes, src.LossOver
 	if src.loss != nil {
-		before = src.loss.before
+		liveBefore = src.loss.liveBefore
 	}
-	bound := src.LossShare > 0 && float64(len(gone)) > src.LossShare*float64(before)
+	exceeded := src.LossShare > 0 && float64(len(missing)) > src.LossShare*float64(liveBefore)
 	if empty {
-		times, over, bound = src.EmptyTimes, src.EmptyOver, true
+		times, over, exceeded = src.EmptyTimes, src.EmptyOver, true
 	}
-	if !bound || r.Final {
+	if !exceeded || r.Final {
 		if r.Whole {
 			src.loss = nil
 		}
-		s.drop(gone, now)
+		s.dropListings(missing, now)
 		return
 	}
 	if src.loss == nil || src.loss.empty != empty {
-		src.loss = &loss{first: now, empty: empty, before: before}
+		src.loss = &loss{first: now, empty: empty, liveBefore: liveBefore}
 	}
 	src.loss.times++
-	src.loss.byOne = !r.Whole
+	src.loss.byChanges = !r.Whole
 	if r.Whole {
-		src.loss.gone = nil
+		src.loss.missing = nil
 	}
-	src.loss.gone = append(src.loss.gone, gone...)
-	if (src.loss.byOne || src.loss.times >= times) && now.Sub(src.loss.first) >= over {
-		gone, src.loss = src.loss.gone, nil
-		s.drop(gone, now)
+	src.loss.missing = append(src.loss.missing, missing...)
+	if (src.loss.byChanges || src.loss.times >= times) && now.Sub(src.loss.first) >= over {
+		missing, src.loss = src.loss.missing, nil
+		s.dropListings(missing, now)
 		return
 	}
-	for _, l := range gone {
+	for _, l := range missing {
 		if !l.held {
 			l.held = true
-			s.touch(l.worker)
+			s.markDirty(l.worker)
 		}
 	}
-	if src.loss.byOne {
-		s.at(src.loss.first.Add(over), timer{kind: confirm, src: src})
+	if src.loss.byChanges {
+		s.schedule(src.loss.first.Add(over), timer{kind: timerConfirmLoss, src: src})
 	}
 }
 
-func (l *loss) allBack() bool {
-	return !slices.ContainsFunc(l.gone, func(g *listing) bool { return g.held })
+// allReturned reports whether all missing listings have been reported again.
+func (l *loss) allReturned() bool {
+	return !slices.ContainsFunc(l.missing, func(g *listing) bool { return g.held })
 }
 
-// drop makes the listings absent. An explicit draining stays as a gone: a worker
-// that was drained and then left out has gone.
-func (s *Set) drop(gone []*listing, now time.Time) {
-	for _, l := range gone {
+// dropListings makes the listings Absent. A listing that was Draining becomes Gone: a worker that
+// was drained and then left out has ended.
+func (s *Set) dropListings(missing []*listing, now time.Time) {
+	for _, l := range missing {
 		if !l.isLive() {
 			continue
 		}
-		s.unrank(l)
-		l.held, l.at = false, now
+		s.removeLive(l)
+		l.held, l.statusSince = false, now
 		if l.entry.Word == Draining {
 			l.entry.Word = Gone
 		} else {
 			l.entry.Word = Absent
 		}
-		s.leave(l, now)
-		s.touch(l.worker)
+		s.markLeft(l, now)
+		s.markDirty(l.worker)
 	}
 }
 
-// flapped counts one return of a worker and keeps it out if there were too many.
-func (s *Set) flapped(l *listing, now time.Time) {
+// recordReturn adds one return of a worker to its penalty and damps it if the penalty is too high.
+func (s *Set) recordReturn(l *listing, now time.Time) {
 	d := l.src.Damping
 	if d.HalfLife <= 0 {
 		return
 	}
-	l.penalty = l.worn(now) + 1
+	l.penalty = l.decayedPenalty(now) + 1
 	l.penaltyAt = now
 	if l.damped || l.penalty < d.Suppress {
 		return
 	}
 	if float64(l.src.damped+1) > math.Max(1, d.Share*float64(l.src.live)) {
-		return // too many at once: that is not the workers' doing
+		return // too many at once: the source is at fault, not the workers
 	}
 	l.damped = true
 	l.src.damped++
-	s.at(now.Add(l.reuseIn()), timer{kind: reuse, listing: l})
+	s.schedule(now.Add(l.untilReuse()), timer{kind: timerReuse, listing: l})
 }
 
-// worn is the penalty as it has faded by now.
-func (l *listing) worn(now time.Time) float64 {
+// decayedPenalty returns the penalty as decayed until now.
+func (l *listing) decayedPenalty(now time.Time) float64 {
 	if l.penalty == 0 {
 		return 0
 	}
 	return l.penalty * math.Exp2(-float64(now.Sub(l.penaltyAt))/float64(l.src.Damping.HalfLife))
 }
 
-// reuseIn is how long it takes from penaltyAt until the penalty has faded enough.
-func (l *listing) reuseIn() time.Duration {
+// untilReuse returns how long the penalty takes from penaltyAt until it has decayed to the reuse
+// limit.
+func (l *listing) untilReuse() time.Duration {
 	d := l.src.Damping
 	return time.Duration(math.Ceil(float64(d.HalfLife)*math.Log2(l.penalty/d.Reuse))) + 1
 }
@@ -320,75 +325,77 @@
 	l.src.damped--
 }
 
-// rank books a live listing under its priority.
-func (s *Set) rank(l *listing) {
+// addLive adds a live listing to its source's counts and to the index by priority.
+func (s *Set) addLive(l *listing) {
 	if !l.isLive() {
 		return
 	}
 	l.src.live++
-	level := l.src.levels[l.entry.Priority]
-	if level == nil {
-		level = map[*listing]struct{}{}
-		l.src.levels[l.entry.Priority] = level
+	listings := l.src.liveByPriority[l.entry.Priority]
+	if listings == nil {
+		listings = map[*listing]struct{}{}
+		l.src.liveByPriority[l.entry.Priority] = listings
 	}
-	level[l] = struct{}{}
+	listings[l] = struct{}{}
 }
 
-func (s *Set) unrank(l *listing) {
-	s.stand(l, false)
+// removeLive undoes addLive, before the listing's entry changes.
+func (s *Set) removeLive(l *listing) {
+	s.setServable(l, false)
 	if !l.isLive() {
 		return
 	}
 	l.src.live--
-	level := l.src.levels[l.entry.Priority]
-	delete(level, l)
-	if len(level) == 0 {
-		delete(l.src.levels, l.entry.Priority)
+	listings := l.src.liveByPriority[l.entry.Priority]
+	delete(listings, l)
+	if len(listings) == 0 {
+		delete(l.src.liveByPriority, l.entry.Priority)
 	}
 }
 
-// stand books whether the listing's worker could serve.
-func (s *Set) stand(l *listing, standing bool) {
-	if l.standing == standing {
+// setServable records whether the listing's worker can be served.
+func (s *Set) setServable(l *listing, servable bool) {
+	if l.servable == servable {
 		return
 	}
-	l.standing = standing
-	p := l.entry.Priority
-	if standing {
-		l.src.standing[p]++
-	} else if l.src.standing[p]--; l.src.standing[p] == 0 {
-		delete(l.src.standing, p)
+	l.servable = servable
+	priority := l.entry.Priority
+	if servable {
+		l.src.servable[priority]++
+	} else if l.src.servable[priority]--; l.src.servable[priority] == 0 {
+		delete(l.src.servable, priority)
 	}
-	s.shifted[l.src] = struct{}{}
+	s.servableChanged[l.src] = struct{}{}
 }
 
-// fail marks a source as failed.
-func (s *Set) fail(src *source, now time.Time, fault string) {
+// markFailed marks a source as failed.
+func (s *Set) markFailed(src *source, now time.Time, fault string) {
 	src.fault = fault
-	if src.failed.IsZero() {
-		src.failed = now
+	if src.failedAt.IsZero() {
+		src.failedAt = now
 		if src.Keep > 0 {
-			s.at(now.Add(src.Keep), timer{kind: expire, src: src})
+			s.schedule(now.Add(src.Keep), timer{kind: timerExpire, src: src})
 		}
 	}
 }
 
-// expire lets go of a stale list, or takes it up again.
-func (s *Set) expire(src *source, expired bool) {
+// setExpired records whether a source's list has expired; an expired list does not count.
+func (s *Set) setExpired(src *source, expired bool) {
 	if src.expired == expired {
 		return
 	}
 	src.expired = expired
 	for _, l := range src.listings {
-		s.touch(l.worker)
+		s.markDirty(l.worker)
 	}
 }
 
-// later sets the timer of a source that has spoken.
-func (s *Set) later(src *source, now time.Time) {
-	s.expire(src, false)
-	if src.Silent > 0 && !src.silentSet {
-		src.silentSet = true
-		s.at(now.Add(src.Silent), timer{kind: silent, src: src})
+// armSilenceTimer reinstates the list of a source that has just sent a report, and schedules the
+// check for its silence.
+func (s *Set) armSilenceTimer(src *source, now time.Time) {
+	s.setExpired(src, false)
+	if src.Silent > 0 && !src.silenceTimerSet {
+		src.silenceTimerSet = true
+		s.schedule(now.Add(src.Silent), timer{kind: timerSilent, src: src})
 	}
 }
--- a/discovery/membership/view.go
+++ b/discovery/membership/view.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// SourceView is what is known of a source.
+// SourceView is the state of a source.
 type SourceView struct {
 	Name     string
-	Spoken   bool      // it has been heard since the start
-	LastWord time.Time // when it was heard last
-	Stale    bool      // it has failed, or said nothing for too long
-	Expired  bool      // and its list no longer holds anybody
-	Fault    string    // what went wrong last
+	Spoken   bool      // it has sent a report since the start
+	LastWord time.Time // when the last report was received
+	Stale    bool      // it has failed or has been silent for too long
+	Expired  bool      // it has been stale for too long, so its list does not count
+	Fault    string    // the last failure
 	Version  uint64
 	Workers  int // that it lists
-	Held     int // of these, that its last answer left out
+	Held     int // of these, those that its last report left out
 	Damped   int
-	Priority int // in use, with workers in service; -1 without
+	Priority int // in use; -1 if no worker is in service
 }
 
-// Sources is what is known of all sources, by precedence.
+// Sources returns the state of all sources, by precedence.
 func (s *Set) Sources() []SourceView {
 	var out []SourceView
 	for _, src := range s.sources {
-		v := SourceView{Name: src.Name, Spoken: src.spoken, LastWord: src.lastWord, Stale: !src.failed.IsZero(),
+		v := SourceView{Name: src.Name, Spoken: src.reported, LastWord: src.lastReport, Stale: !src.failedAt.IsZero(),
 			Expired: src.expired, Fault: src.fault, Version: src.version, Workers: src.live, Damped: src.damped, Priority: -1}
-		if src.best != noPriority {
-			v.Priority = src.best
+		if src.bestPriority != noPriority {
+			v.Priority = src.bestPriority
 		}
 		for _, l := range src.listings {
 			if l.held {
@@ -40,40 +40,41 @@
 	return out
 }
 
-// WorkerView is a worker that some source knows of, in or out.
+// WorkerView is a worker that at least one source has listed, served or not.
 type WorkerView struct {
 	Name   string
 	In     bool
 	Member Member // if In
 	Reason Reason
 	By     string // the source that decided, or the name that shadows it
-	Words  []WordView
-	// Conflict names the addresses that sources disagree on.
+	Words  []ListingView
+	// Conflict holds the differing addresses that sources list.
 	Conflict []string
 }
 
-// WordView is one source's word on a worker.
-type WordView struct {
+// ListingView is one source's entry for a worker.
+type ListingView struct {
 	Source string
 	Entry  Entry
-	At     time.Time // when it was first said
-	Held   bool      // the last answer left the worker out
+	At     time.Time // when the status was first reported
+	Held   bool      // the last report left the worker out
 	Damped bool
 	Stale  bool
 }
 
-// Workers explains every worker that a source knows of, by name.
+// Workers returns every worker known from a source, by name, with the entries that decide its
+// state.
 func (s *Set) Workers() []WorkerView {
 	var out []WorkerView
 	for _, w := range s.workers {
-		v := WorkerView{Name: w.label(), In: w.in, Reason: w.reason, By: w.by}
-		if w.in {
-			v.Member = w.out
+		v := WorkerView{Name: w.label(), In: w.served, Reason: w.reason, By: w.decidedBy}
+		if w.served {
+			v.Member = w.member
 		}
 		var at []string
 		for _, l := range w.listings {
-			v.Words = append(v.Words, WordView{Source: l.src.Name, Entry: l.entry, At: l.at, Held: l.held,
-				Damped: l.damped, Stale: !l.src.failed.IsZero()})
+			v.Words = append(v.Words, ListingView{Source: l.src.Name, Entry: l.entry, At: l.statusSince, Held: l.held,
+				Damped: l.damped, Stale: !l.src.failedAt.IsZero()})
 			if l.isLive() && !slices.Contains(at, l.entry.Addr) {
 				at = append(at, l.entry.Addr)
 			}
--- a/discovery/membership/worker.go
+++ b/discovery/membership/worker.go
@@ -5,45 +5,46 @@
 	"slices"
 )
 
-// worker is one identity: a name, or an address that is listed without one.
+// worker is one identity: a name, or an address that is listed without a name.
 type worker struct {
-	key      string
-	listings []*listing // by the rank of their sources
-	site     *site
-	in       bool
-	out      Member // as the router was told last
-	reason   Reason
-	by       string
+	key       string
+	listings  []*listing // by the rank of their sources
+	site      *site
+	served    bool
+	member    Member // as last returned in a change
+	reason    Reason
+	decidedBy string
 }
 
 func (w *worker) anonymous() bool { return w.key[0] == '@' }
 func (w *worker) label() string   { return w.key[1:] }
 
-// held tells whether any listing holds the worker.
-func (w *worker) held() bool { return slices.ContainsFunc(w.listings, (*listing).holds) }
+// hasEffectiveListing reports whether any listing of the worker is effective.
+func (w *worker) hasEffectiveListing() bool {
+	return slices.ContainsFunc(w.listings, (*listing).isEffective)
+}
 
-// gone tells whether any source says that it has gone.
-func (w *worker) gone() bool {
+// reportedGone reports whether any source lists the worker as Gone.
+func (w *worker) reportedGone() bool {
 	return slices.ContainsFunc(w.listings, func(l *listing) bool { return l.entry.Word == Gone })
 }
 
-// since is its latest known start.
+// since returns the worker's latest known start.
 func (w *worker) since() (since int64) {
 	for _, l := range w.listings {
-		if l.holds() {
+		if l.isEffective() {
 			since = max(since, l.entry.Since)
 		}
 	}
 	return since
 }
 
-// addr is where the worker is: where its latest incarnation is listed, and of
-// equals, where the first source has it. A worker that nobody lists stays where
-// it was heard of last.
+// addr returns the address at which the worker's latest incarnation is listed and, among equals,
+// that of the first source. A worker that no source lists keeps its last reported address.
 func (w *worker) addr() string {
 	var at *listing
 	for _, l := range w.listings {
-		if l.entry.Addr != "" && (at == nil || l.closer(at)) {
+		if l.entry.Addr != "" && (at == nil || l.hasBetterAddr(at)) {
 			at = l
 		}
 	}
@@ -53,10 +54,10 @@
 	return at.entry.Addr
 }
 
-// closer tells whether l knows the address better than a listing that comes before it.
-func (l *listing) closer(than *listing) bool {
-	if l.holds() != than.holds() {
-		return l.holds()
+// hasBetterAddr reports whether l's address is used rather than that of a listing of higher rank.
+func (l *listing) hasBetterAddr(than *listing) bool {
+	if l.isEffective() != than.isEffective() {
+		return l.isEffective()
 	}
 	if l.isLive() != than.isLive() {
 		return l.isLive()
@@ -64,44 +65,44 @@
 	if l.isLive() {
 		return l.entry.Since > than.entry.Since
 	}
-	return l.at.After(than.at)
+	return l.statusSince.After(than.statusSince)
 }
 
-// site is one address, or the lack of one, and the workers said to be there.
+// site is one address, or the place of a worker without one, and the workers listed there.
 type site struct {
-	key     string
-	workers []*worker
-	owner   *worker // who is served there
-	word    Word    // the explicit word on the owner, or Serving
-	by      string  // whose word that is
+	key        string
+	workers    []*worker
+	owner      *worker // the worker that is served there
+	status     Status  // the explicit status of the owner, or Serving
+	statusFrom string  // the source that reported it
 }
 
-// judge finds out who is at the site and what is said of it.
-func (s *site) judge() {
-	s.owner, s.word, s.by = s.claimant(), Serving, ""
+// resolve determines the owner of the site and its explicit status.
+func (s *site) resolve() {
+	s.owner, s.status, s.statusFrom = s.selectOwner(), Serving, ""
 	if s.owner == nil {
 		return
 	}
 	rank := noPriority
 	for _, w := range s.workers {
 		for _, l := range w.listings {
-			word := l.entry.Word
-			if word != Draining && word != Gone || word < s.word || word == s.word && l.src.rank >= rank {
+			status := l.entry.Word
+			if status != Draining && status != Gone || status < s.status || status == s.status && l.src.rank >= rank {
 				continue
 			}
-			if w == s.owner || w.anonymous() || l.meansToo(s.owner) {
-				s.word, s.by, rank = word, l.src.Name, l.src.rank
+			if w == s.owner || w.anonymous() || l.appliesTo(s.owner) {
+				s.status, s.statusFrom, rank = status, l.src.Name, l.src.rank
 			}
 		}
 	}
 }
 
-// meansToo tells whether an explicit word on one name goes for another one at
-// the same address, as it does when one process is listed under two names. It
-// does not if the other is known to have come later: started since, or listed
-// as serving by the source that has seen the first one go.
-func (l *listing) meansToo(owner *worker) bool {
-	if owner.since() > l.at.UnixNano() {
+// appliesTo reports whether an explicit status of one name also applies to another name at the same
+// address, as it does if one process is listed under two names. It does not if the other worker is
+// known to have come later: it has started since, or the source that reported the first one as Gone
+// lists it.
+func (l *listing) appliesTo(owner *worker) bool {
+	if owner.since() > l.statusSince.UnixNano() {
 		return false
 	}
 	return l.entry.Word == Draining || !slices.ContainsFunc(owner.listings, func(o *listing) bool {
@@ -109,14 +110,14 @@
 	})
 }
 
-// claimant chooses who is at the site. A name goes before none, what is not told
-// gone before what is, the latest start before others, then the first source and
-// the first name. Where only the bare address is listed, it belongs to the name
-// that was there last.
-func (s *site) claimant() *worker {
+// selectOwner chooses the worker that is served at the site. A name is preferred to a bare address,
+// a worker that is not reported Gone to one that is, then the latest start, the first source and
+// the first name. If only the bare address is listed, it belongs to the last name that was listed
+// there.
+func (s *site) selectOwner() *worker {
 	var bare, best, last *worker
 	for _, w := range s.workers {
-		switch held := w.held(); {
+		switch held := w.hasEffectiveListing(); {
 		case len(w.listings) == 0:
 		case w.anonymous():
 			if held {
@@ -126,8 +127,8 @@
 			if best == nil || w.before(best) {
 				best = w
 			}
-		case last == nil || w.lastSaid().at.After(last.lastSaid().at) ||
-			w.lastSaid().at.Equal(last.lastSaid().at) && w.key < last.key:
+		case last == nil || w.lastChanged().statusSince.After(last.lastChanged().statusSince) ||
+			w.lastChanged().statusSince.Equal(last.lastChanged().statusSince) && w.key < last.key:
 			last = w
 		}
 	}
@@ -140,38 +141,40 @@
 	return bare
 }
 
+// before reports whether w is preferred to other as the owner of their site.
 func (w *worker) before(other *worker) bool {
-	if w.gone() != other.gone() {
-		return !w.gone()
+	if w.reportedGone() != other.reportedGone() {
+		return !w.reportedGone()
 	}
 	return cmp.Or(cmp.Compare(other.since(), w.since()), cmp.Compare(w.rank(), other.rank()),
 		cmp.Compare(w.key, other.key)) < 0
 }
 
-// rank is that of the first source that holds the worker.
+// rank returns the rank of the first source with an effective listing of the worker.
 func (w *worker) rank() int {
 	for _, l := range w.listings {
-		if l.holds() {
+		if l.isEffective() {
 			return l.src.rank
 		}
 	}
 	return noPriority
 }
 
-func (w *worker) lastSaid() *listing {
-	return slices.MaxFunc(w.listings, func(a, b *listing) int { return a.at.Compare(b.at) })
+// lastChanged returns the listing whose status changed last.
+func (w *worker) lastChanged() *listing {
+	return slices.MaxFunc(w.listings, func(a, b *listing) int { return a.statusSince.Compare(b.statusSince) })
 }
 
-// words calls f for the listings that count for the site's owner, its own and
-// those of the bare address, until f returns false.
-func (s *site) words(f func(*listing) bool) {
+// eachListing calls f for the effective listings of the site's owner, and then for those of the
+// bare address, until f returns false.
+func (s *site) eachListing(f func(*listing) bool) {
 	for _, own := range []bool{true, false} {
 		for _, w := range s.workers {
 			if own != (w == s.owner) || !own && !w.anonymous() {
 				continue
 			}
 			for _, l := range w.listings {
-				if l.holds() && !f(l) {
+				if l.isEffective() && !f(l) {
 					return
 				}
 			}
@@ -179,23 +182,23 @@
 	}
 }
 
-// standing tells whether a listing's worker could serve.
-func (s *site) standing(l *listing) bool {
-	return s.owner != nil && s.word == Serving && l.holds() && (l.worker == s.owner || l.worker.anonymous())
+// servable reports whether a listing's worker can be served.
+func (s *site) servable(l *listing) bool {
+	return s.owner != nil && s.status == Serving && l.isEffective() && (l.worker == s.owner || l.worker.anonymous())
 }
 
-// member is the owner as the router is to use it. Its figures are those of the
-// first source that lists it. One whose start nobody knows has started when it
-// was first listed, but for those that were there from the beginning.
+// member returns the owner as the router uses it, with the figures of the first source that lists
+// it. A worker whose start is unknown counts as started when it was first listed; one that was in
+// its source's first list counts as started long ago.
 func (s *site) member() (m Member, reason Reason, by string) {
 	var first, active *listing
 	listedAt := int64(0)
 	since := int64(0)
-	s.words(func(l *listing) bool {
+	s.eachListing(func(l *listing) bool {
 		if first == nil {
 			first, listedAt = l, l.listedAt
 		}
-		if active == nil && l.active() {
+		if active == nil && l.priorityInUse() {
 			active = l
 		}
 		listedAt, since = min(listedAt, l.listedAt), max(since, l.entry.Since)
@@ -207,9 +210,9 @@
 	e := first.entry
 	m = Member{Name: s.owner.label(), Addr: s.key, Weight: e.Weight, Cell: e.Cell, Zone: e.Zone, Kind: e.Kind, Since: since}
 	switch {
-	case s.word == Draining:
+	case s.status == Draining:
 		m.Draining = true
-		return m, ToldDrain, s.by
+		return m, ReportedDraining, s.statusFrom
 	case active == nil:
 		m.Draining = true
 		return m, OnStandby, first.src.Name
@@ -217,24 +220,24 @@
 	return m, Listed, active.src.Name
 }
 
-// out tells why a worker that is not served is out.
-func (w *worker) outside() (reason Reason, by string) {
-	if w.site.owner != nil && w.site.owner != w && w.held() {
+// exclusion returns why a worker is not served.
+func (w *worker) exclusion() (reason Reason, by string) {
+	if w.site.owner != nil && w.site.owner != w && w.hasEffectiveListing() {
 		return Shadowed, w.site.owner.label()
 	}
 	reason = Dropped
 	for _, l := range w.listings {
 		switch {
 		case l.entry.Word == Gone:
-			return ToldGone, l.src.Name
+			return ReportedGone, l.src.Name
 		case l.isLive() && l.damped:
 			reason, by = Damped, l.src.Name
 		case l.isLive() && l.src.expired:
 			reason, by = Expired, l.src.Name
 		}
 	}
-	if w == w.site.owner && w.site.word == Gone {
-		return ToldGone, w.site.by
+	if w == w.site.owner && w.site.status == Gone {
+		return ReportedGone, w.site.statusFrom
 	}
 	return reason, by
 }
