--- a/discovery/agentrule/agentrule.go
+++ b/discovery/agentrule/agentrule.go
@@ -1,16 +1,16 @@
-// Package agentrule decides when a router asks the platform's discovery agent,
-// on which calls it waits for changes, and which of them it gives up. It does no
-// I/O and keeps no clock: the caller tells what happened, and when, and does what
-// Next says. A Rule is not safe for concurrent use.
+// Package agentrule decides when a router calls the platform's discovery agent, on which calls it
+// waits for changes, and which calls it cancels. It does no I/O and reads no clock: the caller
+// reports what happened, and when, and carries out what Next returns. A Rule is not safe for
+// concurrent use.
 //
-// Two kinds of discovery want two rules. Where lists are pushed, the agent stands
-// on the router's own machine, answers at once and at no cost, and all that it has
-// counts as known to the router: so a watch that breaks or falls silent is replaced
-// at once, however many routers there are. Where lists are asked for, one service
-// answers all routers and bears only so much: what fails one of them mostly fails
-// all. So there the span in which a router draws its next call grows with their number
-// and with failures, as far as the time allows after which a change counts as told
-// whatever has failed: 6 s after discovery had it and could be reached.
+// There are two kinds of discovery, with a rule for each. Where lists are pushed, the agent runs on
+// the router's own machine and answers at once and at no cost, and everything that it has counts as
+// known to the router. So a watch that breaks or falls silent is replaced at once, whatever the
+// number of routers. Where lists are polled, one service of limited capacity answers all routers,
+// and a failure of one call usually means that all calls fail. So there each router draws the time
+// of its next call from a span that grows with the number of routers and with failures. The span is
+// bounded by the time after which a change counts as known to the router regardless of failures: 6
+// s after discovery had the change and could be reached.
 package agentrule
 
 import (
@@ -22,105 +22,106 @@
 )
 
 const (
-	// Silent is how long a call may say nothing before it is given up. An agent
-	// writes an empty line every 2 s, and what a silent watch misses counts as
-	// told 6 s after it fell silent.
-	Silent = 5 * time.Second
-	// doubtAfter is the silence after which a second watch is opened beside a
-	// pushed one: a line has been missed, and half a second more.
-	doubtAfter = 2500 * time.Millisecond
-	// replaceAfter is how long a call may say nothing until another is opened beside
-	// it: an agent that is there mostly answers at once. The slow one stays.
-	replaceAfter = time.Second
-	mostOpen     = 3 // calls at once
-	// againAfter is the wait after a call that failed where lists are pushed: well
-	// under the shortest time that a router has to act on a leaving (settings'
-	// safety.stop-sending-within-ns, 250 ms).
-	againAfter = 100 * time.Millisecond
-	// mostNonsense bounds the wait after pushed lists that make no sense: asked again, the
-	// agent will mostly say the same.
-	mostNonsense = 2 * time.Second
+	// silenceTimeout is how long a call may be silent before it is cancelled. An agent writes an
+	// empty line every 2 s, and a change that a silent watch misses counts as known 6 s after the
+	// watch fell silent.
+	silenceTimeout = 5 * time.Second
+	// secondWatchAfter is the silence after which a second watch is opened beside a pushed one: the
+	// 2 s between two empty lines and half a second more.
+	secondWatchAfter = 2500 * time.Millisecond
+	// slowCallAfter is how long a new call may be silent before another is opened beside it. A
+	// working agent usually answers at once. The slow call stays open.
+	slowCallAfter = time.Second
+	maxOpenCalls  = 3
+	// retryDelay is the wait after a failed call where lists are pushed. It is well under the
+	// shortest time that a router has to act on a leaving worker (safety.stop-sending-within-ns of
+	// the settings, 250 ms).
+	retryDelay = 100 * time.Millisecond
+	// maxInvalidListDelay bounds the wait after invalid pushed lists: when asked again, the agent
+	// will probably send the same list.
+	maxInvalidListDelay = 2 * time.Second
 
-	// leastSpan, askedTogether and mostSpans set the spans where lists are asked
-	// for: all routers together ask askedTogether times a second at first, and
-	// failures let the span grow mostSpans times, as far as mostWait.
-	leastSpan     = 200 * time.Millisecond
-	askedTogether = 20
-	mostSpans     = 4
-	afterFailed   = 4 // of Config.MustAsk, after a call that failed
-	// mostWait bounds every wait between calls where lists are asked for. What counts as told
-	// 6 s after discovery could be reached has to be in hand by then. So N routers that
-	// meet nothing but failures ask some N/2 times a second in all.
-	mostWait = 4 * time.Second
-	// Where lists are asked for, a second call goes beside one that has said nothing, or nothing
-	// for so long, at a time drawn between these.
-	besideAfter  = 2500 * time.Millisecond
-	besideWithin = 3500 * time.Millisecond
-	// silentWithin bounds the wait after a call that was given up: Silent has taken the rest of 6 s.
-	silentWithin = 800 * time.Millisecond
+	// minSpan, initialCallsPerSecond and maxSpanGrowth determine the spans where lists are polled.
+	// All routers together make initialCallsPerSecond calls a second at first. Failures let the
+	// span grow by a factor of up to maxSpanGrowth, but not beyond maxWait.
+	minSpan               = 200 * time.Millisecond
+	initialCallsPerSecond = 20
+	maxSpanGrowth         = 4
+	failedCallFactor      = 4 // bounds the span to so many times Config.MustAsk
+	// maxWait bounds every wait between calls where lists are polled. What counts as known 6 s
+	// after discovery could be reached must have been received by then. So N routers whose calls
+	// all fail make about N/2 calls a second in total.
+	maxWait = 4 * time.Second
+	// secondCallMin and secondCallMax bound the silence after which a second call is opened beside
+	// the first where lists are polled. It is drawn at random between them.
+	secondCallMin = 2500 * time.Millisecond
+	secondCallMax = 3500 * time.Millisecond
+	// maxWaitAfterSilence bounds the wait after a cancelled call where lists are polled:
+	// silenceTimeout has used up 5 s of the 6 s.
+	maxWaitAfterSilence = 800 * time.Millisecond
 )
 
-// Config is what the rule goes by.
+// Config holds the parameters of a Rule.
 type Config struct {
-	Routers int  // that ask the same discovery
-	Pushed  bool // an agent of the router's own machine pushes lists
-	// MustAsk is the time after which a router that has not asked counts as told, four
-	// times as long after a failed call; 0: not stated. It bounds the spans where lists
-	// are asked for.
+	Routers int  // the number of routers that use the same discovery
+	Pushed  bool // an agent on the router's own machine pushes lists
+	// MustAsk is the time after which discovery's changes count as known to a router that has not
+	// called, and four times as long after a failed call; 0: not stated. It bounds the spans where
+	// lists are polled.
 	MustAsk time.Duration
 	Seed    uint64
 }
 
-// Call numbers the calls of one rule, from 1.
+// Call is the number of a call of one rule, from 1.
 type Call uint64
 
 type call struct {
-	id    Call
-	epoch int
-	asked time.Time
-	heard time.Time // of the last byte; zero: none came yet
-	begun time.Time // a list that has not come to its end; zero: none
-	told  bool      // it has brought a list
-	// beside is the silence after which another call is opened beside this one.
-	beside time.Duration
+	id          Call
+	epoch       int
+	openedAt    time.Time
+	lastByteAt  time.Time // when the last byte came; zero: none has come
+	listBegunAt time.Time // when a list began that is not complete; zero: none
+	gotList     bool      // it has brought a list
+	// secondCallAfter is the silence after which another call is opened beside this one.
+	secondCallAfter time.Duration
 }
 
-// quiet is since when nothing has come on the call, or nothing that helps: the bytes of one
-// list may come for ever.
-func (c *call) quiet() time.Time {
+// lastProgress returns when the call last made progress. Bytes within one list do not count, as a
+// list may never end.
+func (c *call) lastProgress() time.Time {
 	switch {
-	case c.heard.IsZero():
-		return c.asked
-	case !c.begun.IsZero():
-		return c.begun
+	case c.lastByteAt.IsZero():
+		return c.openedAt
+	case !c.listBegunAt.IsZero():
+		return c.listBegunAt
 	}
-	return c.heard
+	return c.lastByteAt
 }
 
-// Rule is the state of one router's watch.
+// Rule is the state of one router's calls.
 type Rule struct {
-	cfg   Config
-	rng   *rand.Rand
-	spans *backoff.ExponentialBackOff
-	calls []*call // in the order in which they were opened
-	last  Call
-	epoch int       // counts the addresses
-	next  time.Time // no call of this epoch is opened before this, if no other is out
-	pause time.Time // nor beside another before this: one that failed is not made again at once
-	odd   int       // lists in a row that made no sense
+	cfg          Config
+	rng          *rand.Rand
+	spans        *backoff.ExponentialBackOff
+	calls        []*call // in the order in which they were opened
+	lastID       Call
+	epoch        int       // counts the addresses of discovery
+	nextAllowed  time.Time // the earliest time of the next call of this epoch if none is open
+	pauseUntil   time.Time // the earliest time of a call beside an open one, after a failed call
+	invalidLists int       // invalid lists in a row
 }
 
-// New returns a rule that has asked nothing.
+// New returns a rule that has opened no call.
 func New(cfg Config) *Rule {
 	cfg.Routers = max(cfg.Routers, 1)
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = max(leastSpan, time.Duration(cfg.Routers)*time.Second/askedTogether)
-	b.MaxInterval, b.Multiplier, b.RandomizationFactor = mostSpans*b.InitialInterval, 2, 0
-	most := mostWait - leastSpan/2
+	b.InitialInterval = max(minSpan, time.Duration(cfg.Routers)*time.Second/initialCallsPerSecond)
+	b.MaxInterval, b.Multiplier, b.RandomizationFactor = maxSpanGrowth*b.InitialInterval, 2, 0
+	maxSpan := maxWait - minSpan/2
 	if cfg.MustAsk > 0 {
-		most = min(most, afterFailed*cfg.MustAsk)
+		maxSpan = min(maxSpan, failedCallFactor*cfg.MustAsk)
 	}
-	b.InitialInterval, b.MaxInterval = min(b.InitialInterval, most), min(b.MaxInterval, most)
+	b.InitialInterval, b.MaxInterval = min(b.InitialInterval, maxSpan), min(b.MaxInterval, maxSpan)
 	b.Reset()
 	return &Rule{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), spans: b}
 }
@@ -132,76 +133,76 @@
 	return nil
 }
 
-// Heard notes that bytes came on a call.
+// Heard records that bytes came on a call.
 func (r *Rule) Heard(now time.Time, id Call) {
 	if c := r.find(id); c != nil {
-		c.heard = now
+		c.lastByteAt = now
 	}
 }
 
-// Begun notes that bytes came on a call that begin a list or go on with one. It is
-// over when the list is told, or the call has ended.
+// Begun records that bytes came on a call that begin or continue a list. The list ends when Told or
+// Ended is called for it.
 func (r *Rule) Begun(now time.Time, id Call) {
 	if c := r.find(id); c != nil {
-		c.heard = now
-		if c.begun.IsZero() {
-			c.begun = now
+		c.lastByteAt = now
+		if c.listBegunAt.IsZero() {
+			c.listBegunAt = now
 		}
 	}
 }
 
-// Told notes that a call brought a list that was taken over. It returns the calls
-// that are not needed beside it; they count as ended.
+// Told records that a call brought a list that was applied. It returns the calls that are no longer
+// needed; they count as ended.
 func (r *Rule) Told(now time.Time, id Call) (drop []Call) {
 	c := r.find(id)
 	if c == nil {
 		return nil
 	}
-	c.heard, c.begun, c.told = now, time.Time{}, true
+	c.lastByteAt, c.listBegunAt, c.gotList = now, time.Time{}, true
 	if c.epoch == r.epoch {
-		r.odd = 0
+		r.invalidLists = 0
 		r.spans.Reset()
 	}
 	r.calls = slices.DeleteFunc(r.calls, func(o *call) bool {
-		// A watch of the address before stays until the new one speaks.
-		over := o != c && o.epoch <= c.epoch
-		if over {
+		// A watch of the previous address stays until the new address has sent a list.
+		superseded := o != c && o.epoch <= c.epoch
+		if superseded {
 			drop = append(drop, o.id)
 		}
-		return over
+		return superseded
 	})
 	return drop
 }
 
-// Ended notes that a call ended by itself, or that its list made no sense.
-func (r *Rule) Ended(now time.Time, id Call, nonsense bool) {
+// Ended records that a call has ended or that its list was invalid.
+func (r *Rule) Ended(now time.Time, id Call, invalid bool) {
 	c := r.find(id)
 	if c == nil {
 		return
 	}
 	r.calls = slices.DeleteFunc(r.calls, func(o *call) bool { return o == c })
 	if c.epoch == r.epoch {
-		r.over(now, c, nonsense)
-		r.pause = r.next
+		r.scheduleNext(now, c, invalid)
+		r.pauseUntil = r.nextAllowed
 	}
 }
 
-// over sets when the next call may be opened.
-func (r *Rule) over(now time.Time, c *call, nonsense bool) {
-	worked := c.told && !nonsense
+// scheduleNext sets the earliest time of the next call.
+func (r *Rule) scheduleNext(now time.Time, c *call, invalid bool) {
+	succeeded := c.gotList && !invalid
 	switch {
-	case nonsense && r.cfg.Pushed:
-		r.odd++
-		r.next = now.Add(min(againAfter<<min(r.odd-1, 10), mostNonsense))
-	case r.cfg.Pushed && worked:
-		r.next = now
+	case invalid && r.cfg.Pushed:
+		r.invalidLists++
+		r.nextAllowed = now.Add(min(retryDelay<<min(r.invalidLists-1, 10), maxInvalidListDelay))
+	case r.cfg.Pushed && succeeded:
+		r.nextAllowed = now
 	case r.cfg.Pushed:
-		r.next = now.Add(againAfter)
-	case worked:
-		r.next = now.Add(r.draw(r.spans.NextBackOff()))
+		r.nextAllowed = now.Add(retryDelay)
+	case succeeded:
+		r.nextAllowed = now.Add(r.draw(r.spans.NextBackOff()))
 	default:
-		// From when it was asked: it may have taken long to fail.
-		r.next = later(now.Add(leastSpan/2), c.asked.Add(leastSpan/2+r.draw(r.spans.NextBackOff())))
+		// Measured from when the call was opened, as it may have taken long to fail.
+		r.nextAllowed = later(now.Add(minSpan/2), c.openedAt.Add(minSpan/2+r.draw(r.spans.NextBackOff())))
 	}
 }
 
@@ -209,39 +210,39 @@
 	return time.Duration(r.rng.Int64N(int64(max(span, 1))))
 }
 
-// Moved notes that discovery has another address. It is asked at once; what the
-// old one still says counts until the new one speaks.
+// Moved records that discovery has another address. It is called at once; lists from the old
+// address count until the new one has sent a list.
 func (r *Rule) Moved(now time.Time) {
 	r.epoch++
-	r.next, r.pause, r.odd = now, now, 0
+	r.nextAllowed, r.pauseUntil, r.invalidLists = now, now, 0
 	r.spans.Reset()
 }
 
-// Next says what to do now: calls to give up, which count as ended, whether to open
-// one, and when to ask again at the latest if nothing happens.
+// Next returns what to do now: the calls to cancel, which count as ended, the call to open or 0,
+// and when to call Next again at the latest if nothing happens.
 func (r *Rule) Next(now time.Time) (drop []Call, open Call, wake time.Time) {
-	wake = now.Add(Silent)
-	soon := func(t time.Time) {
+	wake = now.Add(silenceTimeout)
+	wakeBy := func(t time.Time) {
 		if t.Before(wake) {
 			wake = t
 		}
 	}
 	var live, newest *call
 	r.calls = slices.DeleteFunc(r.calls, func(c *call) bool {
-		end := c.quiet().Add(Silent)
-		if !now.Before(end) {
+		deadline := c.lastProgress().Add(silenceTimeout)
+		if !now.Before(deadline) {
 			drop = append(drop, c.id)
 			if c.epoch == r.epoch && r.cfg.Pushed {
-				r.over(now, c, false)
+				r.scheduleNext(now, c, false)
 			} else if c.epoch == r.epoch {
-				r.next = later(r.next, now.Add(r.draw(min(r.spans.NextBackOff(), silentWithin))))
+				r.nextAllowed = later(r.nextAllowed, now.Add(r.draw(min(r.spans.NextBackOff(), maxWaitAfterSilence))))
 			}
 			return true
 		}
-		soon(end)
+		wakeBy(deadline)
 		if c.epoch == r.epoch {
 			newest = c
-			if live == nil || c.quiet().After(live.quiet()) {
+			if live == nil || c.lastProgress().After(live.lastProgress()) {
 				live = c
 			}
 		}
@@ -250,26 +251,26 @@
 	var due time.Time
 	switch {
 	case live == nil:
-		due = r.next
-	case len(r.calls) >= mostOpen:
+		due = r.nextAllowed
+	case len(r.calls) >= maxOpenCalls:
 		return drop, 0, wake
 	case !r.cfg.Pushed:
-		due = later(live.quiet(), newest.asked).Add(newest.beside)
-	case newest.heard.IsZero():
-		due = newest.asked.Add(replaceAfter)
+		due = later(live.lastProgress(), newest.openedAt).Add(newest.secondCallAfter)
+	case newest.lastByteAt.IsZero():
+		due = newest.openedAt.Add(slowCallAfter)
 	default:
-		due = live.quiet().Add(doubtAfter)
+		due = live.lastProgress().Add(secondWatchAfter)
 	}
-	due = later(due, r.pause)
+	due = later(due, r.pauseUntil)
 	if now.Before(due) {
-		soon(due)
+		wakeBy(due)
 		return drop, 0, wake
 	}
-	r.last++
-	r.calls = append(r.calls, &call{id: r.last, epoch: r.epoch, asked: now,
-		beside: besideAfter + r.draw(besideWithin-besideAfter)})
-	soon(now.Add(replaceAfter))
-	return drop, r.last, wake
+	r.lastID++
+	r.calls = append(r.calls, &call{id: r.lastID, epoch: r.epoch, openedAt: now,
+		secondCallAfter: secondCallMin + r.draw(secondCallMax-secondCallMin)})
+	wakeBy(now.Add(slowCallAfter))
+	return drop, r.lastID, wake
 }
 
 func later(a, b time.Time) time.Time {
--- a/discovery/agentrule/agentrule_test.go
+++ b/discovery/agentrule/agentrule_test.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	step  = 10 * time.Millisecond
-	beat  = 2 * time.Second
-	grace = 250 * time.Millisecond // the settings' safety.stop-sending-within-ns
+	step      = 10 * time.Millisecond
+	heartbeat = 2 * time.Second
+	grace     = 250 * time.Millisecond // the settings' safety.stop-sending-within-ns
 )
 
-// agent is a discovery agent on a router's machine, and what of it counts as told.
+// agent simulates a discovery agent on a router's machine.
 type agent struct {
-	rule *Rule
-	now  time.Time
-	open map[Call]*line
-	has  int // changes that it has
-	sent int // changes that the router has taken
-	// deemed holds, for each change, when it counts as told.
-	deemed []time.Time
-	late   time.Duration // the most that a change came after that
+	rule     *Rule
+	now      time.Time
+	open     map[Call]*watch
+	changes  int // number of changes that it has
+	received int // number of changes that the router has received
+	// knownAt holds when each change counts as known to the router.
+	knownAt []time.Time
+	maxLate time.Duration // the longest time that a change came after that
 
-	downTill, refusesTill time.Time
-	silentAt              time.Time // when the open watches fell silent; zero: they work
-	asked                 int
+	downUntil, refusesUntil time.Time
+	silentSince             time.Time // when the open watches fell silent; zero: they work
+	asked                   int
 }
 
-type line struct {
-	silent bool
-	beat   time.Time
-	from   int // changes that have gone out on it
-	fresh  bool
+type watch struct {
+	silent   bool
+	lastBeat time.Time
+	sent     int // number of changes that were sent on it
+	isNew    bool
 }
 
 func newAgent(rule *Rule) *agent {
-	return &agent{rule: rule, now: time.Unix(1e9, 0), open: map[Call]*line{}}
+	return &agent{rule: rule, now: time.Unix(1e9, 0), open: map[Call]*watch{}}
 }
 
-func (a *agent) up() bool { return !a.now.Before(a.downTill) && !a.now.Before(a.refusesTill) }
+func (a *agent) up() bool { return !a.now.Before(a.downUntil) && !a.now.Before(a.refusesUntil) }
 
-func (a *agent) end(id Call, nonsense bool) {
+func (a *agent) end(id Call, invalid bool) {
 	delete(a.open, id)
-	a.rule.Ended(a.now, id, nonsense)
+	a.rule.Ended(a.now, id, invalid)
 }
 
-// step lets one moment pass.
+// step advances the time by one step.
 func (a *agent) step() {
 	a.now = a.now.Add(step)
 	drop, open, _ := a.rule.Next(a.now)
@@ -58,50 +58,51 @@
 	}
 	if open != 0 {
 		a.asked++
-		a.open[open] = &line{from: a.sent, fresh: true}
+		a.open[open] = &watch{sent: a.received, isNew: true}
 	}
 	for id, l := range a.open {
 		switch {
-		case a.now.Before(a.refusesTill):
+		case a.now.Before(a.refusesUntil):
 			a.end(id, false)
 		case !a.up() || l.silent:
-		case l.fresh || l.from < a.has:
-			l.fresh, l.from, l.beat = false, a.has, a.now
-			a.silentAt = time.Time{}
-			for ; a.sent < a.has; a.sent++ {
-				a.late = max(a.late, a.now.Sub(a.deemed[a.sent]))
+		case l.isNew || l.sent < a.changes:
+			l.isNew, l.sent, l.lastBeat = false, a.changes, a.now
+			a.silentSince = time.Time{}
+			for ; a.received < a.changes; a.received++ {
+				a.maxLate = max(a.maxLate, a.now.Sub(a.knownAt[a.received]))
 			}
 			for _, id := range a.rule.Told(a.now, id) {
 				delete(a.open, id)
 			}
-		case a.now.Sub(l.beat) >= beat:
-			l.beat = a.now
+		case a.now.Sub(l.lastBeat) >= heartbeat:
+			l.lastBeat = a.now
 			a.rule.Heard(a.now, id)
 		}
 	}
-	// What has not arrived is late all the same.
-	if a.sent < a.has {
-		a.late = max(a.late, a.now.Sub(a.deemed[a.sent]))
+	// A change that has not arrived yet counts as late, too.
+	if a.received < a.changes {
+		a.maxLate = max(a.maxLate, a.now.Sub(a.knownAt[a.received]))
 	}
 }
 
-// change gives the agent something to tell.
+// change gives the agent a new change to send.
 func (a *agent) change() {
-	told := a.now
-	if !a.silentAt.IsZero() && a.silentAt.Add(6*time.Second).After(told) {
-		told = a.silentAt.Add(6 * time.Second)
+	known := a.now
+	if !a.silentSince.IsZero() && a.silentSince.Add(6*time.Second).After(known) {
+		known = a.silentSince.Add(6 * time.Second)
 	}
-	for _, t := range []time.Time{a.downTill, a.refusesTill} {
-		if t.After(told) {
-			told = t
+	for _, t := range []time.Time{a.downUntil, a.refusesUntil} {
+		if t.After(known) {
+			known = t
 		}
 	}
-	a.has++
-	a.deemed = append(a.deemed, told)
+	a.changes++
+	a.knownAt = append(a.knownAt, known)
 }
 
-// play lets a day of faults pass and returns how late the latest change came.
-func play(cfg Config, faults string, seed uint64) (late time.Duration, asked int) {
+// simulatePushed simulates two minutes of faults and returns how late the latest change came and
+// the number of calls.
+func simulatePushed(cfg Config, faults string, seed uint64) (late time.Duration, asked int) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	cfg.Seed = seed
 	a := newAgent(New(cfg))
@@ -121,53 +122,53 @@
 				for _, l := range a.open {
 					l.silent = true
 				}
-				if a.silentAt.IsZero() {
-					a.silentAt = a.now
+				if a.silentSince.IsZero() {
+					a.silentSince = a.now
 				}
 			case 'r':
 				for id := range a.open {
 					a.end(id, false)
 				}
-				a.silentAt = time.Time{}
+				a.silentSince = time.Time{}
 			case 'd':
-				a.downTill = a.now.Add(time.Duration(rng.Int64N(int64(9 * time.Second))))
+				a.downUntil = a.now.Add(time.Duration(rng.Int64N(int64(9 * time.Second))))
 			case 'f':
-				a.refusesTill = a.now.Add(time.Duration(rng.Int64N(int64(9 * time.Second))))
+				a.refusesUntil = a.now.Add(time.Duration(rng.Int64N(int64(9 * time.Second))))
 			case 'm':
 				a.rule.Moved(a.now)
 			}
-			for i := a.sent; i < a.has; i++ { // it has not been able to say it yet
-				for _, t := range []time.Time{a.downTill, a.refusesTill} {
-					if t.After(a.deemed[i]) {
-						a.deemed[i] = t
+			for i := a.received; i < a.changes; i++ { // the agent cannot have sent these yet
+				for _, t := range []time.Time{a.downUntil, a.refusesUntil} {
+					if t.After(a.knownAt[i]) {
+						a.knownAt[i] = t
 					}
 				}
 			}
 		}
 		a.step()
 	}
-	return a.late, a.asked
+	return a.maxLate, a.asked
 }
 
-// Whatever happens to watches on a router's own agent, what it has reaches the router
-// within the grace after it counts as told, however many routers there are.
+// Whatever happens to the watches of a router's own agent, each change must reach the router within
+// the grace after it counts as known, whatever the number of routers.
 func TestPushedListsArriveWithinTheGrace(t *testing.T) {
 	for _, routers := range []int{0, 1, 8, 80, 300, 350} {
 		for _, faults := range []string{"s", "r", "d", "f", "m", "srdfm"} {
 			for seed := range uint64(4) {
-				late, asked := play(Config{Routers: routers, Pushed: true}, faults, seed)
+				late, asked := simulatePushed(Config{Routers: routers, Pushed: true}, faults, seed)
 				require.LessOrEqual(t, late, grace, "%d routers, faults %s, seed %d", routers, faults, seed)
 				require.Less(t, asked, 1300, "%d routers, faults %s, seed %d: calls in two minutes", routers, faults, seed)
 			}
 		}
 	}
-	// The check can fail: asked as one service for all is asked, the agent is heard late.
-	late, _ := play(Config{Routers: 300}, "r", 1)
+	// The check can fail: with the rule for polled lists, changes come late.
+	late, _ := simulatePushed(Config{Routers: 300}, "r", 1)
 	require.Greater(t, late, time.Second)
 }
 
-// A list that makes no sense comes again when it is asked for again: ever later.
-func TestNonsenseIsAskedForEverLater(t *testing.T) {
+// An agent that keeps sending an invalid list is called at growing intervals.
+func TestInvalidListsBackOff(t *testing.T) {
 	r, now := New(Config{Pushed: true}), time.Unix(1e9, 0)
 	asked := 0
 	for range int(30 * time.Second / step) {
@@ -181,13 +182,12 @@
 	require.InDelta(t, 18, asked, 4)
 }
 
-// A discovery that bears so many calls a second has lost all its watches at once. It serves
-// calls in turn and fails those that have waited for two seconds; the failed ones have
-// cost it as much. All routers must get back in, and never ask in step: where it bears the calls that
-// the 6 s take, within those after the last that failed.
+// A discovery that can serve a fixed number of calls a second has lost all its watches at once. It
+// serves calls in turn and fails those that have waited for two seconds; a failed call costs it as
+// much as any other. All routers must reconnect within a bounded time without calling in step.
 func TestRoutersComeBackToADiscoveryOfFixedCapacity(t *testing.T) {
 	const patience = 2 * time.Second
-	for routers, each := range map[int]time.Duration{ // of the discovery's time, for one call
+	for routers, each := range map[int]time.Duration{ // discovery's time for one call
 		1: 100 * time.Millisecond, 8: 100 * time.Millisecond, 20: 100 * time.Millisecond, 80: 20 * time.Millisecond,
 		200: 8 * time.Millisecond, 350: 5 * time.Millisecond, 1024: 1600 * time.Microsecond,
 	} {
@@ -235,29 +235,30 @@
 				}
 			}
 			require.Equal(t, routers, back, "routers that are back")
-			require.Less(t, now.Sub(start), 2*mostWait+patience, "when the last one is")
+			require.Less(t, now.Sub(start), 2*maxWait+patience, "when the last one is")
 			most := 0
 			for _, n := range asked {
 				most = max(most, n)
 			}
 			t.Logf("%d routers, %v a call: back after %v, %d calls in the worst second", routers, each, now.Sub(start), most)
-			require.LessOrEqual(t, most, max(2*askedTogether, routers/2), "calls in the worst second")
+			require.LessOrEqual(t, most, max(2*initialCallsPerSecond, routers/2), "calls in the worst second")
 		})
 	}
 }
 
-// told6 is the time after which a change counts as told, whatever has failed before.
-const told6 = 6 * time.Second
+// knownAfter is the time after which a change counts as known, whatever has failed before.
+const knownAfter = 6 * time.Second
 
-// history plays faults of a discovery that all routers ask until it answers again, and returns when the last of them
-// has its list after that, and the calls in the worst second before.
-func history(routers int, faults string, seed uint64) (late time.Duration, most int) {
+// simulateAsked simulates faults of a discovery that all routers poll, until it answers again. It
+// returns how long after that the last router has its list, and the calls in the worst second
+// before.
+func simulateAsked(routers int, faults string, seed uint64) (late time.Duration, most int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	start := time.Unix(1e9, 0)
 	answers := start.Add(3*time.Second + time.Duration(rng.Int64N(int64(20*time.Second))))
 	type out struct {
 		fault byte
-		at    time.Time // when it ends, or says something more
+		at    time.Time // when the call ends, or the next bytes come
 	}
 	asked := map[int]int{}
 	for i := range routers {
@@ -284,9 +285,9 @@
 				}
 				o := &out{fault: fault(), at: now}
 				switch o.fault {
-				case 'd': // its connection does not come up
+				case 'd': // no connection within the time-out
 					o.at = now.Add(time.Second)
-				case '5': // an answer that is none, late
+				case '5': // an error answer after a delay
 					o.at = now.Add(time.Duration(rng.Int64N(int64(2 * time.Second))))
 				}
 				open[id] = o
@@ -302,10 +303,10 @@
 				case 'n':
 					r.Ended(now, id, true)
 					delete(open, id)
-				case 'h': // half a line, and no more
+				case 'h': // half a line, then silence
 					r.Begun(now, id)
 					o.fault = 's'
-				case 'b': // bytes for ever, none of which ends a list
+				case 'b': // endless bytes that never complete a list
 					r.Heard(now, id)
 					r.Begun(now, id)
 					o.at = now.Add(500 * time.Millisecond)
@@ -330,30 +331,30 @@
 	return late, most
 }
 
-// Whatever a discovery that is asked for lists has done, the next list is in hand within 6 s of its answering again. A
-// watch that lives counts as one that has told what there is.
-func TestAskedListsAreInHandIn6Seconds(t *testing.T) {
+// Whatever has failed before, a router that polls must have the next list within 6 s after
+// discovery answers again. An open watch that works counts as having sent everything.
+func TestAskedListsArriveIn6Seconds(t *testing.T) {
 	for _, routers := range []int{1, 8, 80, 350, 1024} {
 		alone := []string{"r", "s", "d", "5", "n", "h", "b"}
 		if routers > 80 {
-			alone = nil // they are in the last one
+			alone = nil // the combination below includes them
 		}
 		for _, faults := range append(alone, "rsd5nhb") {
 			var late time.Duration
 			var most int
 			for seed := range uint64(max(1, 100/routers)) {
-				l, m := history(routers, faults, seed)
+				l, m := simulateAsked(routers, faults, seed)
 				late, most = max(late, l), max(most, m)
 			}
 			t.Logf("%4d routers, faults %-7s: %4d ms at most, %4d calls in the worst second", routers, faults, late.Milliseconds(), most)
-			require.LessOrEqual(t, late, told6-500*time.Millisecond, "%d routers, faults %s", routers, faults)
-			require.LessOrEqual(t, most, max(2*askedTogether, 3*routers/4), "%d routers, faults %s", routers, faults)
+			require.LessOrEqual(t, late, knownAfter-500*time.Millisecond, "%d routers, faults %s", routers, faults)
+			require.LessOrEqual(t, most, max(2*initialCallsPerSecond, 3*routers/4), "%d routers, faults %s", routers, faults)
 		}
 	}
 }
 
-// A call that fails beside one that hangs is not made again at once.
-func TestCallsBesideASilentOneKeepTheirPace(t *testing.T) {
+// A call that fails beside a silent one must not be repeated at once.
+func TestCallsBesideASilentOneKeepTheirRate(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		r, now := New(Config{Routers: 8, Pushed: pushed}), time.Unix(1e9, 0)
 		_, id, _ := r.Next(now)
@@ -366,17 +367,17 @@
 				r.Ended(now, open, false)
 			}
 		}
-		require.LessOrEqual(t, asked, 1+int(2*time.Second/againAfter), "pushed %v", pushed)
+		require.LessOrEqual(t, asked, 1+int(2*time.Second/retryDelay), "pushed %v", pushed)
 	}
 }
 
-// An agent that takes seconds to answer is waited for, not asked anew for ever.
-func TestASlowAgentIsHeardInTheEnd(t *testing.T) {
-	for _, takes := range []time.Duration{time.Second, 3 * time.Second, Silent - step} {
+// An agent that takes seconds to answer must be waited for, not called again without end.
+func TestSlowAgentIsWaitedFor(t *testing.T) {
+	for _, takes := range []time.Duration{time.Second, 3 * time.Second, silenceTimeout - step} {
 		r, start := New(Config{Pushed: true}), time.Unix(1e9, 0)
 		due, told := map[Call]time.Time{}, false
 		for now := start; !told; now = now.Add(step) {
-			require.Less(t, now.Sub(start), 2*Silent, "%v", takes)
+			require.Less(t, now.Sub(start), 2*silenceTimeout, "%v", takes)
 			drop, open, _ := r.Next(now)
 			for _, id := range drop {
 				delete(due, id)
@@ -384,7 +385,7 @@
 			if open != 0 {
 				due[open] = now.Add(takes)
 			}
-			require.LessOrEqual(t, len(due), mostOpen)
+			require.LessOrEqual(t, len(due), maxOpenCalls)
 			for id, at := range due {
 				if !now.Before(at) {
 					r.Told(now, id)
