--- a/discovery/membership/membership.go
+++ b/discovery/membership/membership.go
@@ -213,11 +213,11 @@
 	case p.EmptyOver < 0 || p.LossOver < 0 || p.Silent < 0 || p.Keep < 0 || p.GoneFor < 0 || d.HalfLife < 0:
 		return "time", errors.New("is negative")
 	case !(p.LossShare >= 0 && p.LossShare <= 1):
-		return "loss_share", errors.New("is no share between 0 and 1")
+		return "loss_share", errors.New("must be between 0 and 1")
 	case d.HalfLife > 0 && !(d.Reuse > 0 && d.Suppress > d.Reuse):
 		return "damp_reuse", errors.New("must be above 0 and below damp_suppress")
 	case d.HalfLife > 0 && !(d.Share > 0 && d.Share <= 1):
-		return "damp_share", errors.New("is no share above 0 and up to 1")
+		return "damp_share", errors.New("must be above 0 and at most 1")
 	}
 	return "", nil
 }
--- a/discovery/sources/config.go
+++ b/discovery/sources/config.go
@@ -1,5 +1,5 @@
-// Package sources runs what an operator's file names as sources of workers and
-// feeds a front's core with what package membership makes of their words.
+// Package sources runs the sources of workers that an operator's file names, and feeds a front's
+// core with the set of workers that package membership derives from their reports.
 package sources
 
 import (
@@ -27,31 +27,31 @@
 	KindList  = "list"
 	KindStore = "store"
 	KindZK    = "zookeeper"
-	KindOwn   = "own" // the front's own list: discovery's, or that of its file
+	KindOwn   = "own" // the front's own list: from discovery or from its file
 )
 
-// The fronts that can take sources.
+// The fronts that can use sources.
 const (
 	Platform = "platform"
 	ModelAPI = "modelapi"
 )
 
-// Own is the name of a front's own list where the file does not give another.
+// Own is the name of a front's own list unless the file gives another.
 const Own = "own"
 
-// Config is the operator's file. Without sources it is off.
+// Config is the operator's file. A file without sources changes nothing.
 type Config struct {
 	Sources []Source `toml:"source"`
 	file    *conffile.File
 }
 
-// Source is one source in the file. Which keys count depends on its kind.
+// Source is one source in the file. Which keys apply depends on its kind.
 type Source struct {
 	Name   string   `toml:"name"`
 	Kind   string   `toml:"kind"`
-	Fronts []string `toml:"fronts"` // who takes it; the model API if none is named
+	Fronts []string `toml:"fronts"` // that use it; the model API if empty
 
-	// How its words are taken; see membership.Policy.
+	// How its reports are applied; see membership.Policy.
 	EmptyTimes   int               `toml:"empty_times"`
 	EmptyOver    conffile.Duration `toml:"empty_over"`
 	LossShare    float64           `toml:"loss_share"`
@@ -65,10 +65,10 @@
 	DampReuse    float64           `toml:"damp_reuse"`
 	DampShare    float64           `toml:"damp_share"`
 
-	// What the source does not tell of its workers.
+	// Values for its workers where the source states none.
 	Cell        int    `toml:"cell"`
-	Zone        string `toml:"zone"`         // the platform's name of it
-	MachineType string `toml:"machine_type"` // likewise
+	Zone        string `toml:"zone"`         // the platform's name of the zone
+	MachineType string `toml:"machine_type"` // the platform's name of the machine type
 
 	// DNS.
 	Service     string            `toml:"service"`
@@ -86,33 +86,33 @@
 	RetryMax    conffile.Duration `toml:"retry_max"`
 	Spread      float64           `toml:"spread"`
 
-	// The static list.
+	// Static list.
 	Workers []Worker `toml:"worker"`
 
 	// The store, and ZooKeeper.
 	Path string   `toml:"path"`
-	API  []string `toml:"api"` // replicas to ask, where this router holds none
+	API  []string `toml:"api"` // replicas to ask if this router holds none
 
-	// ZooKeeper, beside servers, path and parallel.
+	// ZooKeeper, in addition to servers, path and parallel.
 	Format     string            `toml:"format"`
 	Session    conffile.Duration `toml:"session"`
 	Resync     conffile.Duration `toml:"resync"`
 	FlapWithin conffile.Duration `toml:"flap_within"`
 }
 
-// Worker is one of a static list.
+// Worker is one worker of a static list.
 type Worker struct {
 	Name        string  `toml:"name"`
 	Addr        string  `toml:"addr"`
 	Weight      float64 `toml:"weight"`
 	Priority    int     `toml:"priority"`
-	Cell        *int    `toml:"cell"` // nil: its source's
+	Cell        *int    `toml:"cell"` // nil: the source's cell
 	Draining    bool    `toml:"draining"`
 	StartedAtMs int64   `toml:"started_at_ms"`
 }
 
-// The defaults of what is left out (zero). DNS can't tell an outage from an empty
-// fleet, so its losses are held; the other kinds mean what they say.
+// defaults sets the values that the file leaves out (zero). DNS cannot tell an outage from an empty
+// fleet, so its losses are held by default; those of the other kinds are applied at once.
 func (s *Source) defaults() {
 	set := func(d *conffile.Duration, v time.Duration) {
 		if d.Duration == 0 {
@@ -123,13 +123,13 @@
 		s.Fronts = []string{ModelAPI}
 	}
 	if s.DampHalfLife.Duration > 0 {
-		s.DampSuppress, s.DampReuse, s.DampShare = or(s.DampSuppress, 4), or(s.DampReuse, 2), or(s.DampShare, 0.25)
+		s.DampSuppress, s.DampReuse, s.DampShare = orDefault(s.DampSuppress, 4), orDefault(s.DampReuse, 2), orDefault(s.DampShare, 0.25)
 	}
 	if s.Kind == KindStore {
-		s.Path = or(s.Path, storesource.BackendsPath)
+		s.Path = orDefault(s.Path, storesource.BackendsPath)
 	}
 	if s.Kind == KindZK {
-		s.Format, s.Parallel = or(s.Format, string(zkrule.JSON)), or(s.Parallel, 8)
+		s.Format, s.Parallel = orDefault(s.Format, string(zkrule.JSON)), orDefault(s.Parallel, 8)
 		set(&s.Session, 10*time.Second)
 		set(&s.Resync, time.Minute)
 		set(&s.FlapWithin, 10*time.Second)
@@ -137,10 +137,10 @@
 	if s.Kind != KindDNS {
 		return
 	}
-	s.EmptyTimes, s.LossShare, s.LossTimes = or(s.EmptyTimes, 3), or(s.LossShare, 0.5), or(s.LossTimes, 2)
+	s.EmptyTimes, s.LossShare, s.LossTimes = orDefault(s.EmptyTimes, 3), orDefault(s.LossShare, 0.5), orDefault(s.LossTimes, 2)
 	set(&s.EmptyOver, 30*time.Second)
 	set(&s.LossOver, 10*time.Second)
-	s.Family, s.Parallel, s.Spread = or(s.Family, "ipv4"), or(s.Parallel, 8), or(s.Spread, 0.25)
+	s.Family, s.Parallel, s.Spread = orDefault(s.Family, "ipv4"), orDefault(s.Parallel, 8), orDefault(s.Spread, 0.25)
 	set(&s.Timeout, time.Second)
 	set(&s.Deadline, 8*time.Second)
 	set(&s.LifetimeMin, 5*time.Second)
@@ -151,7 +151,7 @@
 	set(&s.RetryMax, 30*time.Second)
 }
 
-func or[T comparable](v, otherwise T) T {
+func orDefault[T comparable](v, otherwise T) T {
 	var zero T
 	if v == zero {
 		return otherwise
@@ -159,7 +159,7 @@
 	return v
 }
 
-// LoadConfig reads the file and checks it whole.
+// LoadConfig reads the file and checks it completely.
 func LoadConfig(path string) (*Config, error) {
 	c := &Config{}
 	file, err := conffile.Read(path, c)
@@ -177,21 +177,21 @@
 		at := fmt.Sprintf("source[%d].", i)
 		bad := func(key string, value any, why string) error { return c.file.Bad(at+key, value, why) }
 		if s.Name == "" || names[s.Name] || s.Name == Own && s.Kind != KindOwn {
-			return bad("name", s.Name, "must be there, and the source's own")
+			return bad("name", s.Name, "must be set and unique among the sources")
 		}
 		names[s.Name] = true
 		s.defaults()
 		for _, f := range s.Fronts {
 			if f != Platform && f != ModelAPI {
-				return bad("fronts", f, "is neither platform nor modelapi")
+				return bad("fronts", f, "must be platform or modelapi")
 			}
 		}
 		p := s.Policy()
 		if key, err := p.Check(); err != nil {
-			return bad(key, s.value(key), err.Error())
+			return bad(key, s.settingValue(key), err.Error())
 		}
 		if s.MachineType == "" && slices.Contains(s.Fronts, Platform) && s.Kind != KindOwn {
-			return bad("machine_type", "", "the platform's front must know what its workers are")
+			return bad("machine_type", "", "must be set for the platform front")
 		}
 		if err := s.checkKind(bad); err != nil {
 			return err
@@ -210,8 +210,9 @@
 	return nil
 }
 
-// value is what the file says, or the default, where a policy's check fails.
-func (s *Source) value(key string) any {
+// settingValue returns the value, from the file or the default, of a setting that a policy's check
+// rejects.
+func (s *Source) settingValue(key string) any {
 	switch key {
 	case "loss_share":
 		return s.LossShare
@@ -239,8 +240,8 @@
 	case KindZK:
 		return s.checkZK(bad)
 	case KindStore:
-		if !isNode(s.Path) {
-			return bad("path", s.Path, "is no path of a node")
+		if !isNodePath(s.Path) {
+			return bad("path", s.Path, "is not the path of a node")
 		}
 		for _, addr := range s.API {
 			if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -249,17 +250,17 @@
 		}
 	case KindOwn:
 	default:
-		return bad("kind", s.Kind, "is none of dns, list, store, zookeeper and own")
+		return bad("kind", s.Kind, "must be dns, list, store, zookeeper or own")
 	}
 	return nil
 }
 
 var families = map[string]dnsrule.Family{"ipv4": dnsrule.IPv4, "ipv6": dnsrule.IPv6, "both": dnsrule.Both}
 
-func isNode(p string) bool { return strings.HasPrefix(p, "/") && path.Clean(p) == p && p != "/" }
+func isNodePath(p string) bool { return strings.HasPrefix(p, "/") && path.Clean(p) == p && p != "/" }
 
-// Bounds of a session with a ZooKeeper-style service. The service has bounds of
-// its own and tells what it has granted.
+// Bounds of a session with a ZooKeeper-style service. The service has bounds of its own and answers
+// with the time-out that it has granted.
 const (
 	sessionMin = time.Second
 	sessionMax = 5 * time.Minute
@@ -271,14 +272,14 @@
 	}
 	for _, addr := range s.Servers {
 		if host, port, err := net.SplitHostPort(addr); err != nil || host == "" || port == "" {
-			return bad("servers", addr, "is no address and port")
+			return bad("servers", addr, "is not an address with a port")
 		}
 	}
 	switch {
-	case !isNode(s.Path):
-		return bad("path", s.Path, "is no path of a node")
+	case !isNodePath(s.Path):
+		return bad("path", s.Path, "is not the path of a node")
 	case !zkrule.Format(s.Format).Known():
-		return bad("format", s.Format, "is none of json, serverset and curator")
+		return bad("format", s.Format, "must be json, serverset or curator")
 	case s.Session.Duration < sessionMin || s.Session.Duration > sessionMax:
 		return bad("session", s.Session, fmt.Sprintf("must be between %v and %v", sessionMin, sessionMax))
 	case s.Resync.Duration < time.Second:
@@ -296,7 +297,7 @@
 
 func (s *Source) checkDNS(bad func(string, any, string) error) error {
 	if _, ok := dns.IsDomainName(s.Service); !ok || strings.Trim(s.Service, ".") == "" {
-		return bad("service", s.Service, "is no domain name")
+		return bad("service", s.Service, "is not a domain name")
 	}
 	if len(s.Servers) == 0 {
 		return bad("servers", "", "names no server")
@@ -304,7 +305,7 @@
 	for _, addr := range s.Servers {
 		host, port, err := net.SplitHostPort(addr)
 		if err != nil || net.ParseIP(host) == nil || port == "" {
-			return bad("servers", addr, "is no address and port of a name server")
+			return bad("servers", addr, "is not the IP address and port of a name server")
 		}
 	}
 	for _, r := range []struct {
@@ -317,18 +318,18 @@
 	}
 	switch {
 	case families[s.Family] == 0:
-		return bad("family", s.Family, "is none of ipv4, ipv6 and both")
+		return bad("family", s.Family, "must be ipv4, ipv6 or both")
 	case s.Agree < 0 || s.Agree > len(s.Servers):
 		return bad("agree", s.Agree, fmt.Sprintf("must be between 0 and the number of servers, %d", len(s.Servers)))
 	case s.Parallel < 1 || s.Parallel > 64:
 		return bad("parallel", s.Parallel, "must be between 1 and 64")
 	case !(s.Spread >= 0 && s.Spread <= 1):
-		return bad("spread", s.Spread, "is no share between 0 and 1")
+		return bad("spread", s.Spread, "must be between 0 and 1")
 	}
 	return nil
 }
 
-// Policy is how the source's words are taken.
+// Policy returns how the source's reports are applied.
 func (s *Source) Policy() membership.Policy {
 	return membership.Policy{Name: s.Name, EmptyTimes: s.EmptyTimes, EmptyOver: s.EmptyOver.Duration,
 		LossShare: s.LossShare, LossTimes: s.LossTimes, LossOver: s.LossOver.Duration, Silent: s.Silent.Duration,
@@ -337,7 +338,7 @@
 }
 
 func (s *Source) entry(w Worker) membership.Entry {
-	e := membership.Entry{Name: w.Name, Addr: w.Addr, Weight: or(w.Weight, 1), Priority: w.Priority, Cell: s.Cell,
+	e := membership.Entry{Name: w.Name, Addr: w.Addr, Weight: orDefault(w.Weight, 1), Priority: w.Priority, Cell: s.Cell,
 		Since: w.StartedAtMs * int64(time.Millisecond)}
 	if w.Cell != nil {
 		e.Cell = *w.Cell
@@ -358,35 +359,35 @@
 		NegMax: s.MissingMax.Duration, RetryMin: s.RetryMin.Duration, RetryMax: s.RetryMax.Duration, Spread: s.Spread}
 }
 
-// For is the sources that a front takes, in order. Where the file does not place
-// them, the front's own list comes first and, if registered is set, the workers
-// registered in this router's replica come last. Nil is a configuration, too.
+// For returns the sources that a front uses, in order. Unless the file lists them, the front's own
+// list comes first and, if registered is set, the workers registered in this router's replica come
+// last. c may be nil.
 func (c *Config) For(front string, registered bool) []Source {
 	var out []Source
-	own, stored := false, !registered
+	hasOwn, hasStore := false, !registered
 	if c != nil {
 		for _, s := range c.Sources {
 			if slices.Contains(s.Fronts, front) {
 				out = append(out, s)
-				own, stored = own || s.Kind == KindOwn, stored || s.Kind == KindStore
+				hasOwn, hasStore = hasOwn || s.Kind == KindOwn, hasStore || s.Kind == KindStore
 			}
 		}
 	}
-	if !own {
+	if !hasOwn {
 		out = append([]Source{{Name: Own, Kind: KindOwn, Fronts: []string{front}}}, out...)
 	}
-	if !stored {
+	if !hasStore {
 		out = append(out, Source{Name: KindStore, Kind: KindStore, Fronts: []string{front}, Path: storesource.BackendsPath})
 	}
 	return out
 }
 
-// Takes tells whether a front takes any source of the file.
+// Takes reports whether a front uses any source of the file.
 func (c *Config) Takes(front string) bool {
 	return c != nil && slices.ContainsFunc(c.Sources, func(s Source) bool { return slices.Contains(s.Fronts, front) })
 }
 
-// Bad is an error at a key of the i-th source that a front has found.
+// Bad returns an error at a key of the named source, for faults found by a front.
 func (c *Config) Bad(name, key string, value any, why string) error {
 	for i := 0; c != nil && i < len(c.Sources); i++ {
 		if c.Sources[i].Name == name {
--- a/discovery/sources/config_test.go
+++ b/discovery/sources/config_test.go
@@ -21,13 +21,13 @@
 
 func TestFaultsNameFileKeyAndValue(t *testing.T) {
 	for text, want := range map[string]string{
-		"[[source]]\nkind = \"list\"\n":                                                   `sources.toml:1: source[0].name = "": must be there`,
-		dnsText + dnsText:                                                                 `sources.toml:7: source[1].name = "d": must be there, and the source's own`,
-		"[[source]]\nname = \"x\"\nkind = \"consul\"\n":                                   `sources.toml:3: source[0].kind = "consul": is none of`,
+		"[[source]]\nkind = \"list\"\n":                                                   `sources.toml:1: source[0].name = "": must be set and unique`,
+		dnsText + dnsText:                                                                 `sources.toml:7: source[1].name = "d": must be set and unique among the sources`,
+		"[[source]]\nname = \"x\"\nkind = \"consul\"\n":                                   `sources.toml:3: source[0].kind = "consul": must be dns, list, store, zookeeper or own`,
 		"[[source]]\nname = \"own\"\nkind = \"list\"\n":                                   `name = "own"`,
-		dnsText + "fronts = [\"else\"]\n":                                                 `sources.toml:6: source[0].fronts = "else": is neither`,
-		dnsText + "fronts = [\"platform\"]\n":                                             `source[0].machine_type = "": the platform's front must know`,
-		dnsText + "loss_share = 2.0\n":                                                    `sources.toml:6: source[0].loss_share = 2: is no share`,
+		dnsText + "fronts = [\"else\"]\n":                                                 `sources.toml:6: source[0].fronts = "else": must be platform or modelapi`,
+		dnsText + "fronts = [\"platform\"]\n":                                             `source[0].machine_type = "": must be set for the platform front`,
+		dnsText + "loss_share = 2.0\n":                                                    `sources.toml:6: source[0].loss_share = 2: must be between 0 and 1`,
 		dnsText + "agree = 2\n":                                                           `sources.toml:6: source[0].agree = 2: must be between 0 and the number of servers, 1`,
 		dnsText + "family = \"ipx\"\n":                                                    `source[0].family = "ipx"`,
 		dnsText + "spread = 1.5\n":                                                        `source[0].spread = 1.5`,
@@ -42,7 +42,7 @@
 		"[[source]]\nname=\"l\"\nkind=\"list\"\n[[source.worker]]\naddr=\"h\"\n":          `sources.toml:5: source[0].worker[0].addr = "h"`,
 		"[[source]]\nname=\"s\"\nkind=\"store\"\npath=\"a/b\"\n":                          `sources.toml:4: source[0].path = "a/b"`,
 		"[[source]]\nname=\"s\"\nkind=\"store\"\napi=[\"h\"]\n":                           `source[0].api = "h"`,
-		zkText + "format = \"xml\"\n":                                                     `sources.toml:6: source[0].format = "xml": is none of json`,
+		zkText + "format = \"xml\"\n":                                                     `sources.toml:6: source[0].format = "xml": must be json, serverset or curator`,
 		zkText + "session = \"10ms\"\n":                                                   `source[0].session = 10ms: must be between`,
 		zkText + "resync = \"1ms\"\n":                                                     `source[0].resync = 1ms`,
 		zkText + "parallel = 65\n":                                                        `source[0].parallel = 65`,
--- a/discovery/sources/feed.go
+++ b/discovery/sources/feed.go
@@ -20,24 +20,24 @@
 	"lichenshelf/store"
 )
 
-// Core is who is told of the workers; router.Core is one.
+// Core is notified of the workers; router.Core is one.
 type Core interface {
 	Discovered(members []router.Member, whole bool)
 }
 
-// Names turns the platform's names into its numbers.
+// Names translates the platform's names into its numbers.
 type Names interface {
 	// Number returns false for a name that the platform does not have.
 	Number(what, name string) (int, bool)
 }
 
-// mostLines bounds what is logged of one report's changes.
-const mostLines = 20
+// maxLoggedChanges bounds how many changes of one report are logged.
+const maxLoggedChanges = 20
 
-// remotePace is how often a store without a replica here is looked at.
-const remotePace = time.Second
+// remotePollInterval is how often a remote store is polled.
+const remotePollInterval = time.Second
 
-// Feed keeps one front's core up to date with what its sources say.
+// Feed keeps one front's core up to date with the reports of its sources.
 type Feed struct {
 	front    string
 	core     Core
@@ -45,8 +45,9 @@
 	names    Names                // nil: the front knows neither zones nor kinds
 	registry storesource.Registry // nil: this router holds no replica
 
-	// Took is told of each report that was taken, by its source: its version, which is the source's own count or, with own
-	// false, one more than the last. It is to be set before Apply, and must return at once.
+	// Took is called for each report that was applied, with its source and version. The version is
+	// the source's own or, with own false, the number of the report. Took must be set before Apply
+	// and must return at once.
 	Took func(source string, version uint64, own bool)
 
 	serving atomic.Int64
@@ -56,41 +57,41 @@
 	ids     router.ServerIDs
 	ports   map[string]*Port
 	timer   *time.Timer
-	due     time.Time
-	changed chan struct{} // closed at the next change; nil if nobody waits
+	timerAt time.Time
+	changed chan struct{} // closed at the next change; nil if no caller waits
 }
 
 // NewFeed returns a feed without sources. Registry and names may be nil.
 func NewFeed(front string, core Core, registry storesource.Registry, names Names, log logrus.FieldLogger) *Feed {
 	set, err := membership.New()
 	if err != nil {
-		panic(err) // no source can't be wrong
+		panic(err) // an empty list of sources is always valid
 	}
 	f := &Feed{front: front, core: core, registry: registry, names: names, log: log.WithField("front", front), set: set, ports: map[string]*Port{}}
 	core.Discovered(nil, true)
 	return f
 }
 
-// Port is where one source reports. A port that was closed drops what comes.
+// Port receives the reports of one source. A closed port drops them.
 type Port struct {
-	feed   *Feed
-	name   string
-	config Source
-	stop   context.CancelFunc // of the source that runs behind it
-	failed bool
-	warned map[string]bool
-	taken  uint64 // reports
+	feed        *Feed
+	name        string
+	config      Source
+	stop        context.CancelFunc // stops the source
+	failed      bool
+	logged      map[string]bool
+	reportCount uint64
 }
 
-// plan is a source that is ready to run; run is nil where somebody else speaks.
+// plan is a source that is ready to run; run is nil if its reports come from outside the feed.
 type plan struct {
 	source Source
 	run    func(context.Context, *Port)
 }
 
-// Apply goes over to the sources of a configuration, all of them or, with an
-// error, none. What runs already and has not changed goes on; the workers of one
-// that has stay until the new one speaks. Sources run until ctx ends.
+// Apply replaces the sources by those of a configuration; on an error it changes nothing. A source
+// that runs already and has not changed continues; the workers of one that has changed stay until
+// its first new report. Sources run until ctx ends.
 func (f *Feed) Apply(ctx context.Context, c *Config, sources []Source) error {
 	plans, policies, err := f.plan(c, sources)
 	if err != nil {
@@ -102,7 +103,7 @@
 	if err != nil {
 		return fmt.Errorf("sources of %s: %w", f.front, err)
 	}
-	f.tell(changes, false)
+	f.applyChanges(changes, false)
 	old := f.ports
 	f.ports = map[string]*Port{}
 	for _, p := range plans {
@@ -112,7 +113,7 @@
 			delete(old, name)
 			continue
 		}
-		port := &Port{feed: f, name: name, config: p.source, stop: func() {}, warned: map[string]bool{}}
+		port := &Port{feed: f, name: name, config: p.source, stop: func() {}, logged: map[string]bool{}}
 		f.ports[name] = port
 		if p.run != nil {
 			var run context.Context
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// Check tells whether Apply would take the sources.
+// Check reports whether Apply would accept the sources.
 func (f *Feed) Check(c *Config, sources []Source) error {
 	_, policies, err := f.plan(c, sources)
 	if err == nil {
@@ -146,7 +147,8 @@
 	return plans, policies, nil
 }
 
-// prepare makes a source ready, so that nothing can go wrong once the first one runs.
+// prepare makes a source ready to run, so that all errors come up before the first source is
+// started.
 func (f *Feed) prepare(c *Config, s Source) (func(context.Context, *Port), error) {
 	template := membership.Entry{Weight: 1, Cell: s.Cell}
 	for _, n := range []struct {
@@ -157,7 +159,7 @@
 			continue
 		}
 		if f.names == nil {
-			return nil, c.Bad(s.Name, n.key, n.name, "the front "+f.front+" knows none")
+			return nil, c.Bad(s.Name, n.key, n.name, "the front "+f.front+" has no names of zones and machine types")
 		}
 		var ok bool
 		if *n.to, ok = f.names.Number(n.what, n.name); !ok {
@@ -172,7 +174,7 @@
 	case KindStore:
 		registry := f.registry
 		if len(s.API) > 0 {
-			registry = storesource.Remote{Client: store.NewClient(s.API...), Pace: remotePace}
+			registry = storesource.Remote{Client: store.NewClient(s.API...), Pace: remotePollInterval}
 		}
 		if registry == nil {
 			return nil, c.Bad(s.Name, "api", s.API, "this router holds no replica of the store, and no other one is named")
@@ -198,7 +200,7 @@
 	return nil, nil
 }
 
-// Own is the port of the front's own list, nil where the feed has none.
+// Own returns the port of the front's own list, nil if the feed has none.
 func (f *Feed) Own() *Port {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -210,10 +212,11 @@
 	return nil
 }
 
-// Ready tells whether any worker may be sent something new.
+// Ready reports whether any worker may get new requests.
 func (f *Feed) Ready() bool { return f.serving.Load() > 0 }
 
-// View is all that is known, and a channel that is closed at the next change.
+// View returns the state of all sources and workers, and a channel that is closed at the next
+// change.
 func (f *Feed) View() ([]membership.SourceView, []membership.WorkerView, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -223,11 +226,12 @@
 	return f.set.Sources(), f.set.Workers(), f.changed
 }
 
-// Report takes what the source says. The core knows of it when it returns.
+// Report applies a report of the source. The core has been notified when it returns.
 func (p *Port) Report(r membership.Report) { p.report(r, nil) }
 
-// report is Report; news tells that the source's list was up to date before, where that is known.
-func (p *Port) report(r membership.Report, news *bool) {
+// report is Report. isUpdate tells whether the source's list was up to date before; nil: if it has
+// sent a report before.
+func (p *Port) report(r membership.Report, isUpdate *bool) {
 	f := p.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -236,20 +240,20 @@
 	}
 	r.Source = p.name
 	changes, problems, err := f.set.Report(time.Now(), r)
-	if news == nil {
-		before := p.taken > 0
-		news = &before
+	if isUpdate == nil {
+		before := p.reportCount > 0
+		isUpdate = &before
 	}
-	f.tell(changes, *news)
+	f.applyChanges(changes, *isUpdate)
 	for _, problem := range problems {
 		p.warn(problem)
 	}
 	if err != nil {
-		f.log.WithField("source", p.name).WithError(err).Warn("report not taken")
-	} else if p.taken++; f.Took != nil && r.Version > 0 {
+		f.log.WithField("source", p.name).WithError(err).Warn("report rejected")
+	} else if p.reportCount++; f.Took != nil && r.Version > 0 {
 		f.Took(p.name, r.Version, true)
 	} else if f.Took != nil {
-		f.Took(p.name, p.taken, false)
+		f.Took(p.name, p.reportCount, false)
 	}
 	if p.failed {
 		p.failed = false
@@ -257,7 +261,7 @@
 	}
 }
 
-// Fail notes that the source can't be read.
+// Fail records that the source cannot be read.
 func (p *Port) Fail(fault error) {
 	f := p.feed
 	f.mu.Lock()
@@ -267,40 +271,40 @@
 	}
 	level := logrus.WarnLevel
 	if p.failed {
-		level = logrus.DebugLevel // told already
+		level = logrus.DebugLevel // logged already
 	}
 	p.failed = true
 	f.log.WithField("source", p.name).WithError(fault).Log(level, "source failed, its workers stay")
-	f.tell(f.set.Fail(time.Now(), p.name, fault.Error()), false)
+	f.applyChanges(f.set.Fail(time.Now(), p.name, fault.Error()), false)
 }
 
-// Warn notes what is odd in what the source says.
-func (p *Port) Warn(odd error) {
+// Warn logs a problem in the source's data.
+func (p *Port) Warn(problem error) {
 	p.feed.mu.Lock()
 	defer p.feed.mu.Unlock()
-	p.warn(odd)
+	p.warn(problem)
 }
 
-// mostWarnings bounds how many different ones are remembered, each told once.
-const mostWarnings = 256
+// maxWarnings bounds how many different warnings are remembered so that each is logged once.
+const maxWarnings = 256
 
-func (p *Port) warn(odd error) {
+func (p *Port) warn(problem error) {
 	level := logrus.WarnLevel
-	if p.warned[odd.Error()] {
+	if p.logged[problem.Error()] {
 		level = logrus.DebugLevel
 	}
-	if len(p.warned) >= mostWarnings {
-		clear(p.warned)
+	if len(p.logged) >= maxWarnings {
+		clear(p.logged)
 	}
-	p.warned[odd.Error()] = true
-	p.feed.log.WithField("source", p.name).WithError(odd).Log(level, "source says what makes no sense")
+	p.logged[problem.Error()] = true
+	p.feed.log.WithField("source", p.name).WithError(problem).Log(level, "source has invalid data")
 }
 
-// Discovered takes a list in the form that a core does, where no start means long ago.
+// Discovered applies a list in the form in which a core takes it, where no start means long ago.
 func (p *Port) Discovered(members []router.Member, whole bool) {
-	r, news := membership.Report{Whole: whole}, false
+	r, isUpdate := membership.Report{Whole: whole}, false
 	for _, m := range members {
-		news = news || m.News
+		isUpdate = isUpdate || m.News
 		e := membership.Entry{Name: m.Name, Addr: m.Addr, Weight: m.Weight, Cell: m.Cell, Zone: m.Zone, Kind: m.Kind, Since: max(int64(m.Since), membership.LongAgo)}
 		switch m.Health {
 		case logic.Draining:
@@ -310,16 +314,16 @@
 		}
 		r.Entries = append(r.Entries, e)
 	}
-	p.report(r, &news)
+	p.report(r, &isUpdate)
 }
 
-// tell hands changes to the core, and sets the timer for what comes due next. News tells that who told of the changes had
-// told a list before.
-func (f *Feed) tell(changes []membership.Change, news bool) {
+// applyChanges passes changes to the core and sets the timer for the next due action. isUpdate
+// tells whether the source that caused the changes had sent a list before.
+func (f *Feed) applyChanges(changes []membership.Change, isUpdate bool) {
 	if len(changes) > 0 {
 		members := make([]router.Member, 0, len(changes))
 		for _, c := range changes {
-			members = append(members, f.member(c, news))
+			members = append(members, f.member(c, isUpdate))
 		}
 		f.core.Discovered(members, false)
 		f.serving.Store(int64(f.set.Serving()))
@@ -335,10 +339,10 @@
 		f.changed = nil
 	}
 	next, ok := f.set.Next()
-	if !ok || next.Equal(f.due) {
+	if !ok || next.Equal(f.timerAt) {
 		return
 	}
-	f.due = next
+	f.timerAt = next
 	if f.timer != nil {
 		f.timer.Stop()
 	}
@@ -348,13 +352,13 @@
 func (f *Feed) advance() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.due = time.Time{}
-	f.tell(f.set.Advance(time.Now()), false)
+	f.timerAt = time.Time{}
+	f.applyChanges(f.set.Advance(time.Now()), false)
 }
 
-func (f *Feed) member(c membership.Change, news bool) router.Member {
+func (f *Feed) member(c membership.Change, isUpdate bool) router.Member {
 	m := c.Member
-	out := router.Member{Name: m.Name, Addr: m.Addr, News: news, Member: logic.Member{Server: f.ids.ID(m.Name), Weight: m.Weight,
+	out := router.Member{Name: m.Name, Addr: m.Addr, News: isUpdate, Member: logic.Member{Server: f.ids.ID(m.Name), Weight: m.Weight,
 		Cell: m.Cell, Zone: m.Zone, Kind: m.Kind, Since: logic.Time(m.Since)}}
 	if m.Since == membership.LongAgo {
 		out.Since = 0
@@ -369,10 +373,10 @@
 }
 
 func (f *Feed) logChange(i, of int, c membership.Change) {
-	if i > mostLines {
+	if i > maxLoggedChanges {
 		return
 	}
-	if i == mostLines {
+	if i == maxLoggedChanges {
 		f.log.WithField("more", of-i).Info("workers changed")
 		return
 	}
--- a/discovery/sources/feed_test.go
+++ b/discovery/sources/feed_test.go
@@ -18,15 +18,15 @@
 	"lichenshelf/router"
 )
 
-// told is a core that keeps the workers it was told of.
-type told struct {
+// recordingCore is a core that keeps the workers reported to it.
+type recordingCore struct {
 	mu      sync.Mutex
 	members map[string]router.Member
 	ids     map[logic.ServerID]string
 	calls   int
 }
 
-func (c *told) Discovered(members []router.Member, whole bool) {
+func (c *recordingCore) Discovered(members []router.Member, whole bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -42,7 +42,7 @@
 	}
 }
 
-func (c *told) health(name string) logic.Health {
+func (c *recordingCore) health(name string) logic.Health {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m, ok := c.members[name]; ok {
@@ -51,14 +51,14 @@
 	return logic.Gone
 }
 
-type fewNames struct{}
+type testNames struct{}
 
-func (fewNames) Number(what, name string) (int, bool) {
+func (testNames) Number(what, name string) (int, bool) {
 	n, ok := map[string]int{"zone z2": 1, "kind mixed": 2}[what+" "+name]
 	return n, ok
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -74,18 +74,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		core := &told{}
-		f := NewFeed(ModelAPI, core, nil, nil, quiet())
+		core := &recordingCore{}
+		f := NewFeed(ModelAPI, core, nil, nil, discardLogger())
 		require.False(t, f.Ready())
 		require.NoError(t, f.Apply(ctx, nil, []Source{own, list("l", Worker{Name: "a", Addr: "h:1"}, Worker{Addr: "h:2"})}))
 		synctest.Wait()
 		require.Len(t, core.members, 2)
 		require.True(t, f.Ready())
 		f.Own().Discovered([]router.Member{{Name: "b", Addr: "h:3"}, {Name: "a", Addr: "h:1", Member: logic.Member{Health: logic.Draining}}}, true)
-		require.Equal(t, logic.Draining, core.health("a"), "told before Discovered returns")
+		require.Equal(t, logic.Draining, core.health("a"), "the core is notified before Discovered returns")
 		require.Equal(t, logic.Ready, core.health("b"))
 
-		// A port of before a reload is dead; what has not changed goes on.
+		// A port from before a reload drops its reports; unchanged sources continue.
 		before, calls := f.Own(), core.calls
 		require.NoError(t, f.Apply(ctx, nil, []Source{own, list("l", Worker{Name: "a", Addr: "h:1"})}))
 		synctest.Wait()
@@ -100,22 +100,22 @@
 		f.Own().Report(membership.Report{Whole: true, Entries: []membership.Entry{{Name: "a", Addr: "h:1"}, {Name: "b", Addr: "h:3"}}})
 		require.Equal(t, logic.Ready, core.health("a"))
 
-		// What can't be taken changes nothing.
+		// Sources that cannot be applied change nothing.
 		bad := []Source{own, {Name: "s", Kind: KindStore}}
 		require.ErrorContains(t, f.Check(nil, bad), "s: api")
 		require.ErrorContains(t, f.Apply(ctx, nil, bad), "no replica")
 		require.Error(t, f.Apply(ctx, nil, []Source{own, own}))
 		zoned := list("l")
 		zoned.Zone = "z2"
-		require.ErrorContains(t, f.Apply(ctx, nil, []Source{own, zoned}), "knows none")
+		require.ErrorContains(t, f.Apply(ctx, nil, []Source{own, zoned}), "has no names of zones")
 		require.Equal(t, logic.Ready, core.health("a"))
 	})
 }
 
 func TestFeedNumbersZonesAndKinds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core := &told{}
-		f := NewFeed(Platform, core, nil, fewNames{}, quiet())
+		core := &recordingCore{}
+		f := NewFeed(Platform, core, nil, testNames{}, discardLogger())
 		s := list("l", Worker{Name: "a", Addr: "h:1"})
 		s.Zone, s.MachineType = "z2", "mixed"
 		require.NoError(t, f.Apply(t.Context(), nil, []Source{own, s}))
@@ -127,11 +127,11 @@
 	})
 }
 
-// The feed's own timer lets a stale list go, and nobody has to speak for it.
+// The feed's own timer must expire a stale list without any further report.
 func TestFeedKeepsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core := &told{}
-		f := NewFeed(ModelAPI, core, nil, nil, quiet())
+		core := &recordingCore{}
+		f := NewFeed(ModelAPI, core, nil, nil, discardLogger())
 		s := own
 		s.Keep = conffile.Duration{Duration: time.Minute}
 		require.NoError(t, f.Apply(t.Context(), nil, []Source{s}))
