--- a/discovery/sources/feed.go
+++ b/discovery/sources/feed.go
@@ -174,7 +174,7 @@
 	case KindStore:
 		registry := f.registry
 		if len(s.API) > 0 {
-			registry = storesource.Remote{Client: store.NewClient(s.API...), Pace: remotePollInterval}
+			registry = storesource.Remote{Client: store.NewClient(s.API...), PollInterval: remotePollInterval}
 		}
 		if registry == nil {
 			return nil, c.Bad(s.Name, "api", s.API, "this router holds no replica of the store, and no other one is named")
--- a/discovery/storesource/source.go
+++ b/discovery/storesource/source.go
@@ -1,5 +1,5 @@
-// Package storesource follows the workers that have registered in the
-// replicated store: one node for each, below one parent.
+// Package storesource follows the workers that have registered in the replicated store: each is one
+// node below a common parent.
 package storesource
 
 import (
@@ -17,19 +17,19 @@
 	"lichenshelf/store"
 )
 
-// BackendsPath is where workers register, unless an operator's file says otherwise.
+// BackendsPath is the parent node of the registrations unless an operator's file names another.
 const BackendsPath = "/backends"
 
-// Registry is what is read of the store; a Replica is one, a Remote another.
+// Registry is the part of the store that a Source reads. Replica and Remote implement it.
 type Registry interface {
 	Get(path string) ([]byte, store.Stat, error)
 	Children(path string) ([]string, error)
-	// Watch returns a channel that is closed at the path's next change, and a
-	// function that ends the watch.
+	// Watch returns a channel that is closed at the path's next change, and a function that ends
+	// the watch.
 	Watch(path string) (changed <-chan struct{}, stop func(), err error)
 }
 
-// Replica is a store's replica in this process.
+// Replica is a replica of the store in this process.
 type Replica struct{ *store.Replica }
 
 // Watch implements Registry.
@@ -41,36 +41,36 @@
 	return w.Changed(), w.Stop, nil
 }
 
-// settle is how long a read waits for a replica that has started just now.
-const settle = 2 * time.Second
+// settleTimeout is how long a read waits for a replica that has just started.
+const settleTimeout = 2 * time.Second
 
-// Get implements Registry. A replica that has started just now is waited for: what it has
-// may be older than what was acknowledged.
+// Get implements Registry. It waits for a replica that has just started, whose data may be older
+// than what was acknowledged.
 func (r Replica) Get(path string) ([]byte, store.Stat, error) {
-	r.wait()
+	r.waitCurrent()
 	return r.Replica.Get(path)
 }
 
-// Children implements Registry, as Get does.
+// Children implements Registry. It waits as Get does.
 func (r Replica) Children(path string) ([]string, error) {
-	r.wait()
+	r.waitCurrent()
 	return r.Replica.Children(path)
 }
 
-func (r Replica) wait() {
+func (r Replica) waitCurrent() {
 	if r.Current() {
 		return
 	}
 	select {
 	case <-r.Settled():
-	case <-time.After(settle):
+	case <-time.After(settleTimeout):
 	}
 }
 
-// Remote asks replicas over their API. Its watches are looks at a fixed pace.
+// Remote reads from replicas over their API. Instead of watching, it polls at a fixed interval.
 type Remote struct {
-	Client *store.Client
-	Pace   time.Duration
+	Client       *store.Client
+	PollInterval time.Duration
 }
 
 // Get implements Registry.
@@ -88,11 +88,11 @@
 // Watch implements Registry.
 func (r Remote) Watch(string) (<-chan struct{}, func(), error) {
 	changed := make(chan struct{})
-	t := time.AfterFunc(r.Pace, func() { close(changed) })
+	t := time.AfterFunc(r.PollInterval, func() { close(changed) })
 	return changed, func() { t.Stop() }, nil
 }
 
-// Sink takes what a source has to say.
+// Sink receives the reports of a source.
 type Sink interface {
 	Report(membership.Report)
 	Fail(error)
@@ -105,13 +105,13 @@
 	parent   string
 	template membership.Entry
 
-	known map[string]int64  // the names that are listed, and the version that was read
-	stops map[string]func() // of the watches that are set
+	known     map[string]int64  // the versions read of the listed nodes, by name
+	stopWatch map[string]func() // ends the open watches, by path
 }
 
-// New returns a source. The template gives what a registration does not tell.
+// New returns a source. The template holds the values that a registration leaves out.
 func New(reg Registry, parent string, template membership.Entry) *Source {
-	return &Source{reg: reg, parent: parent, template: template, known: map[string]int64{}, stops: map[string]func(){}}
+	return &Source{reg: reg, parent: parent, template: template, known: map[string]int64{}, stopWatch: map[string]func(){}}
 }
 
 const (
@@ -119,32 +119,32 @@
 	retryMax = 5 * time.Second
 )
 
-// Run follows the store until ctx ends. The first report is the whole list, each
-// later one what has changed. A node that has vanished is told gone: its session
-// has ended or somebody has removed it, and both say something of the worker.
+// Run follows the store until ctx ends. The first report is the whole list, each later one holds
+// the changes. A node that no longer exists is reported as Gone: its session has ended or someone
+// has removed it, and in both cases the worker is not to be used.
 func (s *Source) Run(ctx context.Context, sink Sink) {
 	defer func() {
-		for _, stop := range s.stops {
+		for _, stop := range s.stopWatch {
 			stop()
 		}
 	}()
-	again := backoff.NewExponentialBackOff()
-	again.InitialInterval, again.MaxInterval = retryMin, retryMax
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = retryMin, retryMax
 	changed := make(chan string)
-	report := map[string]membership.Entry{} // what is to be told, by name
+	report := map[string]membership.Entry{} // the next report, by name
 	for whole, paths := true, []string{s.parent}; ctx.Err() == nil; {
 		err := s.read(ctx, paths, changed, sink, report)
 		wait := (<-chan time.Time)(nil)
-		if err != nil { // what was read so far is told with the rest
+		if err != nil { // the entries read so far are reported with the rest
 			sink.Fail(err)
-			wait = time.After(again.NextBackOff())
+			wait = time.After(retryBackoff.NextBackOff())
 		} else {
 			if whole || len(report) > 0 {
 				sink.Report(membership.Report{Whole: whole, Entries: slices.Collect(maps.Values(report))})
 			}
 			whole, paths = false, nil
 			clear(report)
-			again.Reset()
+			retryBackoff.Reset()
 		}
 		select {
 		case path := <-changed:
@@ -155,12 +155,11 @@
 	}
 }
 
-// read takes in what has changed at the paths, the parent's list or a node, and
-// adds it to the report.
+// read reads the changed paths, the parent or nodes below it, and adds the changes to the report.
 func (s *Source) read(ctx context.Context, paths []string, changed chan<- string, sink Sink, report map[string]membership.Entry) error {
 	for i := 0; i < len(paths); i++ {
 		path := paths[i]
-		// The watch comes before the read that it guards, so no change is missed.
+		// The watch is set before the read so that no change in between is missed.
 		if err := s.watch(ctx, path, changed); err != nil {
 			return fmt.Errorf("watch %s: %w", path, err)
 		}
@@ -187,34 +186,35 @@
 		}
 		for name := range s.known {
 			if !listed[name] {
-				report[name] = s.gone(name)
+				report[name] = s.removed(name)
 			}
 		}
 	}
 	return nil
 }
 
-func (s *Source) gone(name string) membership.Entry {
+// removed forgets a node that no longer exists and returns its entry for the report.
+func (s *Source) removed(name string) membership.Entry {
 	delete(s.known, name)
 	path := s.parent + "/" + name
-	if stop := s.stops[path]; stop != nil {
+	if stop := s.stopWatch[path]; stop != nil {
 		stop()
-		delete(s.stops, path)
+		delete(s.stopWatch, path)
 	}
 	return membership.Entry{Name: name, Word: membership.Gone}
 }
 
-// node reads one registration. What makes no sense leaves its worker as it was.
+// node reads one registration. An invalid one leaves its worker unchanged.
 func (s *Source) node(path string, sink Sink) (*membership.Entry, error) {
 	name := path[len(s.parent)+1:]
 	data, stat, err := s.reg.Get(path)
 	_, known := s.known[name]
 	switch {
-	case errors.Is(err, store.ErrNoNode): // gone since the list was read, or since the watch was set
+	case errors.Is(err, store.ErrNoNode): // removed since the list was read or the watch was set
 		if !known {
 			return nil, nil
 		}
-		e := s.gone(name)
+		e := s.removed(name)
 		return &e, nil
 	case err != nil:
 		return nil, fmt.Errorf("read %s: %w", path, err)
@@ -228,18 +228,18 @@
 	return &e, nil
 }
 
-// watch has the path sent to changed at its next change.
+// watch sends the path to changed at its next change.
 func (s *Source) watch(ctx context.Context, path string, changed chan<- string) error {
-	if stop := s.stops[path]; stop != nil {
+	if stop := s.stopWatch[path]; stop != nil {
 		stop()
-		delete(s.stops, path)
+		delete(s.stopWatch, path)
 	}
 	fired, stop, err := s.reg.Watch(path)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	s.stops[path] = func() { cancel(); stop() }
+	s.stopWatch[path] = func() { cancel(); stop() }
 	go func() {
 		select {
 		case <-fired:
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// Parse reads a registration. A weight of 0 stands for none.
+// Parse reads a registration. A weight of 0 means that none is stated.
 func Parse(name string, data []byte, template membership.Entry) (membership.Entry, error) {
 	e, err := zkrule.JSON.Parse(name, data, template)
 	if e.Weight == 0 {
--- a/discovery/storesource/source_test.go
+++ b/discovery/storesource/source_test.go
@@ -17,22 +17,22 @@
 	"lichenshelf/store"
 )
 
-// sink keeps the set that the reports lead to.
-type sink struct {
+// recordingSink keeps what a source reports.
+type recordingSink struct {
 	reports chan membership.Report
 	fails   chan error
 	warns   chan error
 }
 
-func newSink() *sink {
-	return &sink{make(chan membership.Report, 16), make(chan error, 16), make(chan error, 16)}
+func newRecordingSink() *recordingSink {
+	return &recordingSink{make(chan membership.Report, 16), make(chan error, 16), make(chan error, 16)}
 }
 
-func (s *sink) Report(r membership.Report) { s.reports <- r }
-func (s *sink) Fail(err error)             { s.fails <- err }
-func (s *sink) Warn(err error)             { s.warns <- err }
+func (s *recordingSink) Report(r membership.Report) { s.reports <- r }
+func (s *recordingSink) Fail(err error)             { s.fails <- err }
+func (s *recordingSink) Warn(err error)             { s.warns <- err }
 
-func (s *sink) next(t *testing.T) map[string]membership.Entry {
+func (s *recordingSink) next(t *testing.T) map[string]membership.Entry {
 	t.Helper()
 	select {
 	case r := <-s.reports:
@@ -62,12 +62,12 @@
 
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	s := newSink()
+	s := newRecordingSink()
 	go New(Replica{replica}, BackendsPath, membership.Entry{Weight: 1, Cell: 7, Zone: 4}).Run(ctx, s)
 	require.Equal(t, map[string]membership.Entry{"a": {Name: "a", Addr: "h:1", Weight: 3, Cell: 2, Zone: 4, Since: 5e6}}, s.next(t))
 	require.NoError(t, replica.Create(b, []byte(`{"addr":"h:2"}`), ""))
 	require.Equal(t, map[string]membership.Entry{"b": {Name: "b", Addr: "h:2", Weight: 1, Cell: 7, Zone: 4}}, s.next(t), "only what changed")
-	// Half a payload leaves the worker as it was, until it is corrected.
+	// A truncated payload leaves the worker unchanged until it is corrected.
 	require.NoError(t, replica.Set(b, []byte(`{"addr":"h:2","drai`), 0))
 	require.ErrorContains(t, <-s.warns, b)
 	require.NoError(t, replica.Set(b, []byte(`{"addr":"h:2","draining":true}`), 1))
@@ -79,15 +79,15 @@
 	require.Empty(t, s.fails)
 }
 
-// shelf is a registry whose reads fail on command.
-type shelf struct {
+// fakeRegistry is a registry whose reads can be made to fail.
+type fakeRegistry struct {
 	mu      sync.Mutex
 	nodes   map[string]string
-	failing map[string]int // so many reads of a path still fail
+	failing map[string]int // how many more reads of a path fail
 	watches map[string][]chan struct{}
 }
 
-func (s *shelf) read(path string) error {
+func (s *fakeRegistry) fail(path string) error {
 	if s.failing[path] > 0 {
 		s.failing[path]--
 		return errors.New("cut off")
@@ -95,10 +95,10 @@
 	return nil
 }
 
-func (s *shelf) Get(path string) ([]byte, store.Stat, error) {
+func (s *fakeRegistry) Get(path string) ([]byte, store.Stat, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.read(path); err != nil {
+	if err := s.fail(path); err != nil {
 		return nil, store.Stat{}, err
 	}
 	data, ok := s.nodes[path]
@@ -108,16 +108,16 @@
 	return []byte(data), store.Stat{}, nil
 }
 
-func (s *shelf) Children(path string) (out []string, err error) {
+func (s *fakeRegistry) Children(path string) (out []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range slices.Sorted(maps.Keys(s.nodes)) {
 		out = append(out, p[len(path)+1:])
 	}
-	return out, s.read(path)
+	return out, s.fail(path)
 }
 
-func (s *shelf) Watch(path string) (<-chan struct{}, func(), error) {
+func (s *fakeRegistry) Watch(path string) (<-chan struct{}, func(), error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := make(chan struct{})
@@ -125,7 +125,7 @@
 	return c, func() {}, nil
 }
 
-func (s *shelf) change(path string, f func()) {
+func (s *fakeRegistry) change(path string, f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -137,15 +137,15 @@
 
 // A read that fails midway must lose nothing of what was read before it.
 func TestReadsThatFailMidwayLoseNothing(t *testing.T) {
-	s := &shelf{nodes: map[string]string{}, failing: map[string]int{"/w/n3": 2, "/w": 1}, watches: map[string][]chan struct{}{}}
+	s := &fakeRegistry{nodes: map[string]string{}, failing: map[string]int{"/w/n3": 2, "/w": 1}, watches: map[string][]chan struct{}{}}
 	for i := range 6 {
 		s.nodes[fmt.Sprintf("/w/n%d", i)] = `{"addr":"h:1"}`
 	}
-	k := newSink()
+	k := newRecordingSink()
 	go New(s, "/w", membership.Entry{}).Run(t.Context(), k)
 	require.Len(t, k.next(t), 6)
 	require.Len(t, k.fails, 3)
-	// A node that goes between the list and its read was never there.
+	// A removed node is reported as gone, an invalid one as a warning.
 	s.change("/w", func() { s.nodes["/w/n7"] = `{"addr":"h:7"}`; s.nodes["/w/n8"] = "{"; delete(s.nodes, "/w/n0") })
 	got := k.next(t)
 	require.Len(t, got, 2)
