--- a/discovery/dnsrule/lookup.go
+++ b/discovery/dnsrule/lookup.go
@@ -13,20 +13,20 @@
 	"github.com/miekg/dns"
 )
 
-// MaxTargets bounds the targets of one name.
+// MaxTargets is the most targets that one name may have.
 const MaxTargets = 4096
 
-// Family says which addresses of a target are asked for.
+// Family states which addresses of a target are queried.
 type Family uint8
 
-// The families of addresses.
+// The address families.
 const (
 	IPv4 Family = 1 << iota
 	IPv6
 	Both = IPv4 | IPv6
 )
 
-// Endpoint is a worker as SRV records describe it.
+// Endpoint is a worker as described by SRV records.
 type Endpoint struct {
 	Addr     netip.AddrPort
 	Target   string // without the final dot
@@ -34,33 +34,33 @@
 	Weight   int
 }
 
-// Result is what a look-up has found.
+// Result is the outcome of a look-up.
 type Result struct {
 	Endpoints []Endpoint // by priority, then by address; each address once
-	// Closed means that the name says of itself, with the target ".", that the
-	// service is not to be had here: empty, and meant.
+	// Closed means that the name has the single target ".", which states that the service is not
+	// available here: an intended empty list.
 	Closed bool
 	// Missing means that the name does not exist or has no SRV record.
 	Missing bool
 	TTL     time.Duration
-	// Unknown are targets whose addresses could not be asked for, with the reason;
-	// what is known of them from before still holds.
+	// Unknown holds the targets whose addresses could not be queried, with the reason. Their
+	// addresses from an earlier result remain valid.
 	Unknown map[string]error
-	// Nowhere are targets that have no address.
-	Nowhere []string
+	// WithoutAddress holds the targets that have no address.
+	WithoutAddress []string
 }
 
-// Lookup is one look-up of an SRV name, a machine without I/O: Ask gives the
-// questions to put, Answered and Failed take what became of each. It is done when
-// Ask gives nothing and no question is out.
+// Lookup is one look-up of an SRV name, as a state machine without I/O. NextQuestions returns the
+// questions to send; Answered or Failed reports the outcome of each. The look-up is done when
+// NextQuestions returns none and no question is open.
 type Lookup struct {
 	family  Family
 	srv     Question
 	hops    int
 	records []*dns.SRV
 	targets map[string]*target
-	ask     []Question
-	out     map[Question][]string // the targets for which a question is out
+	pending []Question
+	asked   map[Question][]string // the targets of each open question
 	ttl     time.Duration
 	missing bool
 	err     error
@@ -69,68 +69,69 @@
 type target struct {
 	addrs []netip.Addr
 	hops  map[uint16]int
-	fault error
+	err   error
 }
 
-// ErrTooManyTargets is a name with more than MaxTargets records.
+// ErrTooManyTargets reports a name with more than MaxTargets records.
 var ErrTooManyTargets = fmt.Errorf("more than %d targets", MaxTargets)
 
-// NewLookup starts a look-up.
+// NewLookup returns a look-up of a name.
 func NewLookup(name string, family Family) *Lookup {
 	q := Question{dns.CanonicalName(name), dns.TypeSRV}
-	return &Lookup{family: family, srv: q, ask: []Question{q}, out: map[Question][]string{}, targets: map[string]*target{}, ttl: -1}
+	return &Lookup{family: family, srv: q, pending: []Question{q}, asked: map[Question][]string{}, targets: map[string]*target{}, ttl: -1}
 }
 
-// Ask takes the questions to put now.
-func (l *Lookup) Ask() []Question {
-	ask := l.ask
-	l.ask = nil
+// NextQuestions returns the questions to send now, each once.
+func (l *Lookup) NextQuestions() []Question {
+	ask := l.pending
+	l.pending = nil
 	return ask
 }
 
-// Done tells whether nothing is left to ask.
+// Done reports whether no question is pending or open.
 func (l *Lookup) Done() bool {
-	return l.err != nil || len(l.ask) == 0 && len(l.out) == 0 && l.srv.Name == ""
+	return l.err != nil || len(l.pending) == 0 && len(l.asked) == 0 && l.srv.Name == ""
 }
 
-// Answered takes the answer to a question of Ask.
+// Answered applies the answer to a question.
 func (l *Lookup) Answered(q Question, a Answer) {
-	targets := l.out[q]
-	delete(l.out, q)
+	targets := l.asked[q]
+	delete(l.asked, q)
 	switch {
 	case l.err != nil:
 	case q == l.srv:
-		l.service(a)
+		l.applyService(a)
 	default:
 		for _, name := range targets {
-			l.address(name, q, a)
+			l.applyAddress(name, q, a)
 		}
 	}
 }
 
-// Failed takes that a question of Ask had no answer.
+// Failed records that a question got no answer.
 func (l *Lookup) Failed(q Question, err error) {
-	targets := l.out[q]
-	delete(l.out, q)
+	targets := l.asked[q]
+	delete(l.asked, q)
 	if q == l.srv {
 		l.err = err
 	}
 	for _, name := range targets {
-		if t := l.targets[name]; t.fault == nil {
-			t.fault = err
+		if t := l.targets[name]; t.err == nil {
+			t.err = err
 		}
 	}
 }
 
-func (l *Lookup) lasts(ttl time.Duration) {
+// limitTTL lowers the lifetime of the result to ttl.
+func (l *Lookup) limitTTL(ttl time.Duration) {
 	if l.ttl < 0 || ttl < l.ttl {
 		l.ttl = ttl
 	}
 }
 
-// service takes the answer to the SRV question.
-func (l *Lookup) service(a Answer) {
-	l.lasts(a.TTL)
+// applyService applies the answer to the SRV question.
+func (l *Lookup) applyService(a Answer) {
+	l.limitTTL(a.TTL)
 	l.hops += a.Hops
 	switch {
 	case a.Alias != "":
@@ -139,7 +140,7 @@
 			return
 		}
 		l.srv.Name = a.Alias
-		l.ask = append(l.ask, l.srv)
+		l.pending = append(l.pending, l.srv)
 		return
 	case len(a.SRV) > MaxTargets:
 		l.err = ErrTooManyTargets
@@ -154,8 +155,8 @@
 			continue
 		}
 		l.targets[name] = &target{hops: map[uint16]int{}}
-		// One family alone in the additional section does not show that the
-		// other is missing, but it is enough to reach the worker.
+		// Addresses of one family in the additional section do not show that the other family is
+		// missing, but they are enough to reach the worker.
 		for _, addr := range a.Extra[name] {
 			if l.wants(addr) {
 				l.targets[name].addrs = append(l.targets[name].addrs, addr)
@@ -165,16 +166,17 @@
 			continue
 		}
 		for _, t := range l.types() {
-			l.put(name, Question{name, t})
+			l.enqueue(name, Question{name, t})
 		}
 	}
 }
 
-func (l *Lookup) put(name string, q Question) {
-	if l.out[q] == nil { // else two names lead to one: asking once is enough
-		l.ask = append(l.ask, q)
+// enqueue adds a question for the address of a target.
+func (l *Lookup) enqueue(name string, q Question) {
+	if l.asked[q] == nil { // otherwise two targets are aliases of one name, which is queried once
+		l.pending = append(l.pending, q)
 	}
-	l.out[q] = append(l.out[q], name)
+	l.asked[q] = append(l.asked[q], name)
 }
 
 func (l *Lookup) types() (out []uint16) {
@@ -191,31 +193,31 @@
 	return addr.Is4() && l.family&IPv4 != 0 || addr.Is6() && l.family&IPv6 != 0
 }
 
-// address takes the answer to a question for a target's address.
-func (l *Lookup) address(name string, q Question, a Answer) {
+// applyAddress applies the answer to a question for a target's address.
+func (l *Lookup) applyAddress(name string, q Question, a Answer) {
 	t := l.targets[name]
 	if !a.Missing || len(l.types()) == 1 {
-		l.lasts(a.TTL)
+		l.limitTTL(a.TTL)
 	}
 	t.hops[q.Type] += a.Hops
 	switch {
 	case a.Alias == "":
 		t.addrs = append(t.addrs, a.Addrs...)
 	case t.hops[q.Type] > MaxAliases:
-		t.fault = fmt.Errorf("%w: %s", ErrAliases, name)
+		t.err = fmt.Errorf("%w: %s", ErrAliases, name)
 	default:
-		l.put(name, Question{a.Alias, q.Type})
+		l.enqueue(name, Question{a.Alias, q.Type})
 	}
 }
 
-// Result is what was found, once Done.
+// Result returns the outcome of a look-up that is done.
 func (l *Lookup) Result() (Result, error) {
 	if l.err != nil {
 		return Result{}, l.err
 	}
 	r := Result{Missing: l.missing, TTL: max(l.ttl, 0), Unknown: map[string]error{}}
 	best := map[netip.AddrPort]Endpoint{}
-	nowhere := map[string]bool{}
+	withoutAddress := map[string]bool{}
 	for _, srv := range l.records {
 		name := dns.CanonicalName(srv.Target)
 		if name == "." {
@@ -225,10 +227,10 @@
 		t, label := l.targets[name], strings.TrimSuffix(name, ".")
 		switch {
 		case len(t.addrs) > 0:
-		case t.fault != nil:
-			r.Unknown[label] = t.fault
+		case t.err != nil:
+			r.Unknown[label] = t.err
 		default:
-			nowhere[label] = true
+			withoutAddress[label] = true
 		}
 		for _, addr := range t.addrs {
 			e := Endpoint{netip.AddrPortFrom(addr, srv.Port), label, int(srv.Priority), int(srv.Weight)}
@@ -238,19 +240,19 @@
 		}
 	}
 	r.Endpoints = slices.SortedFunc(maps.Values(best), Endpoint.compare)
-	r.Nowhere = slices.Sorted(maps.Keys(nowhere))
+	r.WithoutAddress = slices.Sorted(maps.Keys(withoutAddress))
 	return r, nil
 }
 
-// compare orders endpoints: the better priority, the greater weight, the address.
+// compare orders endpoints by priority, then address, then the greater weight, then target.
 func (e Endpoint) compare(o Endpoint) int {
 	return cmp.Or(cmp.Compare(e.Priority, o.Priority), e.Addr.Compare(o.Addr), cmp.Compare(o.Weight, e.Weight),
 		cmp.Compare(e.Target, o.Target))
 }
 
-// Keep adds to a result what an earlier one knew of the targets that could not
-// be asked for this time.
-func (r Result) Keep(earlier Result) Result {
+// KeepUnknown returns the result with the endpoints from an earlier result of the targets in
+// Unknown.
+func (r Result) KeepUnknown(earlier Result) Result {
 	if len(r.Unknown) == 0 {
 		return r
 	}
@@ -269,13 +271,13 @@
 	return r
 }
 
-// ErrNoAgreement is said where too few name servers gave the same.
+// ErrNoAgreement reports that too few name servers returned the same result.
 var ErrNoAgreement = errors.New("the name servers do not agree")
 
-// Agree chooses, of the results that several name servers gave, the one that at
-// least need of them share. Lifetimes may differ, being what is left of them in
-// each server's cache: the least one counts.
-func Agree(results []Result, need int) (Result, error) {
+// Agree returns, of the results of several name servers, the one that at least required of them
+// share. Lifetimes may differ, since each server returns what remains in its cache; the shortest
+// one counts.
+func Agree(results []Result, required int) (Result, error) {
 	type group struct {
 		result Result
 		n      int
@@ -299,16 +301,17 @@
 			best = g
 		}
 	}
-	if best == nil || best.n < need {
+	if best == nil || best.n < required {
 		n := 0
 		if best != nil {
 			n = best.n
 		}
-		return Result{}, fmt.Errorf("%w: %d of %d give the same, %d needed", ErrNoAgreement, n, len(results), need)
+		return Result{}, fmt.Errorf("%w: %d of %d give the same, %d needed", ErrNoAgreement, n, len(results), required)
 	}
 	return best.result, nil
 }
 
+// fingerprint returns a key that is equal for results that agree.
 func (r Result) fingerprint() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v %v", r.Closed, r.Missing)
@@ -318,10 +321,10 @@
 	return b.String()
 }
 
-// Weights turns SRV weights into shares around 1, the weight of a worker that
-// nobody weighs: each is divided by the median of those above 0, so that equal
-// weights are 1 whatever their scale, and one worker more changes few of them.
-// A weight of 0 asks for little (RFC 2782); shares lie between 0.05 and 20.
+// Weights converts SRV weights to shares around 1, which is the weight of a worker without a stated
+// one. Each weight is divided by the median of those above 0. So equal weights become 1 whatever
+// their scale, and one additional worker changes few of them. A weight of 0 asks for little traffic
+// (RFC 2782); shares lie between 0.05 and 20.
 func Weights(endpoints []Endpoint) []float64 {
 	var given []int
 	for _, e := range endpoints {
--- a/discovery/dnsrule/message.go
+++ b/discovery/dnsrule/message.go
@@ -1,10 +1,10 @@
-// Package dnsrule decides what the DNS has said: which answer belongs to which
-// question, what it means, which question comes next, how long the outcome
-// lasts, and which name server is asked first. It does no I/O.
+// Package dnsrule contains the rules for DNS answers: which answer belongs to which question, what
+// it means, which question comes next, how long the result is valid, and in which order name
+// servers are asked. It does no I/O.
 //
-// Sources: RFC 1035 (messages), RFC 2181 (section 5.4.1, what may be trusted),
-// RFC 2308 (negative answers), RFC 2782 (SRV), RFC 5452 (answers that are not
-// ours), RFC 6891 (EDNS0), RFC 8767 (serving stale).
+// References: RFC 1035 (messages), RFC 2181 (section 5.4.1, which data to trust), RFC 2308
+// (negative answers), RFC 2782 (SRV), RFC 5452 (forged answers), RFC 6891 (EDNS0), RFC 8767
+// (serving stale data).
 package dnsrule
 
 import (
@@ -16,12 +16,11 @@
 	"github.com/miekg/dns"
 )
 
-// UDPSize is the size of answers over UDP that is announced, in bytes: what
-// passes without fragments on common networks.
+// UDPSize is the announced maximum size of answers over UDP, in bytes. Answers of that size are not
+// fragmented on common networks.
 const UDPSize = 1232
 
-// Question is one thing to ask. Name is in canonical form: lower case, with the
-// final dot.
+// Question is one DNS question. Name is in canonical form: lower case, with the final dot.
 type Question struct {
 	Name string
 	Type uint16 // dns.TypeSRV, dns.TypeA or dns.TypeAAAA
@@ -29,7 +28,7 @@
 
 func (q Question) String() string { return q.Name + " " + dns.TypeToString[q.Type] }
 
-// Message is the question as it goes out, under the given id.
+// Message returns the query for the question with the given id.
 func (q Question) Message(id uint16) *dns.Msg {
 	m := new(dns.Msg)
 	m.SetQuestion(q.Name, q.Type)
@@ -37,57 +36,57 @@
 	return m.SetEdns0(UDPSize, false)
 }
 
-// ErrNotOurs is an answer to another question, or none at all. Over UDP it says
-// nothing: the right one may still come.
-var ErrNotOurs = errors.New("not an answer to the question")
+// ErrMismatch reports a message that is not an answer to the question. Over UDP it is ignored, as
+// the right answer may still come.
+var ErrMismatch = errors.New("not an answer to the question")
 
-// Parse reads what has come back for a question sent under an id.
+// Parse unpacks a message and checks that it answers a question that was sent with the given id.
 func Parse(wire []byte, q Question, id uint16) (*dns.Msg, error) {
 	m := new(dns.Msg)
 	if err := m.Unpack(wire); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotOurs, err)
+		return nil, fmt.Errorf("%w: %w", ErrMismatch, err)
 	}
 	switch {
 	case m.Id != id:
-		return nil, fmt.Errorf("%w: id %d instead of %d", ErrNotOurs, m.Id, id)
+		return nil, fmt.Errorf("%w: id %d instead of %d", ErrMismatch, m.Id, id)
 	case !m.Response || m.Opcode != dns.OpcodeQuery:
-		return nil, fmt.Errorf("%w: no response to a query", ErrNotOurs)
+		return nil, fmt.Errorf("%w: no response to a query", ErrMismatch)
 	case len(m.Question) == 0 && m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError:
-		// A server that could not read the question need not repeat it.
+		// A server that could not parse the question need not repeat it.
 	case len(m.Question) != 1 || dns.CanonicalName(m.Question[0].Name) != q.Name ||
 		m.Question[0].Qtype != q.Type || m.Question[0].Qclass != dns.ClassINET:
-		return nil, fmt.Errorf("%w: another question", ErrNotOurs)
+		return nil, fmt.Errorf("%w: another question", ErrMismatch)
 	}
 	return m, nil
 }
 
-// Answer is what a message says to its question.
+// Answer is the content of a message that answers a question.
 type Answer struct {
-	// Alias is where the question leads, if the message does not hold the records
-	// there: the next name to ask for. All else is then empty but TTL.
+	// Alias is the next name to query if the message has a CNAME chain but not the records at its
+	// end. All other fields but Hops and TTL are empty then.
 	Alias   string
-	Hops    int // aliases that were followed within the message
+	Hops    int // number of aliases followed within the message
 	SRV     []*dns.SRV
 	Addrs   []netip.Addr
 	Extra   map[string][]netip.Addr // from the additional section, by name
 	Missing bool                    // the name does not exist, or has no such record
-	// TTL is the least lifetime of all that was used; of a missing name, the one
-	// that its SOA states, or 0 if there is none.
+	// TTL is the shortest lifetime of all records used. For a missing name it is the one that the
+	// SOA states, or 0 without an SOA.
 	TTL time.Duration
 }
 
-// The failures of a name server: another one may know.
+// The errors of a name server. Another one may be able to answer.
 var (
 	ErrServer    = errors.New("the name server failed")
 	ErrTruncated = errors.New("the answer is truncated")
 	ErrAliases   = errors.New("too many aliases, or a loop of them")
 )
 
-// MaxAliases bounds a chain of CNAME records.
+// MaxAliases is the most CNAME records in a chain.
 const MaxAliases = 8
 
-// Read tells what a message says to its question. An error is the name server's
-// failure; ErrTruncated asks for the same question over TCP.
+// Read returns the content of a message that answers a question. An error is a failure of the name
+// server; with ErrTruncated the question has to be sent again over TCP.
 func Read(m *dns.Msg, q Question) (Answer, error) {
 	if m.Truncated {
 		return Answer{}, ErrTruncated
@@ -110,15 +109,15 @@
 			}
 			if c, ok := rr.(*dns.CNAME); ok {
 				alias = dns.CanonicalName(c.Target)
-				a.lasts(h.Ttl)
+				a.limitTTL(h.Ttl)
 				continue
 			}
-			if h.Rrtype == q.Type && a.take(rr) {
-				a.lasts(h.Ttl)
+			if h.Rrtype == q.Type && a.addRecord(rr) {
+				a.limitTTL(h.Ttl)
 			}
 		}
 		if len(a.SRV)+len(a.Addrs) > 0 {
-			a.extras(m)
+			a.addExtra(m)
 			return a, nil
 		}
 		if alias == "" {
@@ -132,7 +131,7 @@
 		return a, nil
 	}
 	a.Missing = true
-	a.TTL = negative(m)
+	a.TTL = negativeTTL(m)
 	return a, nil
 }
 
@@ -143,8 +142,8 @@
 	return fmt.Sprintf("code %d", code)
 }
 
-// lasts notes a lifetime. One with the top bit set counts as 0 (RFC 2181).
-func (a *Answer) lasts(ttl uint32) {
+// limitTTL lowers the lifetime to ttl seconds. A value with the top bit set counts as 0 (RFC 2181).
+func (a *Answer) limitTTL(ttl uint32) {
 	if ttl > 1<<31-1 {
 		ttl = 0
 	}
@@ -153,7 +152,8 @@
 	}
 }
 
-func (a *Answer) take(rr dns.RR) bool {
+// addRecord adds an SRV or address record and reports whether it was valid.
+func (a *Answer) addRecord(rr dns.RR) bool {
 	if srv, ok := rr.(*dns.SRV); ok {
 		a.SRV = append(a.SRV, srv)
 		return true
@@ -165,8 +165,8 @@
 	return ok
 }
 
-// address reads an A or AAAA record. An address that no worker can have, the
-// unspecified one or a multicast one, is none.
+// address returns the address of an A or AAAA record. It rejects addresses that no worker can have:
+// the unspecified one and multicast ones.
 func address(rr dns.RR) (netip.Addr, bool) {
 	var addr netip.Addr
 	switch r := rr.(type) {
@@ -179,8 +179,8 @@
 	return addr, addr.IsValid() && !addr.IsUnspecified() && !addr.IsMulticast()
 }
 
-// extras takes the addresses that come along for the targets that were named.
-func (a *Answer) extras(m *dns.Msg) {
+// addExtra adds the addresses of SRV targets from the additional section.
+func (a *Answer) addExtra(m *dns.Msg) {
 	if len(a.SRV) == 0 {
 		return
 	}
@@ -193,7 +193,7 @@
 		name := dns.CanonicalName(rr.Header().Name)
 		if addr, ok := address(rr); ok && targets[name] && rr.Header().Class == dns.ClassINET {
 			a.Extra[name] = append(a.Extra[name], addr)
-			a.lasts(rr.Header().Ttl)
+			a.limitTTL(rr.Header().Ttl)
 		}
 	}
 }
@@ -209,15 +209,15 @@
 	return nil
 }
 
-// negative is how long a missing name may count as missing (RFC 2308, section 5).
-func negative(m *dns.Msg) time.Duration {
+// negativeTTL returns how long a missing name counts as missing (RFC 2308, section 5).
+func negativeTTL(m *dns.Msg) time.Duration {
 	s := soa(m)
 	if s == nil {
 		return 0
 	}
 	var a Answer
 	a.TTL = -1
-	a.lasts(s.Hdr.Ttl)
-	a.lasts(s.Minttl)
+	a.limitTTL(s.Hdr.Ttl)
+	a.limitTTL(s.Minttl)
 	return a.TTL
 }
--- a/discovery/dnsrule/rule_test.go
+++ b/discovery/dnsrule/rule_test.go
@@ -14,8 +14,8 @@
 
 var service = Question{"_chat._tcp.test.", dns.TypeSRV}
 
-// message is a response to a question with the given records; those behind an
-// "extra" or "ns" stand in these sections.
+// message returns a response to a question with the given records. Records after "extra" or "ns" go
+// into that section.
 func message(t testing.TB, q Question, code int, lines ...string) *dns.Msg {
 	m := q.Message(7)
 	m.Response, m.Rcode, m.Extra = true, code, nil
@@ -47,7 +47,7 @@
 	_, err := Parse(wire(t, good), service, 7)
 	require.NoError(t, err)
 	odd := message(t, service, 0)
-	odd.Question[0].Name = "_CHAT._tcp.Test." // servers may keep the letters' case or not
+	odd.Question[0].Name = "_CHAT._tcp.Test." // servers may or may not keep the case of letters
 	_, err = Parse(wire(t, odd), service, 7)
 	require.NoError(t, err)
 	for name, spoil := range map[string]func(*dns.Msg){
@@ -62,10 +62,10 @@
 		m := message(t, service, 0)
 		spoil(m)
 		_, err := Parse(wire(t, m), service, 7)
-		require.ErrorIs(t, err, ErrNotOurs, name)
+		require.ErrorIs(t, err, ErrMismatch, name)
 	}
 	_, err = Parse([]byte("nonsense"), service, 7)
-	require.ErrorIs(t, err, ErrNotOurs)
+	require.ErrorIs(t, err, ErrMismatch)
 	refused := message(t, service, dns.RcodeFormatError)
 	refused.Question = nil
 	m, err := Parse(wire(t, refused), service, 7)
@@ -81,7 +81,7 @@
 	soaT  = "test. 60 IN SOA ns.test. admin.test. 1 60 60 60 5"
 )
 
-func TestReadTellsAnswersApart(t *testing.T) {
+func TestReadDistinguishesAnswers(t *testing.T) {
 	for _, code := range []int{dns.RcodeServerFailure, dns.RcodeRefused, dns.RcodeNotImplemented, 4095} {
 		_, err := Read(&dns.Msg{MsgHdr: dns.MsgHdr{Rcode: code}}, service)
 		require.ErrorIs(t, err, ErrServer, code)
@@ -89,7 +89,7 @@
 	cut := message(t, service, 0, srvA)
 	cut.Truncated = true
 	_, err := Read(cut, service)
-	require.ErrorIs(t, err, ErrTruncated, "what is in a truncated answer is not used")
+	require.ErrorIs(t, err, ErrTruncated, "the records of a truncated answer are not used")
 
 	a, err := Read(message(t, service, 0, srvA, srvB, "_chat._tcp.test. 1 CH SRV 1 1 1 c.test.",
 		"extra", addrA, "a.test. 20 IN AAAA 2001:db8::1", "evil.test. 1 IN A 10.6.6.6", "b.test. 20 IN A 0.0.0.0", "b.test. 20 IN A 224.0.0.1"), service)
@@ -101,7 +101,7 @@
 	a, err = Read(message(t, service, dns.RcodeNameError, "ns", soaT), service)
 	require.NoError(t, err)
 	require.True(t, a.Missing)
-	require.Equal(t, 5*time.Second, a.TTL, "the SOA's minimum, if that is less than its own lifetime")
+	require.Equal(t, 5*time.Second, a.TTL, "the SOA's minimum, if it is shorter than the SOA's lifetime")
 	a, err = Read(message(t, service, 0), service)
 	require.NoError(t, err)
 	require.True(t, a.Missing)
@@ -118,18 +118,18 @@
 	require.Equal(t, 40*time.Second, a.TTL)
 	a, err = Read(message(t, service, 0, "_chat._tcp.test. 50 IN CNAME x.test."), service)
 	require.NoError(t, err)
-	require.Equal(t, "x.test.", a.Alias, "to be asked for")
+	require.Equal(t, "x.test.", a.Alias, "the next name to query")
 	a, err = Read(message(t, service, 0, "_chat._tcp.test. 50 IN CNAME x.test.", "ns", soaT), service)
 	require.NoError(t, err)
 	require.True(t, a.Missing)
 	_, err = Read(message(t, service, 0, "_chat._tcp.test. 50 IN CNAME x.test.", "x.test. 50 IN CNAME _chat._tcp.test."), service)
 	require.ErrorIs(t, err, ErrAliases)
 
-	// A loop over several messages is as long as none, and is cut.
+	// A loop over several messages is ended at MaxAliases.
 	l := NewLookup(service.Name, IPv4)
 	asked := 0
 	for !l.Done() {
-		for _, q := range l.Ask() {
+		for _, q := range l.NextQuestions() {
 			asked++
 			l.Answered(q, Answer{Alias: fmt.Sprintf("x%d.test.", asked%2), Hops: 1})
 		}
@@ -139,10 +139,10 @@
 	require.LessOrEqual(t, asked, MaxAliases+1)
 }
 
-// drive answers a look-up from records by question; what is not there fails.
+// drive answers a look-up from the given messages. Questions without a message fail.
 func drive(t testing.TB, l *Lookup, answers map[Question]*dns.Msg) (asked []Question) {
 	for !l.Done() {
-		for _, q := range l.Ask() {
+		for _, q := range l.NextQuestions() {
 			asked = append(asked, q)
 			m := answers[q]
 			if m == nil {
@@ -157,7 +157,7 @@
 	return asked
 }
 
-func TestLookupAsksForTheAddressesThatAreMissing(t *testing.T) {
+func TestLookupQueriesMissingAddresses(t *testing.T) {
 	b4, b6 := Question{"b.test.", dns.TypeA}, Question{"b.test.", dns.TypeAAAA}
 	real4 := Question{"real.test.", dns.TypeA}
 	answers := map[Question]*dns.Msg{
@@ -172,9 +172,9 @@
 	require.NoError(t, err)
 	require.Equal(t, []Endpoint{{netip.MustParseAddrPort("10.0.0.1:9001"), "a.test", 10, 5},
 		{netip.MustParseAddrPort("10.0.0.2:9002"), "b.test", 20, 5}, {netip.MustParseAddrPort("10.0.0.2:9003"), "b.test", 20, 5}}, r.Endpoints)
-	require.Equal(t, 15*time.Second, r.TTL, "a missing family has no say")
+	require.Equal(t, 15*time.Second, r.TTL, "a missing family does not limit the lifetime")
 
-	// A target whose address can't be asked for keeps what was known of it.
+	// A target whose address cannot be queried keeps its endpoints from the earlier result.
 	delete(answers, real4)
 	answers[service] = message(t, service, 0, srvA, srvB, "extra", addrA)
 	l = NewLookup(service.Name, IPv4)
@@ -183,19 +183,19 @@
 	require.NoError(t, err)
 	require.Contains(t, again.Unknown, "b.test")
 	require.Len(t, again.Endpoints, 1)
-	require.Len(t, again.Keep(r).Endpoints, 3)
+	require.Len(t, again.KeepUnknown(r).Endpoints, 3)
 
-	// One that has none has none.
+	// A target without an address loses its endpoints.
 	answers[b4] = message(t, b4, dns.RcodeNameError, "ns", soaT)
 	l = NewLookup(service.Name, IPv4)
 	drive(t, l, answers)
 	again, err = l.Result()
 	require.NoError(t, err)
-	require.Equal(t, []string{"b.test"}, again.Nowhere)
-	require.Len(t, again.Keep(r).Endpoints, 1)
+	require.Equal(t, []string{"b.test"}, again.WithoutAddress)
+	require.Len(t, again.KeepUnknown(r).Endpoints, 1)
 }
 
-func TestTwoTargetsThatLeadToOneName(t *testing.T) {
+func TestTwoTargetsWithOneAlias(t *testing.T) {
 	a4, b4, both := Question{"a.test.", dns.TypeA}, Question{"b.test.", dns.TypeA}, Question{"both.test.", dns.TypeA}
 	l := NewLookup(service.Name, IPv4)
 	drive(t, l, map[Question]*dns.Msg{
@@ -208,7 +208,7 @@
 	require.Len(t, r.Endpoints, 2)
 }
 
-func TestTheServiceThatIsNotToBeHad(t *testing.T) {
+func TestClosedService(t *testing.T) {
 	for lines, closed := range map[string]bool{"_chat._tcp.test. 60 IN SRV 0 0 0 .": true, srvA: false} {
 		l := NewLookup(service.Name, IPv4)
 		drive(t, l, map[Question]*dns.Msg{service: message(t, service, 0, lines, "extra", addrA)})
@@ -279,13 +279,13 @@
 		for range 200 {
 			s := NewSchedule(times, rng)
 			s.first = false
-			d := s.Found(c.ttl, c.missing, true)
+			d := s.AfterAnswer(c.ttl, c.missing, true)
 			require.GreaterOrEqual(t, d, c.from)
 			require.LessOrEqual(t, d, c.to)
 		}
 	}
-	for range 200 { // the first one is spread over all of it, but for the least wait
-		require.GreaterOrEqual(t, NewSchedule(times, rng).Found(0, false, true), times.Min/2)
+	for range 200 { // the first refresh is spread over the whole lifetime above the lower bound
+		require.GreaterOrEqual(t, NewSchedule(times, rng).AfterAnswer(0, false, true), times.Min/2)
 	}
 }
 
@@ -293,13 +293,13 @@
 	s := NewSchedule(times, rand.New(rand.NewPCG(1, 2)))
 	for i := range 20 {
 		full := min(times.RetryMin<<min(i, 10), times.RetryMax)
-		d := s.Failed()
+		d := s.AfterFailure()
 		require.GreaterOrEqual(t, d, full/2, i)
 		require.LessOrEqual(t, d, full, i)
 	}
-	require.LessOrEqual(t, s.Found(time.Hour, false, false), times.RetryMax, "what is incomplete is asked for soon")
-	s.Found(time.Hour, false, true)
-	require.LessOrEqual(t, s.Failed(), times.RetryMin)
+	require.LessOrEqual(t, s.AfterAnswer(time.Hour, false, false), times.RetryMax, "an incomplete result is refreshed soon")
+	s.AfterAnswer(time.Hour, false, true)
+	require.LessOrEqual(t, s.AfterFailure(), times.RetryMin)
 }
 
 func TestServersThatFailedComeLast(t *testing.T) {
@@ -319,11 +319,11 @@
 	}
 	require.Equal(t, []int{0, 1, 2}, s.Order(now.Add(4*time.Second)), "however often it failed")
 	s.Failed(1, now.Add(5*time.Second))
-	s.Worked(1)
+	s.Succeeded(1)
 	require.Equal(t, []int{0, 1, 2}, s.Order(now.Add(5*time.Second)))
 }
 
-// FuzzAnswer holds what comes off the wire against the promises of this package.
+// FuzzAnswer checks the guarantees of this package for arbitrary messages.
 func FuzzAnswer(f *testing.F) {
 	f.Add(wire(f, message(f, service, 0, srvA, srvB, "extra", addrA)))
 	f.Add(wire(f, message(f, service, dns.RcodeNameError, "ns", soaT)))
@@ -332,7 +332,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		m, err := Parse(in, service, 7)
 		if err != nil {
-			require.ErrorIs(t, err, ErrNotOurs)
+			require.ErrorIs(t, err, ErrMismatch)
 			return
 		}
 		a, err := Read(m, service)
@@ -344,12 +344,12 @@
 			require.Empty(t, a.SRV)
 		}
 		l := NewLookup(service.Name, Both)
-		for _, q := range l.Ask() {
+		for _, q := range l.NextQuestions() {
 			l.Answered(q, a)
 		}
 		for i := 0; !l.Done(); i++ {
 			require.Less(t, i, 10*MaxAliases, "it ends")
-			for _, q := range l.Ask() {
+			for _, q := range l.NextQuestions() {
 				l.Answered(q, Answer{Missing: true})
 			}
 			if a.Alias != "" {
--- a/discovery/dnsrule/servers.go
+++ b/discovery/dnsrule/servers.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Servers says in which order to ask name servers: as they are listed, those
-// that failed lately last, of these the one that failed longest ago first. It is
-// not safe for concurrent use.
+// Servers determines the order in which to ask name servers: as listed, with those that failed
+// recently last and, of these, the one whose avoidance ends first before the others. It is not safe
+// for concurrent use.
 type Servers struct {
 	state []serverState
-	// avoid is how long a failure counts; it doubles with each in a row.
+	// avoid is how long a server is avoided after a failure. It doubles with each failure in a row,
+	// up to avoidMax.
 	avoid, avoidMax time.Duration
 }
 
 type serverState struct {
-	fails int
-	until time.Time // avoided until then
+	failures   int
+	avoidUntil time.Time
 }
 
 // NewServers returns the order of n servers.
@@ -25,15 +26,15 @@
 	return &Servers{state: make([]serverState, n), avoid: avoid, avoidMax: avoidMax}
 }
 
-// Order is the numbers of the servers, the first to ask first. All are in it: one
-// that has failed may be the only one that works.
+// Order returns the indices of all servers, the first to ask first. Servers that failed are
+// included, as they may be the only ones that work.
 func (s *Servers) Order(now time.Time) []int {
 	out := make([]int, len(s.state))
 	for i := range out {
 		out[i] = i
 	}
 	slices.SortStableFunc(out, func(a, b int) int {
-		x, y := s.state[a].until, s.state[b].until
+		x, y := s.state[a].avoidUntil, s.state[b].avoidUntil
 		xBad, yBad := x.After(now), y.After(now)
 		switch {
 		case xBad && yBad:
@@ -49,13 +50,13 @@
 	return out
 }
 
-// Worked notes that a server has answered.
-func (s *Servers) Worked(i int) { s.state[i] = serverState{} }
+// Succeeded records that a server has answered.
+func (s *Servers) Succeeded(i int) { s.state[i] = serverState{} }
 
-// Failed notes that a server has not, or not usefully.
+// Failed records that a server has not answered, or not usefully.
 func (s *Servers) Failed(i int, now time.Time) {
 	st := &s.state[i]
-	st.fails++
-	wait := s.avoid << min(st.fails-1, 16)
-	st.until = now.Add(min(wait, s.avoidMax))
+	st.failures++
+	wait := s.avoid << min(st.failures-1, 16)
+	st.avoidUntil = now.Add(min(wait, s.avoidMax))
 }
--- a/discovery/dnssrv/resolver.go
+++ b/discovery/dnssrv/resolver.go
@@ -90,7 +90,7 @@
 	answers := make(chan answered)
 	var queue []dnsrule.Question
 	for out := 0; ; {
-		queue = append(queue, l.Ask()...)
+		queue = append(queue, l.NextQuestions()...)
 		for ; len(queue) > 0 && out < parallel && !l.Done(); out++ {
 			q := queue[0]
 			queue = queue[1:]
@@ -150,7 +150,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if worked {
-		r.servers.Worked(i)
+		r.servers.Succeeded(i)
 	} else {
 		r.servers.Failed(i, time.Now())
 	}
--- a/discovery/dnssrv/source.go
+++ b/discovery/dnssrv/source.go
@@ -47,17 +47,17 @@
 		var wait time.Duration
 		if err != nil {
 			sink.Fail(err)
-			wait = s.schedule.Failed()
+			wait = s.schedule.AfterFailure()
 		} else {
 			for target, fault := range r.Unknown {
 				sink.Warn(fmt.Errorf("target %s: what was known of it stays: %w", target, fault))
 			}
-			for _, target := range r.Nowhere {
+			for _, target := range r.WithoutAddress {
 				sink.Warn(fmt.Errorf("target %s has no address", target))
 			}
-			last = r.Keep(last)
+			last = r.KeepUnknown(last)
 			sink.Report(s.report(last))
-			wait = s.schedule.Found(r.TTL, r.Missing || r.Closed, len(r.Unknown) == 0)
+			wait = s.schedule.AfterAnswer(r.TTL, r.Missing || r.Closed, len(r.Unknown) == 0)
 		}
 		select {
 		case <-time.After(wait):
