--- a/discovery/dnssrv/exchange.go
+++ b/discovery/dnssrv/exchange.go
@@ -1,6 +1,6 @@
-// Package dnssrv follows a DNS SRV name: it asks name servers over UDP and TCP
-// and tells a sink which workers the name lists. What the answers mean is
-// decided by package dnsrule, and what follows from them by package membership.
+// Package dnssrv follows a DNS SRV name: it queries name servers over UDP and TCP and reports to a
+// sink which workers the name lists. Package dnsrule interprets the answers, and package membership
+// decides what follows from the reports.
 package dnssrv
 
 import (
@@ -18,8 +18,8 @@
 	"lichenshelf/discovery/dnsrule"
 )
 
-// exchange puts one question to one name server, over UDP and, if the answer is
-// truncated, over TCP. Each has the time-out for itself, within ctx.
+// exchange sends one question to one name server, over UDP and, if the answer is truncated, over
+// TCP. Each of the two has the full time-out, within ctx.
 func exchange(ctx context.Context, server string, q dnsrule.Question, timeout time.Duration) (dnsrule.Answer, error) {
 	m, err := overUDP(ctx, server, q, timeout)
 	if err != nil {
@@ -38,9 +38,9 @@
 	return a, nil
 }
 
-// open connects a socket. A connected one has a port of its own, which the
-// system draws, and takes nothing that comes from elsewhere.
-func open(ctx context.Context, network, server string, timeout time.Duration) (net.Conn, func(), error) {
+// dial connects a socket and returns a function that closes it. A connected socket has a random
+// port of its own and receives nothing from other addresses.
+func dial(ctx context.Context, network, server string, timeout time.Duration) (net.Conn, func(), error) {
 	d := net.Dialer{Timeout: timeout}
 	c, err := d.DialContext(ctx, network, server)
 	if err != nil {
@@ -54,19 +54,19 @@
 	return c, func() { stop(); _ = c.Close() }, nil
 }
 
-// draw makes a message under an id that nobody can foresee.
-func draw(q dnsrule.Question) (id uint16, wire []byte, err error) {
-	id = uint16(rand.Uint32()) // seeded by the system, and not to be foreseen (ChaCha8)
+// newQuery returns a packed query with an unpredictable id.
+func newQuery(q dnsrule.Question) (id uint16, wire []byte, err error) {
+	id = uint16(rand.Uint32()) // unpredictable: ChaCha8, seeded by the system
 	wire, err = q.Message(id).Pack()
 	return id, wire, err
 }
 
 func overUDP(ctx context.Context, server string, q dnsrule.Question, timeout time.Duration) (*dns.Msg, error) {
-	id, wire, err := draw(q)
+	id, wire, err := newQuery(q)
 	if err != nil {
 		return nil, err
 	}
-	c, done, err := open(ctx, "udp", server, timeout)
+	c, done, err := dial(ctx, "udp", server, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -83,16 +83,16 @@
 		m, err := dnsrule.Parse(buf[:n], q, id)
 		if err == nil {
 			return m, nil
-		} // else it proves nothing: the right one may still come
+		} // otherwise ignored: the right answer may still come
 	}
 }
 
 func overTCP(ctx context.Context, server string, q dnsrule.Question, timeout time.Duration) (*dns.Msg, error) {
-	id, wire, err := draw(q)
+	id, wire, err := newQuery(q)
 	if err != nil {
 		return nil, err
 	}
-	c, done, err := open(ctx, "tcp", server, timeout)
+	c, done, err := dial(ctx, "tcp", server, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/discovery/dnssrv/resolver.go
+++ b/discovery/dnssrv/resolver.go
@@ -10,27 +10,27 @@
 	"lichenshelf/discovery/dnsrule"
 )
 
-// Config is how a name is followed. All fields must be set.
+// Config states how a name is resolved. All fields must be set.
 type Config struct {
 	Service string   // the SRV name
 	Servers []string // the name servers, host:port, the preferred one first
 	Family  dnsrule.Family
-	// Agree is how many of the servers must give the same; all are asked then. 0
-	// asks one after the other until one knows.
+	// Agree is how many of the servers must return the same result; all are asked then. With 0, the
+	// servers are asked in turn until one answers.
 	Agree    int
-	Timeout  time.Duration // of one question to one server, over each of UDP and TCP
+	Timeout  time.Duration // per question and server, separately for UDP and TCP
 	Deadline time.Duration // of the whole look-up
-	Parallel int           // questions out at once, so descriptors
+	Parallel int           // the most open questions, and so descriptors
 	dnsrule.Lifetimes
 }
 
 const (
-	rounds   = 2 // through all servers, for one question
-	avoid    = 5 * time.Second
-	avoidMax = 2 * time.Minute
+	maxRounds    = 2 // passes through all servers for one question
+	avoidInitial = 5 * time.Second
+	avoidMax     = 2 * time.Minute
 )
 
-// Resolver looks one name up. It is safe for concurrent use.
+// Resolver resolves one name. It is safe for concurrent use.
 type Resolver struct {
 	cfg     Config
 	mu      sync.Mutex
@@ -39,11 +39,11 @@
 
 // NewResolver returns a resolver.
 func NewResolver(cfg Config) *Resolver {
-	return &Resolver{cfg: cfg, servers: dnsrule.NewServers(len(cfg.Servers), avoid, avoidMax)}
+	return &Resolver{cfg: cfg, servers: dnsrule.NewServers(len(cfg.Servers), avoidInitial, avoidMax)}
 }
 
-// Lookup asks for the name and for all that it leads to. An error means that
-// nothing is known anew, not that the name has no workers.
+// Lookup queries the name and the addresses of its targets. An error means that the result is
+// unknown, not that the name has no workers.
 func (r *Resolver) Lookup(ctx context.Context) (dnsrule.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.Deadline)
 	defer cancel()
@@ -77,7 +77,7 @@
 	return result, nil
 }
 
-// run drives one look-up through the servers that order names.
+// run carries out one look-up with the servers in the given order.
 func (r *Resolver) run(ctx context.Context, order func() []int, parallel int) (dnsrule.Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -102,7 +102,7 @@
 		if out == 0 {
 			return l.Result()
 		}
-		if l.Done() { // with an error: the rest is of no use
+		if l.Done() { // failed: the other answers are not needed
 			cancel()
 		}
 		got := <-answers
@@ -115,22 +115,22 @@
 	}
 }
 
-// ask puts one question to one server after the other.
+// ask sends one question to the servers in turn until one answers.
 func (r *Resolver) ask(ctx context.Context, q dnsrule.Question, order func() []int) (dnsrule.Answer, error) {
 	var last error
-	for range rounds {
+	for range maxRounds {
 		for _, i := range order() {
 			if ctx.Err() != nil {
 				break
 			}
 			a, err := exchange(ctx, r.cfg.Servers[i], q, r.cfg.Timeout)
 			if err == nil {
-				r.note(i, true)
+				r.recordOutcome(i, true)
 				return a, nil
 			}
 			last = err
 			if ctx.Err() == nil {
-				r.note(i, false)
+				r.recordOutcome(i, false)
 			}
 		}
 	}
@@ -146,10 +146,10 @@
 	return r.servers.Order(time.Now())
 }
 
-func (r *Resolver) note(i int, worked bool) {
+func (r *Resolver) recordOutcome(i int, succeeded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if worked {
+	if succeeded {
 		r.servers.Succeeded(i)
 	} else {
 		r.servers.Failed(i, time.Now())
--- a/discovery/dnssrv/source.go
+++ b/discovery/dnssrv/source.go
@@ -10,15 +10,15 @@
 	"lichenshelf/discovery/membership"
 )
 
-// Sink takes what a source has to say.
+// Sink receives the reports of a source.
 type Sink interface {
 	Report(membership.Report)
 	Fail(error)
-	// Warn takes what is odd but stops nothing.
+	// Warn receives a problem that does not stop the source.
 	Warn(error)
 }
 
-// Finder looks the name up; Resolver is one.
+// Finder looks up the name. Resolver implements it.
 type Finder interface {
 	Lookup(context.Context) (dnsrule.Result, error)
 }
@@ -27,16 +27,16 @@
 type Source struct {
 	finder   Finder
 	schedule *dnsrule.Schedule
-	// Template gives what DNS does not tell of a worker.
+	// template holds the values that DNS does not state.
 	template membership.Entry
 }
 
-// NewSource returns a source. The numbers drawn from rng spread its questions.
+// NewSource returns a source. It draws the times of its queries from rng.
 func NewSource(f Finder, times dnsrule.Lifetimes, template membership.Entry, rng *rand.Rand) *Source {
 	return &Source{finder: f, schedule: dnsrule.NewSchedule(times, rng), template: template}
 }
 
-// Run follows the name until ctx ends; nothing is told after that.
+// Run follows the name until ctx ends. It reports nothing after that.
 func (s *Source) Run(ctx context.Context, sink Sink) {
 	var last dnsrule.Result
 	for ctx.Err() == nil {
@@ -50,7 +50,7 @@
 			wait = s.schedule.AfterFailure()
 		} else {
 			for target, fault := range r.Unknown {
-				sink.Warn(fmt.Errorf("target %s: what was known of it stays: %w", target, fault))
+				sink.Warn(fmt.Errorf("target %s: keeping its known addresses: %w", target, fault))
 			}
 			for _, target := range r.WithoutAddress {
 				sink.Warn(fmt.Errorf("target %s has no address", target))
--- a/discovery/dnssrv/source_test.go
+++ b/discovery/dnssrv/source_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-func fast(servers ...*dns.Server) Config {
+func testConfig(servers ...*dns.Server) Config {
 	c := Config{Service: service, Family: dnsrule.Both, Timeout: 100 * time.Millisecond, Deadline: 20 * time.Second, Parallel: 8}
 	for _, s := range servers {
 		c.Servers = append(c.Servers, s.Addr())
@@ -55,13 +55,13 @@
 func TestLookup(t *testing.T) {
 	s := standin(t)
 	s.Set(targets(2)...)
-	addrs, r, err := lookup(t, fast(s))
+	addrs, r, err := lookup(t, testConfig(s))
 	require.NoError(t, err)
 	require.Equal(t, []string{"10.0.0.1:9000", "10.0.0.2:9000"}, addrs)
 	require.Equal(t, 30*time.Second, r.TTL)
-	require.Len(t, s.Queries(), 1, "addresses came along")
+	require.Len(t, s.Queries(), 1, "the answer includes the addresses")
 	s.Set()
-	_, r, err = lookup(t, fast(s))
+	_, r, err = lookup(t, testConfig(s))
 	require.NoError(t, err)
 	require.True(t, r.Missing)
 	require.Equal(t, 5*time.Second, r.TTL)
@@ -70,17 +70,17 @@
 func TestFiveHundredTargetsComeOverTCP(t *testing.T) {
 	s := standin(t)
 	s.Set(targets(500)...)
-	addrs, _, err := lookup(t, fast(s))
+	addrs, _, err := lookup(t, testConfig(s))
 	require.NoError(t, err)
 	require.Len(t, addrs, 500)
 	require.True(t, s.Queries()[1].TCP)
 }
 
-func TestFiveHundredTargetsWithoutAddressesAreAskedFor(t *testing.T) {
+func TestAddressesOfFiveHundredTargetsAreQueried(t *testing.T) {
 	s := standin(t)
 	s.Set(targets(500)...)
 	s.Script(func(_ dns.Query, m *mdns.Msg) dns.Reply { m.Extra = nil; return dns.Honest(m) })
-	c := fast(s)
+	c := testConfig(s)
 	c.Family, c.Timeout = dnsrule.IPv4, 5*time.Second
 	addrs, _, err := lookup(t, c)
 	require.NoError(t, err)
@@ -106,16 +106,16 @@
 				}
 				return whole(m)
 			})
-			addrs, _, err := lookup(t, fast(bad, good))
+			addrs, _, err := lookup(t, testConfig(bad, good))
 			require.NoError(t, err)
-			require.Len(t, addrs, 300, "the next server knows")
-			_, _, err = lookup(t, fast(bad))
-			require.Error(t, err, "and half an answer is never used")
+			require.Len(t, addrs, 300, "the next server answers")
+			_, _, err = lookup(t, testConfig(bad))
+			require.Error(t, err, "an incomplete answer is never used")
 		})
 	}
 }
 
-func TestServersThatFailAreLeftForTheNext(t *testing.T) {
+func TestFailingServersAreSkipped(t *testing.T) {
 	closed, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	gone := closed.LocalAddr().String()
@@ -128,7 +128,7 @@
 			bad, good := standin(t), standin(t)
 			bad.Script(script)
 			good.Set(targets(1)...)
-			c := fast(bad, good)
+			c := testConfig(bad, good)
 			if script == nil {
 				c.Servers[0] = gone
 			}
@@ -138,7 +138,7 @@
 				require.NoError(t, err)
 				require.Len(t, got.Endpoints, 1)
 			}
-			require.LessOrEqual(t, len(bad.Queries()), 1, "it is asked last from then on")
+			require.LessOrEqual(t, len(bad.Queries()), 1, "after a failure it is asked last")
 			c.Servers = c.Servers[:1]
 			_, _, err := lookup(t, c)
 			require.ErrorContains(t, err, "no name server answered")
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestAnswersThatAreNotOursAreWaitedOut(t *testing.T) {
+func TestMismatchedAnswersAreIgnored(t *testing.T) {
 	other := func(m *mdns.Msg, spoil func(*mdns.Msg)) *mdns.Msg {
 		lie := m.Copy()
 		lie.Answer = nil
@@ -162,22 +162,22 @@
 		s := standin(t)
 		s.Set(targets(1)...)
 		s.Script(func(_ dns.Query, m *mdns.Msg) dns.Reply { return dns.Reply{Msgs: []*mdns.Msg{other(m, spoil), m}} })
-		addrs, _, err := lookup(t, fast(s))
+		addrs, _, err := lookup(t, testConfig(s))
 		require.NoError(t, err, name)
 		require.Len(t, addrs, 1, name)
 	}
-	// A second, different answer comes too late.
+	// A second, different answer is ignored.
 	s := standin(t)
 	s.Set(targets(1)...)
 	s.Script(func(_ dns.Query, m *mdns.Msg) dns.Reply {
 		return dns.Reply{Msgs: []*mdns.Msg{m, other(m, func(*mdns.Msg) {})}}
 	})
-	addrs, _, err := lookup(t, fast(s))
+	addrs, _, err := lookup(t, testConfig(s))
 	require.NoError(t, err)
 	require.Len(t, addrs, 1)
 }
 
-// Answers from another port than the one asked never reach the question.
+// Answers from another port than the one queried must not be accepted.
 func TestAnswersFromElsewhereAreDropped(t *testing.T) {
 	front, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -203,7 +203,7 @@
 			_, _ = liar.WriteTo(lie, from)
 		}
 	}()
-	c := fast()
+	c := testConfig()
 	c.Servers = []string{front.LocalAddr().String()}
 	_, _, err = lookup(t, c)
 	require.Error(t, err)
@@ -214,7 +214,7 @@
 	a.Set(targets(3)...)
 	b.Set(targets(3)...)
 	liar.Set(service+" 30 IN SRV 1 1 666 evil.test.", "evil.test. 30 IN A 10.6.6.6")
-	c := fast(liar, a, b)
+	c := testConfig(liar, a, b)
 	c.Agree = 2
 	addrs, _, err := lookup(t, c)
 	require.NoError(t, err)
@@ -227,33 +227,33 @@
 func TestAliasLoopOverManyAnswers(t *testing.T) {
 	s := standin(t)
 	s.Set(service+" 30 IN CNAME x.test.", "x.test. 30 IN CNAME "+service)
-	_, _, err := lookup(t, fast(s))
+	_, _, err := lookup(t, testConfig(s))
 	require.ErrorIs(t, err, dnsrule.ErrAliases)
-	s.Script(func(q dns.Query, m *mdns.Msg) dns.Reply { // one step a message
+	s.Script(func(q dns.Query, m *mdns.Msg) dns.Reply { // one alias per message
 		m.Answer = m.Answer[:1]
 		return dns.Honest(m)
 	})
-	_, _, err = lookup(t, fast(s))
+	_, _, err = lookup(t, testConfig(s))
 	require.ErrorIs(t, err, dnsrule.ErrAliases)
 }
 
-func TestALookupHasADeadline(t *testing.T) {
+func TestLookupHasADeadline(t *testing.T) {
 	s := standin(t)
 	s.Script(dns.Silent)
-	c := fast(s)
+	c := testConfig(s)
 	c.Timeout, c.Deadline = time.Hour, 50*time.Millisecond
 	_, _, err := lookup(t, c)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// script is a finder that gives one result after the other.
-type script struct {
+// scriptedFinder is a finder that returns one scripted result after the other.
+type scriptedFinder struct {
 	mu    sync.Mutex
 	steps []func(context.Context) (dnsrule.Result, error)
 	at    []time.Time
 }
 
-func (s *script) Lookup(ctx context.Context) (dnsrule.Result, error) {
+func (s *scriptedFinder) Lookup(ctx context.Context) (dnsrule.Result, error) {
 	s.mu.Lock()
 	s.at = append(s.at, time.Now())
 	step := s.steps[min(len(s.at), len(s.steps))-1]
@@ -261,26 +261,26 @@
 	return step(ctx)
 }
 
-type heard struct {
+type recordingSink struct {
 	mu      sync.Mutex
 	reports []membership.Report
 	fails   []error
 	warns   []error
 }
 
-func (h *heard) Report(r membership.Report) {
+func (h *recordingSink) Report(r membership.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports = append(h.reports, r)
 }
 
-func (h *heard) Fail(err error) {
+func (h *recordingSink) Fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.fails = append(h.fails, err)
 }
 
-func (h *heard) Warn(err error) {
+func (h *recordingSink) Warn(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.warns = append(h.warns, err)
@@ -289,20 +289,20 @@
 var times = dnsrule.Lifetimes{Min: 5 * time.Second, Max: time.Minute, NegMin: 2 * time.Second, NegMax: 10 * time.Second,
 	RetryMin: time.Second, RetryMax: 8 * time.Second, Spread: 0}
 
-func gives(r dnsrule.Result, err error) func(context.Context) (dnsrule.Result, error) {
+func returns(r dnsrule.Result, err error) func(context.Context) (dnsrule.Result, error) {
 	return func(context.Context) (dnsrule.Result, error) { return r, err }
 }
 
-func TestSourceAsksAgainWhenLifetimesEnd(t *testing.T) {
+func TestSourceRefreshesWhenLifetimesEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &script{steps: []func(context.Context) (dnsrule.Result, error){
-			gives(dnsrule.Result{TTL: 0}, nil),
-			gives(dnsrule.Result{TTL: 1000 * time.Hour}, nil),
-			gives(dnsrule.Result{Missing: true, TTL: time.Hour}, nil),
-			gives(dnsrule.Result{}, errors.New("down")),
-			gives(dnsrule.Result{Closed: true, TTL: time.Hour}, nil),
+		f := &scriptedFinder{steps: []func(context.Context) (dnsrule.Result, error){
+			returns(dnsrule.Result{TTL: 0}, nil),
+			returns(dnsrule.Result{TTL: 1000 * time.Hour}, nil),
+			returns(dnsrule.Result{Missing: true, TTL: time.Hour}, nil),
+			returns(dnsrule.Result{}, errors.New("down")),
+			returns(dnsrule.Result{Closed: true, TTL: time.Hour}, nil),
 		}}
-		var sink heard
+		var sink recordingSink
 		ctx, cancel := context.WithCancel(t.Context())
 		go NewSource(f, times, membership.Entry{Cell: 3}, rand.New(rand.NewPCG(1, 1))).Run(ctx, &sink)
 		time.Sleep(5*time.Second + time.Minute + 10*time.Second + 2*time.Second)
@@ -320,14 +320,14 @@
 	})
 }
 
-// A look-up that is under way when its source is taken away tells nothing.
-func TestNothingIsToldAfterTheEnd(t *testing.T) {
+// A look-up that is under way when its source is stopped must not be reported.
+func TestNoReportAfterCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &script{steps: []func(context.Context) (dnsrule.Result, error){func(ctx context.Context) (dnsrule.Result, error) {
+		f := &scriptedFinder{steps: []func(context.Context) (dnsrule.Result, error){func(ctx context.Context) (dnsrule.Result, error) {
 			<-ctx.Done()
 			return dnsrule.Result{TTL: time.Minute}, nil
 		}}}
-		var sink heard
+		var sink recordingSink
 		ctx, cancel := context.WithCancel(t.Context())
 		go NewSource(f, times, membership.Entry{}, rand.New(rand.NewPCG(1, 1))).Run(ctx, &sink)
 		time.Sleep(time.Second)
