--- a/discovery/agentrule/agentrule_test.go
+++ b/discovery/agentrule/agentrule_test.go
@@ -375,8 +375,8 @@
 func TestSlowAgentIsWaitedFor(t *testing.T) {
 	for _, takes := range []time.Duration{time.Second, 3 * time.Second, silenceTimeout - step} {
 		r, start := New(Config{Pushed: true}), time.Unix(1e9, 0)
-		due, told := map[Call]time.Time{}, false
-		for now := start; !told; now = now.Add(step) {
+		due, received := map[Call]time.Time{}, false
+		for now := start; !received; now = now.Add(step) {
 			require.Less(t, now.Sub(start), 2*silenceTimeout, "%v", takes)
 			drop, open, _ := r.Next(now)
 			for _, id := range drop {
@@ -389,7 +389,7 @@
 			for id, at := range due {
 				if !now.Before(at) {
 					r.Told(now, id)
-					told = true
+					received = true
 				}
 			}
 		}
--- a/discovery/dnsrule/rule_test.go
+++ b/discovery/dnsrule/rule_test.go
@@ -46,9 +46,9 @@
 	good := message(t, service, 0)
 	_, err := Parse(wire(t, good), service, 7)
 	require.NoError(t, err)
-	odd := message(t, service, 0)
-	odd.Question[0].Name = "_CHAT._tcp.Test." // servers may or may not keep the case of letters
-	_, err = Parse(wire(t, odd), service, 7)
+	upperCase := message(t, service, 0)
+	upperCase.Question[0].Name = "_CHAT._tcp.Test." // servers may or may not keep the case of letters
+	_, err = Parse(wire(t, upperCase), service, 7)
 	require.NoError(t, err)
 	for name, spoil := range map[string]func(*dns.Msg){
 		"id":          func(m *dns.Msg) { m.Id = 8 },
--- a/discovery/dnssrv/source_test.go
+++ b/discovery/dnssrv/source_test.go
@@ -118,7 +118,7 @@
 func TestFailingServersAreSkipped(t *testing.T) {
 	closed, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	gone := closed.LocalAddr().String()
+	closedAddr := closed.LocalAddr().String()
 	require.NoError(t, closed.Close())
 	for name, script := range map[string]func(dns.Query, *mdns.Msg) dns.Reply{
 		"SERVFAIL": dns.Code(mdns.RcodeServerFailure), "REFUSED": dns.Code(mdns.RcodeRefused), "silent": dns.Silent,
@@ -130,7 +130,7 @@
 			good.Set(targets(1)...)
 			c := testConfig(bad, good)
 			if script == nil {
-				c.Servers[0] = gone
+				c.Servers[0] = closedAddr
 			}
 			r := NewResolver(c)
 			for range 3 {
--- a/discovery/membership/plain_test.go
+++ b/discovery/membership/plain_test.go
@@ -137,14 +137,14 @@
 		}
 	}
 	type found struct {
-		owner *rebuildWorker
-		word  Status
-		words []*rebuildListing
+		owner    *rebuildWorker
+		status   Status
+		listings []*rebuildListing
 	}
 	var sites []found
-	standing := map[int]int{}
+	bestPriority := map[int]int{}
 	for i := range p.order {
-		standing[i] = math.MaxInt
+		bestPriority[i] = math.MaxInt
 	}
 	for _, list := range at {
 		sort.Slice(list, func(i, j int) bool {
@@ -170,14 +170,14 @@
 		f := found{owner: owner}
 		for _, w := range owner.listings {
 			if w.Word <= Draining {
-				f.words = append(f.words, w)
+				f.listings = append(f.listings, w)
 			}
 		}
 		for _, x := range list {
 			bare := x.key[0] == '@'
 			for _, w := range x.listings {
 				if bare && x != owner && w.Word <= Draining {
-					f.words = append(f.words, w)
+					f.listings = append(f.listings, w)
 				}
 				if w.Word != Draining && w.Word != Gone {
 					continue
@@ -189,32 +189,32 @@
 					}
 				}
 				if x == owner || bare || !known {
-					f.word = max(f.word, w.Word)
+					f.status = max(f.status, w.Word)
 				}
 			}
 		}
-		if len(f.words) == 0 {
+		if len(f.listings) == 0 {
 			continue
 		}
-		if f.word == Serving {
-			for _, w := range f.words {
-				standing[w.rank] = min(standing[w.rank], w.Priority)
+		if f.status == Serving {
+			for _, w := range f.listings {
+				bestPriority[w.rank] = min(bestPriority[w.rank], w.Priority)
 			}
 		}
 		sites = append(sites, f)
 	}
 	var out []Member
 	for _, f := range sites {
-		if f.word == Gone {
+		if f.status == Gone {
 			continue
 		}
-		first := f.words[0]
+		first := f.listings[0]
 		m := Member{Name: f.owner.key[1:], Addr: f.owner.addr, Weight: first.Weight, Cell: first.Cell, Zone: first.Zone,
 			Kind: first.Kind, Draining: true}
 		listed := first.listedAt
-		for _, w := range f.words {
+		for _, w := range f.listings {
 			m.Since, listed = max(m.Since, w.Since), min(listed, w.listedAt)
-			if f.word == Serving && w.Priority <= standing[w.rank] {
+			if f.status == Serving && w.Priority <= bestPriority[w.rank] {
 				m.Draining = false
 			}
 		}
--- a/discovery/membership/property_test.go
+++ b/discovery/membership/property_test.go
@@ -140,10 +140,10 @@
 		r := newRig(t, boundedPolicies(rt, sources)...)
 		explicit := map[[2]string]Status{}
 		check := func() {
-			for at, word := range explicit {
+			for at, status := range explicit {
 				m, in := r.router[at[1][1:]]
-				if in && (word == Gone || !m.Draining) && (at[1][0] == '=' || m.Addr == at[1][1:]) {
-					rt.Fatalf("%s reported %s as %v, but it is served as %+v", at[0], at[1], word, m)
+				if in && (status == Gone || !m.Draining) && (at[1][0] == '=' || m.Addr == at[1][1:]) {
+					rt.Fatalf("%s reported %s as %v, but it is served as %+v", at[0], at[1], status, m)
 				}
 			}
 		}
--- a/discovery/membership/set_test.go
+++ b/discovery/membership/set_test.go
@@ -112,8 +112,8 @@
 }
 
 func serving(name, addr string) Entry { return Entry{Name: name, Addr: addr, Weight: 1} }
-func withStatus(name, addr string, word Status) Entry {
-	return Entry{Name: name, Addr: addr, Weight: 1, Word: word}
+func withStatus(name, addr string, status Status) Entry {
+	return Entry{Name: name, Addr: addr, Weight: 1, Word: status}
 }
 func startedAt(name, addr string, at int64) Entry {
 	return Entry{Name: name, Addr: addr, Weight: 1, Since: at}
@@ -138,13 +138,13 @@
 }
 
 func TestExplicitStatusHoldsUntilItsSourceListsTheWorkerAgain(t *testing.T) {
-	for _, word := range []Status{Draining, Gone} {
+	for _, status := range []Status{Draining, Gone} {
 		r := newRig(t, plainSources...)
 		r.fullReport("list", serving("a", "h:1"))
 		r.fullReport("store", serving("a", "h:1"))
 		r.requireSet("a")
-		r.changeReport("store", withStatus("a", "h:1", word))
-		want := map[Status][]string{Draining: {"~a"}, Gone: nil}[word]
+		r.changeReport("store", withStatus("a", "h:1", status))
+		want := map[Status][]string{Draining: {"~a"}, Gone: nil}[status]
 		r.requireSet(want...)
 		require.Equal(t, "store", r.last[0].Source)
 		r.now = r.now.Add(100 * time.Millisecond)
@@ -500,8 +500,8 @@
 	}
 }
 
-// Names that come and go must not be kept for ever. An explicit status of a worker that other
-// sources list must be kept.
+// Names that no source lists any longer must not be kept indefinitely. An explicit status of a
+// worker that other sources list must be kept.
 func TestUnlistedWorkersAreForgotten(t *testing.T) {
 	r := newRig(t, Policy{Name: "dns", Damping: Damping{HalfLife: time.Minute, Suppress: 3, Reuse: 1, Share: 1}}, Policy{Name: "list"})
 	r.fullReport("list", serving("", "h:1"))
--- a/discovery/sources/config_test.go
+++ b/discovery/sources/config_test.go
@@ -73,7 +73,7 @@
 	require.Equal(t, []string{"d", "mine", "reg"}, names(c.For(ModelAPI, true)))
 	require.Equal(t, []string{"own", "reg"}, names(c.For(Platform, false)))
 	require.True(t, c.Takes(Platform))
-	require.Equal(t, 30*time.Second, c.Sources[0].EmptyOver.Duration, "DNS is not believed at once")
+	require.Equal(t, 30*time.Second, c.Sources[0].EmptyOver.Duration, "losses in DNS answers are held")
 	require.Zero(t, c.Sources[2].EmptyTimes)
 	shipped, err := LoadConfig("../../deploy/sources.toml")
 	require.NoError(t, err)
--- a/discovery/sources/feed.go
+++ b/discovery/sources/feed.go
@@ -229,8 +229,8 @@
 // Report applies a report of the source. The core has been notified when it returns.
 func (p *Port) Report(r membership.Report) { p.report(r, nil) }
 
-// report is Report. isUpdate tells whether the source's list was up to date before; nil: if it has
-// sent a report before.
+// report is Report. isUpdate states whether the source's list was up to date before; if it is nil,
+// that is so if the source has sent a report before.
 func (p *Port) report(r membership.Report, isUpdate *bool) {
 	f := p.feed
 	f.mu.Lock()
@@ -318,7 +318,7 @@
 }
 
 // applyChanges passes changes to the core and sets the timer for the next due action. isUpdate
-// tells whether the source that caused the changes had sent a list before.
+// states whether the source that caused the changes had sent a list before.
 func (f *Feed) applyChanges(changes []membership.Change, isUpdate bool) {
 	if len(changes) > 0 {
 		members := make([]router.Member, 0, len(changes))
