--- a/discovery/agentrule/agentrule.go
+++ b/discovery/agentrule/agentrule.go
@@ -133,16 +133,16 @@
 	return nil
 }
 
-// Heard records that bytes came on a call.
-func (r *Rule) Heard(now time.Time, id Call) {
+// BytesReceived records that bytes came on a call.
+func (r *Rule) BytesReceived(now time.Time, id Call) {
 	if c := r.find(id); c != nil {
 		c.lastByteAt = now
 	}
 }
 
-// Begun records that bytes came on a call that begin or continue a list. The list ends when Told or
+// ListBegun records that bytes came on a call that begin or continue a list. The list ends when Told or
 // Ended is called for it.
-func (r *Rule) Begun(now time.Time, id Call) {
+func (r *Rule) ListBegun(now time.Time, id Call) {
 	if c := r.find(id); c != nil {
 		c.lastByteAt = now
 		if c.listBegunAt.IsZero() {
@@ -151,9 +151,9 @@
 	}
 }
 
-// Told records that a call brought a list that was applied. It returns the calls that are no longer
+// ListReceived records that a call brought a list that was applied. It returns the calls that are no longer
 // needed; they count as ended.
-func (r *Rule) Told(now time.Time, id Call) (drop []Call) {
+func (r *Rule) ListReceived(now time.Time, id Call) (drop []Call) {
 	c := r.find(id)
 	if c == nil {
 		return nil
@@ -174,8 +174,8 @@
 	return drop
 }
 
-// Ended records that a call has ended or that its list was invalid.
-func (r *Rule) Ended(now time.Time, id Call, invalid bool) {
+// CallEnded records that a call has ended or that its list was invalid.
+func (r *Rule) CallEnded(now time.Time, id Call, invalid bool) {
 	c := r.find(id)
 	if c == nil {
 		return
@@ -210,9 +210,9 @@
 	return time.Duration(r.rng.Int64N(int64(max(span, 1))))
 }
 
-// Moved records that discovery has another address. It is called at once; lists from the old
+// AddressChanged records that discovery has another address. It is called at once; lists from the old
 // address count until the new one has sent a list.
-func (r *Rule) Moved(now time.Time) {
+func (r *Rule) AddressChanged(now time.Time) {
 	r.epoch++
 	r.nextAllowed, r.pauseUntil, r.invalidLists = now, now, 0
 	r.spans.Reset()
--- a/discovery/agentrule/agentrule_test.go
+++ b/discovery/agentrule/agentrule_test.go
@@ -46,7 +46,7 @@
 
 func (a *agent) end(id Call, invalid bool) {
 	delete(a.open, id)
-	a.rule.Ended(a.now, id, invalid)
+	a.rule.CallEnded(a.now, id, invalid)
 }
 
 // step advances the time by one step.
@@ -71,12 +71,12 @@
 			for ; a.received < a.changes; a.received++ {
 				a.maxLate = max(a.maxLate, a.now.Sub(a.knownAt[a.received]))
 			}
-			for _, id := range a.rule.Told(a.now, id) {
+			for _, id := range a.rule.ListReceived(a.now, id) {
 				delete(a.open, id)
 			}
 		case a.now.Sub(l.lastBeat) >= heartbeat:
 			l.lastBeat = a.now
-			a.rule.Heard(a.now, id)
+			a.rule.BytesReceived(a.now, id)
 		}
 	}
 	// A change that has not arrived yet counts as late, too.
@@ -135,7 +135,7 @@
 			case 'f':
 				a.refusesUntil = a.now.Add(time.Duration(rng.Int64N(int64(9 * time.Second))))
 			case 'm':
-				a.rule.Moved(a.now)
+				a.rule.AddressChanged(a.now)
 			}
 			for i := a.received; i < a.changes; i++ { // the agent cannot have sent these yet
 				for _, t := range []time.Time{a.downUntil, a.refusesUntil} {
@@ -175,8 +175,8 @@
 		now = now.Add(step)
 		if _, open, _ := r.Next(now); open != 0 {
 			asked++
-			r.Heard(now, open)
-			r.Ended(now, open, true)
+			r.BytesReceived(now, open)
+			r.CallEnded(now, open, true)
 		}
 	}
 	require.InDelta(t, 18, asked, 4)
@@ -203,8 +203,8 @@
 			for i := range rules {
 				rules[i] = New(Config{Routers: routers, MustAsk: 10 * time.Second, Seed: uint64(1000 + i)})
 				_, id, _ := rules[i].Next(now)
-				rules[i].Told(now, id)
-				rules[i].Ended(now, id, false)
+				rules[i].ListReceived(now, id)
+				rules[i].CallEnded(now, id, false)
 			}
 			var queue []waiting
 			asked, back := map[int]int{}, 0
@@ -227,7 +227,7 @@
 					free = free.Add(each)
 					switch {
 					case now.Sub(w.at) >= patience:
-						rules[w.router].Ended(now, w.id, false)
+						rules[w.router].CallEnded(now, w.id, false)
 					case !in[w.router]:
 						in[w.router] = true
 						back++
@@ -265,10 +265,10 @@
 		r := New(Config{Routers: routers, MustAsk: 10 * time.Second, Seed: seed<<16 + uint64(i)})
 		open := map[Call]*out{}
 		_, id, _ := r.Next(start)
-		r.Told(start, id)
+		r.ListReceived(start, id)
 		open[id] = &out{fault: 's'}
 		if rng.IntN(2) == 0 {
-			r.Ended(start, id, false)
+			r.CallEnded(start, id, false)
 			delete(open, id)
 		}
 		fault := func() byte { return faults[rng.IntN(len(faults))] }
@@ -298,20 +298,20 @@
 				}
 				switch o.fault {
 				case 'r', 'd', '5': // refused, reset
-					r.Ended(now, id, false)
+					r.CallEnded(now, id, false)
 					delete(open, id)
 				case 'n':
-					r.Ended(now, id, true)
+					r.CallEnded(now, id, true)
 					delete(open, id)
 				case 'h': // half a line, then silence
-					r.Begun(now, id)
+					r.ListBegun(now, id)
 					o.fault = 's'
 				case 'b': // endless bytes that never complete a list
-					r.Heard(now, id)
-					r.Begun(now, id)
+					r.BytesReceived(now, id)
+					r.ListBegun(now, id)
 					o.at = now.Add(500 * time.Millisecond)
 				case 'e': // empty lines for a while, then silence
-					r.Heard(now, id)
+					r.BytesReceived(now, id)
 					o.at = now.Add(2 * time.Second)
 					if rng.IntN(3) == 0 {
 						o.fault = 's'
@@ -319,7 +319,7 @@
 				}
 			}
 			if rng.IntN(2000) == 0 {
-				r.Moved(now)
+				r.AddressChanged(now)
 			}
 		}
 	}
@@ -358,13 +358,13 @@
 	for _, pushed := range []bool{true, false} {
 		r, now := New(Config{Routers: 8, Pushed: pushed}), time.Unix(1e9, 0)
 		_, id, _ := r.Next(now)
-		r.Told(now, id)
+		r.ListReceived(now, id)
 		asked := 0
 		for range int(4 * time.Second / time.Millisecond) {
 			now = now.Add(time.Millisecond)
 			if _, open, _ := r.Next(now); open != 0 {
 				asked++
-				r.Ended(now, open, false)
+				r.CallEnded(now, open, false)
 			}
 		}
 		require.LessOrEqual(t, asked, 1+int(2*time.Second/retryDelay), "pushed %v", pushed)
@@ -388,7 +388,7 @@
 			require.LessOrEqual(t, len(due), maxOpenCalls)
 			for id, at := range due {
 				if !now.Before(at) {
-					r.Told(now, id)
+					r.ListReceived(now, id)
 					received = true
 				}
 			}
--- a/discovery/dnssrv/source.go
+++ b/discovery/dnssrv/source.go
@@ -68,7 +68,7 @@
 
 func (s *Source) report(r dnsrule.Result) membership.Report {
 	weights := dnsrule.Weights(r.Endpoints)
-	out := membership.Report{Whole: true, Final: r.Closed}
+	out := membership.Report{Whole: true, Confirmed: r.Closed}
 	for i, e := range r.Endpoints {
 		entry := s.template
 		entry.Addr, entry.Priority, entry.Weight = e.Addr.String(), e.Priority, weights[i]
--- a/discovery/dnssrv/source_test.go
+++ b/discovery/dnssrv/source_test.go
@@ -316,7 +316,7 @@
 		require.Less(t, waits[3], time.Second)
 		require.Len(t, sink.reports, 4)
 		require.Len(t, sink.fails, 1)
-		require.True(t, sink.reports[3].Final)
+		require.True(t, sink.reports[3].Confirmed)
 	})
 }
 
--- a/discovery/membership/bench_test.go
+++ b/discovery/membership/bench_test.go
@@ -48,7 +48,7 @@
 		}
 		e := benchEntry(source, i)
 		if (n+round/len(benchSources))%2 == 0 {
-			e.Word = Draining
+			e.Status = Draining
 		}
 		r.Entries = append(r.Entries, e)
 	}
--- a/discovery/membership/membership.go
+++ b/discovery/membership/membership.go
@@ -56,7 +56,7 @@
 	Kind     int
 	Priority int   // lower is better; compared within one source
 	Since    int64 // latest start in Unix nanoseconds; 0: unknown
-	Word     Status
+	Status   Status
 }
 
 // LongAgo is the start time of a worker that has been running for a long time.
@@ -77,7 +77,7 @@
 	if e.Name == "" && e.Addr == "" {
 		return errors.New("a worker has neither name nor address")
 	}
-	if e.Addr == "" && e.Word >= Gone {
+	if e.Addr == "" && e.Status >= Gone {
 		return nil
 	}
 	host, port, err := net.SplitHostPort(e.Addr)
@@ -100,9 +100,9 @@
 	Source string
 	// Whole means that Entries is the complete list of the source's workers.
 	Whole bool
-	// Final means that a whole report is intended by the source, however few workers it lists. It
+	// Confirmed means that a whole report is intended by the source, however few workers it lists. It
 	// needs no confirmation.
-	Final bool
+	Confirmed bool
 	// Version is the source's own version number of its list, 0 if it has none. A report with a
 	// lower version than the last one arrived out of order and is dropped.
 	Version uint64
--- a/discovery/membership/plain_test.go
+++ b/discovery/membership/plain_test.go
@@ -36,21 +36,21 @@
 	listings, named := p.listings[r.Source], map[string]bool{}
 	for _, e := range r.Entries {
 		w := listings[e.key()]
-		if e.Word == Absent {
-			if w != nil && w.Word <= Draining {
+		if e.Status == Absent {
+			if w != nil && w.Status <= Draining {
 				p.drop(w, now)
 			}
 			continue
 		}
 		named[e.key()] = true
 		if w == nil {
-			w = &rebuildListing{Entry: Entry{Word: Absent}, rank: slices.Index(p.order, r.Source), statusSince: now}
+			w = &rebuildListing{Entry: Entry{Status: Absent}, rank: slices.Index(p.order, r.Source), statusSince: now}
 			listings[e.key()] = w
 		}
-		if w.Word != e.Word {
+		if w.Status != e.Status {
 			w.statusSince = now
 		}
-		if w.Word > Draining && e.Word <= Draining {
+		if w.Status > Draining && e.Status <= Draining {
 			w.listedAt = 0
 			if p.listedBefore[r.Source] {
 				w.listedAt = now.UnixNano()
@@ -64,22 +64,22 @@
 	}
 	if r.Whole {
 		for k, w := range listings {
-			if !named[k] && w.Word <= Draining {
+			if !named[k] && w.Status <= Draining {
 				p.drop(w, now)
 			}
 		}
 	}
 	for _, w := range listings {
-		p.listedBefore[r.Source] = p.listedBefore[r.Source] || w.Word <= Draining
+		p.listedBefore[r.Source] = p.listedBefore[r.Source] || w.Status <= Draining
 	}
 }
 
 func (p *rebuild) drop(w *rebuildListing, now time.Time) {
 	w.statusSince = now
-	if w.Word == Draining {
-		w.Word = Gone
+	if w.Status == Draining {
+		w.Status = Gone
 	} else {
-		w.Word = Absent
+		w.Status = Absent
 	}
 }
 
@@ -110,8 +110,8 @@
 	for _, x := range all {
 		var best *rebuildListing
 		for _, w := range x.listings {
-			live := w.Word <= Draining
-			x.live, x.gone = x.live || live, x.gone || w.Word == Gone
+			live := w.Status <= Draining
+			x.live, x.gone = x.live || live, x.gone || w.Status == Gone
 			if live {
 				x.since = max(x.since, w.Since)
 			}
@@ -122,9 +122,9 @@
 				continue
 			}
 			switch {
-			case best == nil, live && best.Word > Draining:
+			case best == nil, live && best.Status > Draining:
 				best = w
-			case !live && best.Word <= Draining:
+			case !live && best.Status <= Draining:
 			case live && w.Since > best.Since, !live && w.statusSince.After(best.statusSince):
 				best = w
 			}
@@ -169,27 +169,27 @@
 		owner := list[0]
 		f := found{owner: owner}
 		for _, w := range owner.listings {
-			if w.Word <= Draining {
+			if w.Status <= Draining {
 				f.listings = append(f.listings, w)
 			}
 		}
 		for _, x := range list {
 			bare := x.key[0] == '@'
 			for _, w := range x.listings {
-				if bare && x != owner && w.Word <= Draining {
+				if bare && x != owner && w.Status <= Draining {
 					f.listings = append(f.listings, w)
 				}
-				if w.Word != Draining && w.Word != Gone {
+				if w.Status != Draining && w.Status != Gone {
 					continue
 				}
 				known := owner.since > w.statusSince.UnixNano()
-				if w.Word == Gone {
+				if w.Status == Gone {
 					for _, o := range owner.listings {
-						known = known || o.rank == w.rank && o.Word <= Draining
+						known = known || o.rank == w.rank && o.Status <= Draining
 					}
 				}
 				if x == owner || bare || !known {
-					f.status = max(f.status, w.Word)
+					f.status = max(f.status, w.Status)
 				}
 			}
 		}
@@ -229,7 +229,7 @@
 
 func firstRank(x *rebuildWorker) int {
 	for _, w := range x.listings {
-		if w.Word <= Draining {
+		if w.Status <= Draining {
 			return w.rank
 		}
 	}
--- a/discovery/membership/property_test.go
+++ b/discovery/membership/property_test.go
@@ -18,7 +18,7 @@
 			Cell:     rapid.IntRange(0, 1).Draw(t, "cell"),
 			Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
 			Since:    rapid.SampledFrom([]int64{0, 0, 5, t0.Add(3 * time.Second).UnixNano()}).Draw(t, "since"),
-			Word:     rapid.SampledFrom([]Status{Serving, Serving, Serving, Draining, Gone}).Draw(t, "word")}
+			Status:   rapid.SampledFrom([]Status{Serving, Serving, Serving, Draining, Gone}).Draw(t, "word")}
 		if rapid.Bool().Draw(t, "named") {
 			e.Name = rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")
 		}
@@ -30,7 +30,7 @@
 		if !r.Whole {
 			for i := range r.Entries {
 				if rapid.IntRange(0, 3).Draw(t, "absent") == 0 {
-					r.Entries[i].Word = Absent
+					r.Entries[i].Status = Absent
 				}
 			}
 		}
@@ -150,11 +150,11 @@
 		for _, round := range drawSteps(rt, sources) {
 			for _, rep := range round {
 				for _, e := range rep.Entries {
-					switch at := [2]string{rep.Source, e.key()}; e.Word {
+					switch at := [2]string{rep.Source, e.key()}; e.Status {
 					case Serving:
 						delete(explicit, at)
 					case Draining, Gone:
-						explicit[at] = e.Word
+						explicit[at] = e.Status
 					}
 				}
 				r.report(rep)
--- a/discovery/membership/set.go
+++ b/discovery/membership/set.go
@@ -389,8 +389,8 @@
 			s.remove(l)
 		}
 	case timerGoneEnds:
-		if l.entry.Word == Gone && l.src.GoneFor > 0 && now.Sub(l.statusSince) >= l.src.GoneFor {
-			l.entry.Word = Absent
+		if l.entry.Status == Gone && l.src.GoneFor > 0 && now.Sub(l.statusSince) >= l.src.GoneFor {
+			l.entry.Status = Absent
 			s.markDirty(l.worker)
 		}
 	}
--- a/discovery/membership/set_test.go
+++ b/discovery/membership/set_test.go
@@ -113,7 +113,7 @@
 
 func serving(name, addr string) Entry { return Entry{Name: name, Addr: addr, Weight: 1} }
 func withStatus(name, addr string, status Status) Entry {
-	return Entry{Name: name, Addr: addr, Weight: 1, Word: status}
+	return Entry{Name: name, Addr: addr, Weight: 1, Status: status}
 }
 func startedAt(name, addr string, at int64) Entry {
 	return Entry{Name: name, Addr: addr, Weight: 1, Since: at}
@@ -164,7 +164,7 @@
 
 func TestGoneBeforeTheFirstListing(t *testing.T) {
 	r := newRig(t, plainSources...)
-	r.changeReport("store", Entry{Name: "a", Word: Gone})
+	r.changeReport("store", Entry{Name: "a", Status: Gone})
 	r.fullReport("list", serving("a", "h:1"))
 	r.requireSet()
 	r.changeReport("store", serving("a", "h:1"))
@@ -293,7 +293,7 @@
 	r := newRig(t, boundedPolicy, Policy{Name: "list"})
 	r.fullReport("dns", fleet(0, 4)...)
 	r.fullReport("list", serving("a", "h:1"))
-	r.report(Report{Source: "dns", Whole: true, Final: true})
+	r.report(Report{Source: "dns", Whole: true, Confirmed: true})
 	r.requireSet("a")
 }
 
@@ -322,7 +322,7 @@
 func TestLargeLossByChangesIsAppliedAfterLossOver(t *testing.T) {
 	absent := func(from, to int) (out []Entry) {
 		for _, e := range fleet(from, to) {
-			e.Word = Absent
+			e.Status = Absent
 			out = append(out, e)
 		}
 		return out
@@ -339,7 +339,7 @@
 	r.requireSet("h:1", "h:9", "h:10")
 	explicit := fleet(8, 10)
 	for i := range explicit {
-		explicit[i].Word = Gone
+		explicit[i].Status = Gone
 	}
 	r.changeReport("dns", explicit...) // an explicit status is never held
 	r.requireSet("h:1")
@@ -537,7 +537,7 @@
 	r.fullReport("dns", fleet(0, 4)...)
 	lost := fleet(0, 3)
 	for i := range lost {
-		lost[i].Word = Absent
+		lost[i].Status = Absent
 	}
 	r.changeReport("dns", lost...)
 	r.now = r.now.Add(time.Hour)
--- a/discovery/membership/source.go
+++ b/discovery/membership/source.go
@@ -65,7 +65,7 @@
 }
 
 // isLive reports whether the source lists the worker, as Serving or Draining.
-func (l *listing) isLive() bool { return isLiveStatus(l.entry.Word) }
+func (l *listing) isLive() bool { return isLiveStatus(l.entry.Status) }
 
 func isLiveStatus(s Status) bool { return s <= Draining }
 
@@ -110,7 +110,7 @@
 				continue
 			}
 		}
-		if e.Word == Absent {
+		if e.Status == Absent {
 			if old != nil && old.isLive() {
 				old.reportNumber = src.reportNumber
 				missing = append(missing, old)
@@ -135,8 +135,8 @@
 // preferred reports whether a is used rather than b, of two entries in one report for the same
 // worker.
 func preferred(a, b *Entry) bool {
-	if a.Word != b.Word {
-		return a.Word > b.Word // the explicit status
+	if a.Status != b.Status {
+		return a.Status > b.Status // the explicit status
 	}
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
@@ -154,10 +154,10 @@
 func (s *Set) applyEntry(src *source, now time.Time, e *Entry) {
 	l := src.listings[e.key()]
 	if l == nil {
-		if !isLiveStatus(e.Word) && len(src.listings) >= 2*MaxEntries {
+		if !isLiveStatus(e.Status) && len(src.listings) >= 2*MaxEntries {
 			return // the source reports the end of a worker that it never listed
 		}
-		l = &listing{src: src, key: e.key(), statusSince: now, entry: Entry{Word: Absent}}
+		l = &listing{src: src, key: e.key(), statusSince: now, entry: Entry{Status: Absent}}
 		src.listings[l.key] = l
 		s.attach(l)
 	}
@@ -174,8 +174,8 @@
 		}
 		return
 	}
-	wasLive, previousStatus := l.isLive(), l.entry.Word
-	if previousStatus != next.Word {
+	wasLive, previousStatus := l.isLive(), l.entry.Status
+	if previousStatus != next.Status {
 		l.statusSince = now
 	}
 	s.removeLive(l)
@@ -206,7 +206,7 @@
 		l.forgetTimerSet = true
 		s.schedule(now.Add(forgetAfter), timer{kind: timerForget, listing: l})
 	}
-	if l.entry.Word == Gone && l.src.GoneFor > 0 {
+	if l.entry.Status == Gone && l.src.GoneFor > 0 {
 		s.schedule(now.Add(l.src.GoneFor), timer{kind: timerGoneEnds, listing: l})
 	}
 }
@@ -230,7 +230,7 @@
 	if empty {
 		times, over, exceeded = src.EmptyTimes, src.EmptyOver, true
 	}
-	if !exceeded || r.Final {
+	if !exceeded || r.Confirmed {
 		if r.Whole {
 			src.loss = nil
 		}
@@ -276,10 +276,10 @@
 		}
 		s.removeLive(l)
 		l.held, l.statusSince = false, now
-		if l.entry.Word == Draining {
-			l.entry.Word = Gone
+		if l.entry.Status == Draining {
+			l.entry.Status = Gone
 		} else {
-			l.entry.Word = Absent
+			l.entry.Status = Absent
 		}
 		s.markLeft(l, now)
 		s.markDirty(l.worker)
--- a/discovery/membership/worker.go
+++ b/discovery/membership/worker.go
@@ -26,7 +26,7 @@
 
 // reportedGone reports whether any source lists the worker as Gone.
 func (w *worker) reportedGone() bool {
-	return slices.ContainsFunc(w.listings, func(l *listing) bool { return l.entry.Word == Gone })
+	return slices.ContainsFunc(w.listings, func(l *listing) bool { return l.entry.Status == Gone })
 }
 
 // since returns the worker's latest known start.
@@ -86,7 +86,7 @@
 	rank := noPriority
 	for _, w := range s.workers {
 		for _, l := range w.listings {
-			status := l.entry.Word
+			status := l.entry.Status
 			if status != Draining && status != Gone || status < s.status || status == s.status && l.src.rank >= rank {
 				continue
 			}
@@ -105,7 +105,7 @@
 	if owner.since() > l.statusSince.UnixNano() {
 		return false
 	}
-	return l.entry.Word == Draining || !slices.ContainsFunc(owner.listings, func(o *listing) bool {
+	return l.entry.Status == Draining || !slices.ContainsFunc(owner.listings, func(o *listing) bool {
 		return o.src == l.src && o.isLive()
 	})
 }
@@ -228,7 +228,7 @@
 	reason = Dropped
 	for _, l := range w.listings {
 		switch {
-		case l.entry.Word == Gone:
+		case l.entry.Status == Gone:
 			return ReportedGone, l.src.Name
 		case l.isLive() && l.damped:
 			reason, by = Damped, l.src.Name
--- a/discovery/sources/config.go
+++ b/discovery/sources/config.go
@@ -344,7 +344,7 @@
 		e.Cell = *w.Cell
 	}
 	if w.Draining {
-		e.Word = membership.Draining
+		e.Status = membership.Draining
 	}
 	return e
 }
@@ -359,10 +359,10 @@
 		NegMax: s.MissingMax.Duration, RetryMin: s.RetryMin.Duration, RetryMax: s.RetryMax.Duration, Spread: s.Spread}
 }
 
-// For returns the sources that a front uses, in order. Unless the file lists them, the front's own
+// SourcesOf returns the sources that a front uses, in order. Unless the file lists them, the front's own
 // list comes first and, if registered is set, the workers registered in this router's replica come
 // last. c may be nil.
-func (c *Config) For(front string, registered bool) []Source {
+func (c *Config) SourcesOf(front string, registered bool) []Source {
 	var out []Source
 	hasOwn, hasStore := false, !registered
 	if c != nil {
@@ -382,8 +382,8 @@
 	return out
 }
 
-// Takes reports whether a front uses any source of the file.
-func (c *Config) Takes(front string) bool {
+// HasSourcesFor reports whether a front uses any source of the file.
+func (c *Config) HasSourcesFor(front string) bool {
 	return c != nil && slices.ContainsFunc(c.Sources, func(s Source) bool { return slices.Contains(s.Fronts, front) })
 }
 
--- a/discovery/sources/config_test.go
+++ b/discovery/sources/config_test.go
@@ -65,14 +65,14 @@
 		}
 		return out
 	}
-	require.Equal(t, []string{"own"}, names(none.For(ModelAPI, false)))
-	require.Equal(t, []string{"own", "store"}, names(none.For(ModelAPI, true)))
-	require.False(t, none.Takes(Platform))
+	require.Equal(t, []string{"own"}, names(none.SourcesOf(ModelAPI, false)))
+	require.Equal(t, []string{"own", "store"}, names(none.SourcesOf(ModelAPI, true)))
+	require.False(t, none.HasSourcesFor(Platform))
 	c, err := load(t, dnsText+"[[source]]\nname = \"mine\"\nkind = \"own\"\n[[source]]\nname = \"reg\"\nkind = \"store\"\nfronts = [\"modelapi\", \"platform\"]\nmachine_type = \"m\"\n")
 	require.NoError(t, err)
-	require.Equal(t, []string{"d", "mine", "reg"}, names(c.For(ModelAPI, true)))
-	require.Equal(t, []string{"own", "reg"}, names(c.For(Platform, false)))
-	require.True(t, c.Takes(Platform))
+	require.Equal(t, []string{"d", "mine", "reg"}, names(c.SourcesOf(ModelAPI, true)))
+	require.Equal(t, []string{"own", "reg"}, names(c.SourcesOf(Platform, false)))
+	require.True(t, c.HasSourcesFor(Platform))
 	require.Equal(t, 30*time.Second, c.Sources[0].EmptyOver.Duration, "losses in DNS answers are held")
 	require.Zero(t, c.Sources[2].EmptyTimes)
 	shipped, err := LoadConfig("../../deploy/sources.toml")
--- a/discovery/sources/feed.go
+++ b/discovery/sources/feed.go
@@ -45,10 +45,10 @@
 	names    Names                // nil: the front knows neither zones nor kinds
 	registry storesource.Registry // nil: this router holds no replica
 
-	// Took is called for each report that was applied, with its source and version. The version is
+	// OnReport is called for each report that was applied, with its source and version. The version is
 	// the source's own or, with own false, the number of the report. Took must be set before Apply
 	// and must return at once.
-	Took func(source string, version uint64, own bool)
+	OnReport func(source string, version uint64, own bool)
 
 	serving atomic.Int64
 
@@ -185,7 +185,7 @@
 		source := zksource.New(s.zookeeper(), template)
 		return func(ctx context.Context, p *Port) { source.Run(ctx, p) }, nil
 	case KindList:
-		report := membership.Report{Whole: true, Final: true}
+		report := membership.Report{Whole: true, Confirmed: true}
 		for _, w := range s.Workers {
 			e := s.entry(w)
 			e.Zone, e.Kind = template.Zone, template.Kind
@@ -250,10 +250,10 @@
 	}
 	if err != nil {
 		f.log.WithField("source", p.name).WithError(err).Warn("report rejected")
-	} else if p.reportCount++; f.Took != nil && r.Version > 0 {
-		f.Took(p.name, r.Version, true)
-	} else if f.Took != nil {
-		f.Took(p.name, p.reportCount, false)
+	} else if p.reportCount++; f.OnReport != nil && r.Version > 0 {
+		f.OnReport(p.name, r.Version, true)
+	} else if f.OnReport != nil {
+		f.OnReport(p.name, p.reportCount, false)
 	}
 	if p.failed {
 		p.failed = false
@@ -308,9 +308,9 @@
 		e := membership.Entry{Name: m.Name, Addr: m.Addr, Weight: m.Weight, Cell: m.Cell, Zone: m.Zone, Kind: m.Kind, Since: max(int64(m.Since), membership.LongAgo)}
 		switch m.Health {
 		case logic.Draining:
-			e.Word = membership.Draining
+			e.Status = membership.Draining
 		case logic.Gone:
-			e.Word = membership.Gone
+			e.Status = membership.Gone
 		}
 		r.Entries = append(r.Entries, e)
 	}
--- a/discovery/storesource/source.go
+++ b/discovery/storesource/source.go
@@ -201,7 +201,7 @@
 		stop()
 		delete(s.stopWatch, path)
 	}
-	return membership.Entry{Name: name, Word: membership.Gone}
+	return membership.Entry{Name: name, Status: membership.Gone}
 }
 
 // node reads one registration. An invalid one leaves its worker unchanged.
--- a/discovery/zkrule/entry.go
+++ b/discovery/zkrule/entry.go
@@ -82,7 +82,7 @@
 	}
 	e.Name, e.Addr, e.Cell, e.Weight, e.Since = node, v.Addr, v.Cell, v.Weight, nanos(v.StartedAtMs)
 	if v.Draining {
-		e.Word = membership.Draining
+		e.Status = membership.Draining
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 	switch v.Status {
 	case "ALIVE":
 	case "STARTING", "WARMING", "STOPPING", "STOPPED", "DEAD":
-		e.Word = membership.Draining // in these states the worker accepts no new requests
+		e.Status = membership.Draining // in these states the worker accepts no new requests
 	default:
 		return fmt.Errorf("unknown serverset status %q", v.Status)
 	}
@@ -141,7 +141,7 @@
 		return errors.New("port is missing")
 	}
 	if v.Enabled != nil && !*v.Enabled {
-		e.Word = membership.Draining
+		e.Status = membership.Draining
 	}
 	var err error
 	e.Name, e.Since = v.ID, nanos(v.Time)
--- a/discovery/zkrule/tracker.go
+++ b/discovery/zkrule/tracker.go
@@ -171,7 +171,7 @@
 	w.removedAt = now
 	t.recentlyRemoved = append(t.recentlyRemoved, w)
 	t.forgetExpired(now)
-	removal := membership.Entry{Name: w.reported.Name, Addr: w.reported.Addr, Word: membership.Gone}
+	removal := membership.Entry{Name: w.reported.Name, Addr: w.reported.Addr, Status: membership.Gone}
 	w.reported = removal
 	return []membership.Entry{removal}
 }
--- a/discovery/zkrule/zkrule_test.go
+++ b/discovery/zkrule/zkrule_test.go
@@ -25,15 +25,15 @@
 	}{
 		{JSON, `{"addr":"h:1"}`, membership.Entry{Name: "n", Addr: "h:1", Weight: 1, Cell: 5}},
 		{JSON, `{"addr":"h:1","cell":0,"weight":2,"draining":true,"started_at_ms":7,"else":1}`,
-			membership.Entry{Name: "n", Addr: "h:1", Weight: 2, Since: 7e6, Word: membership.Draining}},
+			membership.Entry{Name: "n", Addr: "h:1", Weight: 2, Since: 7e6, Status: membership.Draining}},
 		{Serverset, `{"serviceEndpoint":{"host":"h","port":1},"additionalEndpoints":{},"status":"ALIVE","shard":3}`,
 			membership.Entry{Addr: "h:1", Weight: 1, Cell: 5}},
 		{Serverset, `{"serviceEndpoint":{"host":"::1","port":1},"status":"STOPPING"}`,
-			membership.Entry{Addr: "[::1]:1", Weight: 1, Cell: 5, Word: membership.Draining}},
+			membership.Entry{Addr: "[::1]:1", Weight: 1, Cell: 5, Status: membership.Draining}},
 		{Curator, `{"name":"s","id":"n","address":"h","port":1,"sslPort":null,"payload":null,"registrationTimeUTC":9,"serviceType":"DYNAMIC","uriSpec":null}`,
 			membership.Entry{Name: "n", Addr: "h:1", Weight: 1, Cell: 5, Since: 9e6}},
 		{Curator, `{"id":"n","address":"h","port":1,"enabled":false}`,
-			membership.Entry{Name: "n", Addr: "h:1", Weight: 1, Cell: 5, Word: membership.Draining}},
+			membership.Entry{Name: "n", Addr: "h:1", Weight: 1, Cell: 5, Status: membership.Draining}},
 	} {
 		got, err := c.format.Parse("n", []byte(c.data), template)
 		require.NoError(t, err, c.data)
@@ -83,7 +83,7 @@
 	p.zxid++
 	changes := p.tracker.NodeRemoved(p.now, name)
 	require.Len(p, changes, 1)
-	require.Equal(p, membership.Gone, changes[0].Word)
+	require.Equal(p, membership.Gone, changes[0].Status)
 }
 
 func TestNodeRecreatedSoonKeepsIncarnation(t *testing.T) {
@@ -119,7 +119,7 @@
 	changes, err := p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1"}`), Stat{50, 50, p.now.UnixMilli()})
 	require.NoError(t, err)
 	require.Len(t, changes, 2)
-	require.Equal(t, membership.Gone, changes[0].Word)
+	require.Equal(t, membership.Gone, changes[0].Status)
 	require.Equal(t, t0.UnixNano(), changes[1].Since)
 }
 
@@ -131,7 +131,7 @@
 	require.Empty(t, changes)
 	changes, err = p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1","draining":true}`), Stat{1, 3, 0})
 	require.NoError(t, err)
-	require.Equal(t, membership.Draining, changes[0].Word)
+	require.Equal(t, membership.Draining, changes[0].Status)
 	require.Equal(t, t0.UnixNano(), changes[0].Since)
 	changes, err = p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1"}`), Stat{1, 2, 0})
 	require.NoError(t, err)
@@ -170,7 +170,7 @@
 	_, changes = p.tracker.List(p.now, nil, 14)
 	require.Empty(t, changes, "the list is older than the previous one")
 	_, changes = p.tracker.List(p.now, []string{"c"}, 30)
-	require.Equal(t, []membership.Entry{{Name: "a", Addr: "h:1", Word: membership.Gone}}, changes)
+	require.Equal(t, []membership.Entry{{Name: "a", Addr: "h:1", Status: membership.Gone}}, changes)
 	require.Len(t, p.tracker.ParentRemoved(p.now), 1)
 	read, _ = p.tracker.List(p.now, []string{"x"}, 2)
 	require.Equal(t, []string{"x"}, read, "a recreated parent may have a lower pzxid")
@@ -202,7 +202,7 @@
 		reported := map[string]membership.Entry{}
 		apply := func(changes []membership.Entry) {
 			for _, e := range changes {
-				if e.Word == membership.Gone {
+				if e.Status == membership.Gone {
 					delete(reported, e.Addr)
 				} else {
 					reported[e.Addr] = e
--- a/discovery/zksource/bench_test.go
+++ b/discovery/zksource/bench_test.go
@@ -22,7 +22,7 @@
 		d.ready <- struct{}{}
 	}
 	for _, e := range r.Entries {
-		if e.Word == membership.Gone {
+		if e.Status == membership.Gone {
 			d.removals <- time.Now()
 		}
 	}
--- a/discovery/zksource/source.go
+++ b/discovery/zksource/source.go
@@ -285,7 +285,7 @@
 	if s.inFlight > 0 || len(s.queue) > 0 {
 		return
 	}
-	report := membership.Report{Whole: true, Final: true}
+	report := membership.Report{Whole: true, Confirmed: true}
 	for _, e := range s.initial {
 		report.Entries = append(report.Entries, e)
 	}
--- a/discovery/zksource/source_test.go
+++ b/discovery/zksource/source_test.go
@@ -36,7 +36,7 @@
 	}
 	for _, e := range r.Entries {
 		h.set[e.Name] = e
-		if e.Word == membership.Gone {
+		if e.Status == membership.Gone {
 			delete(h.set, e.Name)
 		}
 	}
@@ -159,7 +159,7 @@
 	s.Create("/w/b", workerData(2), 2)
 	h.waitForNames(t, "b")
 	s.Set("/w/b", `{"addr":"h:2","draining":true}`)
-	require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.set["b"].Word == membership.Draining }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.set["b"].Status == membership.Draining }, 20*time.Second, time.Millisecond)
 }
 
 // A lost connection must not change the set of workers. After an expired session everything is read
--- a/front/modelapi/config.go
+++ b/front/modelapi/config.go
@@ -170,7 +170,7 @@
 			e.Since = b.StartedAtMs * int64(time.Millisecond)
 		}
 		if b.Draining {
-			e.Word = membership.Draining
+			e.Status = membership.Draining
 		}
 		if err := e.Check(); err != nil {
 			return nil, err
--- a/front/modelapi/request_test.go
+++ b/front/modelapi/request_test.go
@@ -83,7 +83,7 @@
 	list := []Backend{{Name: "m-a", Addr: "h:1"}, {Name: "m-b", Addr: "h:2", Draining: true}}
 	entries, err := Entries(list)
 	require.NoError(t, err)
-	require.Equal(t, membership.Draining, entries[1].Word)
+	require.Equal(t, membership.Draining, entries[1].Status)
 	_, err = Entries(append(list, list[0]))
 	require.Error(t, err)
 	_, err = Entries([]Backend{{Name: "m-a", Addr: "nowhere"}})
--- a/front/platform/watch.go
+++ b/front/platform/watch.go
@@ -163,7 +163,7 @@
 		case n := <-w.updates:
 			w.handle(n)
 		case <-w.refresh:
-			w.rule.Moved(time.Now())
+			w.rule.AddressChanged(time.Now())
 		case <-time.After(time.Until(wake)):
 		case <-ctx.Done():
 			return
@@ -201,7 +201,7 @@
 		if err = w.receive(c, n.text); err == nil {
 			w.failing = false
 			w.synced.Store(true)
-			for _, id := range w.rule.Told(now, n.id) {
+			for _, id := range w.rule.ListReceived(now, n.id) {
 				w.drop(id)
 			}
 			return
@@ -209,15 +209,15 @@
 	}
 	if err == nil {
 		if n.begun {
-			w.rule.Begun(now, n.id)
+			w.rule.ListBegun(now, n.id)
 		} else {
-			w.rule.Heard(now, n.id)
+			w.rule.BytesReceived(now, n.id)
 		}
 		return
 	}
 	// The applied list stays. The next request also returns what a malformed list contained.
 	w.reportFailure(err)
-	w.rule.Ended(now, n.id, errors.Is(err, errMalformed))
+	w.rule.CallEnded(now, n.id, errors.Is(err, errMalformed))
 	w.drop(n.id)
 }
 
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -83,7 +83,7 @@
 
 func allHeard(from []membership.SourceView) bool {
 	for _, s := range from {
-		if !s.Spoken && !s.Stale {
+		if !s.Reported && !s.Stale {
 			return false
 		}
 	}
@@ -140,26 +140,26 @@
 			o.State = "expired"
 		case s.Stale:
 			o.State = "stale"
-		case !s.Spoken:
+		case !s.Reported:
 			o.State = "waiting"
 		}
 		o.AgeMs = -1
-		if s.Spoken {
-			o.AgeMs = now.Sub(s.LastWord).Milliseconds()
+		if s.Reported {
+			o.AgeMs = now.Sub(s.LastReport).Milliseconds()
 		}
 		v.Sources = append(v.Sources, o)
 	}
 	for _, m := range workers {
 		o := workerView{Name: m.Name, State: "out", Reason: m.Reason.String(), By: m.By, Conflict: m.Conflict}
-		if m.In {
+		if m.Served {
 			o.State = "serving"
 			if m.Member.Draining {
 				o.State = "draining"
 			}
 			o.Addr, o.Weight, o.Cell, o.SinceMs = m.Member.Addr, m.Member.Weight, m.Member.Cell, m.Member.Since/1e6
 		}
-		for _, word := range m.Words {
-			o.Words = append(o.Words, wordView{Source: word.Source, Word: word.Entry.Word.String(), Addr: word.Entry.Addr,
+		for _, word := range m.Listings {
+			o.Words = append(o.Words, wordView{Source: word.Source, Word: word.Entry.Status.String(), Addr: word.Entry.Addr,
 				AgeMs: now.Sub(word.At).Milliseconds(), Held: word.Held, Damped: word.Damped, Stale: word.Stale})
 		}
 		v.Workers = append(v.Workers, o)
--- a/internal/daemon/look.go
+++ b/internal/daemon/look.go
@@ -42,7 +42,7 @@
 			replicas = append(replicas, p.API)
 		}
 	}
-	list := config.For(front, len(replicas) > 0 && front == sources.ModelAPI)
+	list := config.SourcesOf(front, len(replicas) > 0 && front == sources.ModelAPI)
 	for i := range list {
 		if list[i].Kind == sources.KindStore && len(list[i].API) == 0 {
 			list[i].API = replicas
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -89,7 +89,7 @@
 		cfg.Settings, open)
 	taker := part.before(core)
 	var failed func(error)
-	if d.sources.Takes(sources.Platform) {
+	if d.sources.HasSourcesFor(sources.Platform) {
 		feed, err := d.feed(sources.Platform, taker, cfg)
 		if err != nil {
 			return err
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Takes(sources.Platform) && d.watch != nil && d.feeds[sources.Platform] == nil {
+	if c.HasSourcesFor(sources.Platform) && d.watch != nil && d.feeds[sources.Platform] == nil {
 		return fmt.Errorf("%s: the platform's front has started without sources and takes them from its next start on", d.files.Sources)
 	}
 	for front, f := range d.feeds {
--- a/internal/daemon/sources.go
+++ b/internal/daemon/sources.go
@@ -16,7 +16,7 @@
 		registry = storesource.Replica{Replica: d.replica}
 	}
 	f := sources.NewFeed(front, core, registry, names, d.log)
-	f.Took = func(source string, v uint64, own bool) {
+	f.OnReport = func(source string, v uint64, own bool) {
 		part := "workers/" + front + "/" + source
 		if !own {
 			part = version.Here + part
@@ -33,7 +33,7 @@
 // sourcesOf is what a front takes. The workers registered in the store have
 // always been the model API's, with a file of sources or without.
 func (d *daemon) sourcesOf(front string, c *sources.Config) []sources.Source {
-	return c.For(front, d.replica != nil && front == sources.ModelAPI)
+	return c.SourcesOf(front, d.replica != nil && front == sources.ModelAPI)
 }
 
 // tellBackends reports the backends of the model API's own file.
@@ -43,7 +43,7 @@
 		return err
 	}
 	if own := f.Own(); own != nil {
-		own.Report(membership.Report{Whole: true, Final: true, Entries: entries})
+		own.Report(membership.Report{Whole: true, Confirmed: true, Entries: entries})
 	}
 	return nil
 }
