--- a/fleet/budget/bench_test.go
+++ b/fleet/budget/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// What a request pays: at a router that borrows from all the others, which is the dearest.
+// BenchmarkSpend measures the cost for each request at a router that borrows from all others, which
+// is the most expensive case.
 func BenchmarkSpend(b *testing.B) {
 	for _, n := range []int{1, 8, 80, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/fleet/budget/budget_test.go
+++ b/fleet/budget/budget_test.go
@@ -25,41 +25,41 @@
 	return out
 }
 
-// fleet plays routers in virtual time: clocks of different speed, a network that
-// loses, doubles, delays and so reorders, processes that stop and start again.
+// fleet simulates routers in virtual time: clocks of different speeds, a network that loses,
+// duplicates, delays and reorders messages, and processes that stop and restart.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Duration // true time
-	limit   float64
-	drift   float64
-	burst   time.Duration
-	lease   time.Duration
-	routers []*router
-	post    []letter
-	loss    float64
-	double  float64
-	late    time.Duration
-	cut     func(from, to string) bool
-	spent   float64
-	// The sum of all spending as a bucket of the limit would see it: what is left of it.
+	rng         *rand.Rand
+	now         time.Duration // true time
+	limit       float64
+	drift       float64
+	burst       time.Duration
+	lease       time.Duration
+	routers     []*router
+	mailbox     []delivery
+	loss        float64
+	duplication float64
+	maxDelay    time.Duration
+	cut         func(from, to string) bool
+	spent       float64
+	// What remains of a token bucket with the fleet's limit from which all spending is taken.
 	left, worst float64
 	sent        int
-	most        float64 // the largest sum of rates at one moment; with 8 routers at most
+	maxRate     float64 // largest sum of rates at one moment; computed for up to 8 routers
 }
 
 type router struct {
 	name    string
 	life    uint64
 	speed   float64
-	asleep  bool
+	stopped bool
 	ledger  *Ledger
-	demand  func(time.Duration) float64 // a second
-	got     float64
+	demand  func(time.Duration) float64 // per second
+	served  float64
 	owed    float64
-	earlier []*Ledger // processes under its name that it replaced and that may still run
+	earlier []*Ledger // replaced processes of this router that may still run
 }
 
-type letter struct {
+type delivery struct {
 	at time.Duration
 	m  Message
 }
@@ -78,12 +78,12 @@
 	return f
 }
 
-// bound is the burst of all with its rounding.
+// bound is the burst of all routers, including rounding.
 func (f *fleet) bound() float64 { return f.limit*f.burst.Seconds() + float64(len(f.routers)) }
 
 func (f *fleet) clock(r *router) Time { return Time(float64(f.now) * r.speed) }
 
-// restart begins a process under the router's name, with an empty memory.
+// restart starts a process under the router's name with no state.
 func (f *fleet) restart(t require.TestingT, r *router) {
 	r.life++
 	if r.ledger != nil {
@@ -100,11 +100,11 @@
 	for _, m := range ms {
 		f.sent++
 		for n := 1; n > 0; n-- {
-			if f.rng.Float64() < f.double {
+			if f.rng.Float64() < f.duplication {
 				n++
 			}
 			if f.rng.Float64() >= f.loss && !f.cut(m.From, m.To) {
-				f.post = append(f.post, letter{f.now + time.Duration(f.rng.Float64()*float64(f.late)), m})
+				f.mailbox = append(f.mailbox, delivery{f.now + time.Duration(f.rng.Float64()*float64(f.maxDelay)), m})
 			}
 		}
 	}
@@ -117,29 +117,29 @@
 	f.spent++
 	f.left--
 	f.worst = math.Min(f.worst, f.left)
-	r.got++
+	r.served++
 	return true
 }
 
 const step = 20 * time.Millisecond
 
-// run goes on for a while; what is demanded comes evenly.
+// run advances the simulation by d; demand arrives evenly.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += step
 		f.left = math.Min(f.bound(), f.left+f.limit*(1+f.drift)*step.Seconds())
-		due := f.post
-		f.post = nil
+		due := f.mailbox
+		f.mailbox = nil
 		for _, k := range due {
 			r := f.router(k.m.To)
-			if k.at > f.now || r.asleep {
-				f.post = append(f.post, k)
+			if k.at > f.now || r.stopped {
+				f.mailbox = append(f.mailbox, k)
 				continue
 			}
 			f.send(r.ledger.Receive(k.m, f.clock(r)))
 		}
 		for _, r := range f.routers {
-			if r.asleep {
+			if r.stopped {
 				continue
 			}
 			if r.demand != nil {
@@ -153,20 +153,21 @@
 			}
 		}
 		if len(f.routers) <= 8 {
-			f.most = math.Max(f.most, f.rates())
+			f.maxRate = math.Max(f.maxRate, f.rates())
 		}
 	}
 }
 
-// rates is what all may spend a second at this moment. Processes that were replaced count by what they hold of others'
-// shares: their own is their heir's too, which Fence is for.
+// rates is the sum of the rates that all routers may spend now. A replaced process counts only with
+// what it borrows: its own share also belongs to its successor, and Fence prevents that it is spent
+// twice.
 func (f *fleet) rates() float64 {
 	sum := 0.0
 	for _, r := range f.routers {
 		now := f.clock(r)
-		sum += r.ledger.own(r.ledger.budgets[key], now) + r.ledger.borrowed(r.ledger.budgets[key], now)
+		sum += r.ledger.ownRate(r.ledger.budgets[key], now) + r.ledger.borrowedRate(r.ledger.budgets[key], now)
 		for _, l := range r.earlier {
-			sum += l.borrowed(l.budgets[key], now)
+			sum += l.borrowedRate(l.budgets[key], now)
 		}
 	}
 	return sum
@@ -185,17 +186,17 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// Connected, nine tenths of a limit can be used at one router, however many there are.
+// With a working network one router can use nine tenths of a limit, at any number of routers.
 func TestOneRouterUsesNineTenthsOfTheLimit(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 80, 200} {
 		f := newFleet(t, n, 1)
-		f.late = 30 * time.Millisecond
+		f.maxDelay = 30 * time.Millisecond
 		hot := f.routers[n/2]
 		hot.demand = always(2 * f.limit)
 		f.run(2*f.lease + 2*time.Second)
-		before, sent := hot.got, f.sent
+		before, sent := hot.served, f.sent
 		f.run(10 * time.Second)
-		use := (hot.got - before) / 10 / f.limit
+		use := (hot.served - before) / 10 / f.limit
 		t.Logf("%3d routers: %.3f of the limit, %.1f messages a second", n, use, float64(f.sent-sent)/10)
 		require.GreaterOrEqual(t, use, 0.9*(1-f.drift), "%d routers", n)
 		require.LessOrEqual(t, use, 1+f.drift)
@@ -203,15 +204,15 @@
 	}
 }
 
-// Whatever is lost, doubled, late and out of order, with clocks apart, processes stopped, started again or running
-// twice, no window sees more than the limit, and who asks for its floor gets it.
+// With lost, duplicated, late and reordered messages, clock drift, and processes that stop, restart
+// or run twice, no window exceeds the limit, and a router that requests its floor gets it.
 func TestTheLimitHoldsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 2, 3, 5, 8}).Draw(t, "routers")
 		f := newFleet(t, n, rapid.Uint64().Draw(t, "seed"))
 		f.loss = rapid.Float64Range(0, 0.9).Draw(t, "loss")
-		f.double = rapid.Float64Range(0, 0.5).Draw(t, "double")
-		f.late = time.Duration(rapid.IntRange(0, 6000).Draw(t, "late")) * time.Millisecond
+		f.duplication = rapid.Float64Range(0, 0.5).Draw(t, "double")
+		f.maxDelay = time.Duration(rapid.IntRange(0, 6000).Draw(t, "late")) * time.Millisecond
 		for _, r := range f.routers {
 			r.demand = always(rapid.SampledFrom([]float64{0, 1, 20, 300}).Draw(t, "demand"))
 		}
@@ -219,7 +220,7 @@
 			r := f.routers[rapid.IntRange(0, n-1).Draw(t, "router")]
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				r.asleep = !r.asleep
+				r.stopped = !r.stopped
 			case 1:
 				f.restart(t, r)
 			case 2:
@@ -233,34 +234,35 @@
 				f.cut = func(string, string) bool { return false }
 			}
 			f.run(time.Duration(rapid.IntRange(1, 3000).Draw(t, "wait")) * time.Millisecond)
-			require.GreaterOrEqual(t, f.worst, -1e-6, "past the limit")
-			require.LessOrEqual(t, f.most, f.limit*(1+1e-9), "more is held at one moment than there is")
+			require.GreaterOrEqual(t, f.worst, -1e-6, "exceeds the limit")
+			require.LessOrEqual(t, f.maxRate, f.limit*(1+1e-9), "more is held at one moment than the limit")
 		}
-		// Nobody is heard any more: the floor is there, and after a lease the whole share.
+		// No messages are received any more: the floor is available, and the whole share after a
+		// lease.
 		f.cut = func(string, string) bool { return true }
-		f.post = nil
+		f.mailbox = nil
 		for _, r := range f.routers {
-			r.asleep, r.demand, r.owed = false, always(f.limit), 0
+			r.stopped, r.demand, r.owed = false, always(f.limit), 0
 		}
 		f.run(f.lease + time.Second)
 		before := make([]float64, n)
 		for i, r := range f.routers {
-			before[i] = r.got
+			before[i] = r.served
 		}
 		f.run(4 * time.Second)
 		for i, r := range f.routers {
-			require.GreaterOrEqual(t, r.got-before[i], 4*f.limit/float64(n)*(1-f.drift)-2, "its own share once alone")
+			require.GreaterOrEqual(t, r.served-before[i], 4*f.limit/float64(n)*(1-f.drift)-2, "its own share once isolated")
 		}
-		require.GreaterOrEqual(t, f.worst, -1e-6, "past the limit")
+		require.GreaterOrEqual(t, f.worst, -1e-6, "exceeds the limit")
 	})
 }
 
-// The checker finds what breaks the bound: a borrower that never ends a lease, and an owner that lends its floor and
-// spends it too. Without them the same run is clean.
+// The check detects a broken bound: a borrower that never ends a lease, and an owner that spends
+// what it has lent. Without these faults the same run passes.
 func TestTheCheckerFindsABrokenBound(t *testing.T) {
-	for _, fault := range []string{"none", "no end of a lease", "an owner that forgets what it lent"} {
+	for _, fault := range []string{"none", "a lease without end", "an owner that forgets what it lent"} {
 		f := newFleet(t, 5, 3)
-		f.late = 50 * time.Millisecond
+		f.maxDelay = 50 * time.Millisecond
 		f.run(f.lease)
 		f.routers[0].demand = always(1000)
 		f.run(3 * f.lease)
@@ -270,7 +272,7 @@
 		}
 		for range 100 {
 			switch fault {
-			case "no end of a lease":
+			case "a lease without end":
 				for _, h := range f.routers[0].ledger.budgets[key].held {
 					h.until = math.MaxInt64
 				}
@@ -281,12 +283,12 @@
 			}
 			f.run(100 * time.Millisecond)
 		}
-		require.Equal(t, fault == "none", f.worst >= 0, "%s: %.1f left at worst", fault, f.worst)
+		require.Equal(t, fault == "none", f.worst >= 0, "%s: minimum remaining %.1f", fault, f.worst)
 	}
 }
 
-// A router that was stopped for longer than its lease has nothing borrowed when it goes on, and what it had saved up is
-// cut to its own.
+// A router that was stopped for longer than its lease holds no loans when it resumes, and its
+// accumulated burst is cut to that of its own share.
 func TestStoppedForLongerThanItsLease(t *testing.T) {
 	f := newFleet(t, 4, 5)
 	f.run(f.lease)
@@ -294,10 +296,10 @@
 	hot.demand = always(400)
 	f.run(2 * f.lease)
 	require.NotEmpty(t, hot.ledger.Views(f.clock(hot))[0].Borrowed)
-	hot.asleep, hot.demand, hot.owed = true, nil, 0
+	hot.stopped, hot.demand, hot.owed = true, nil, 0
 	f.cut = func(string, string) bool { return true }
 	f.run(2 * f.lease)
-	hot.asleep = false
+	hot.stopped = false
 	got := 0
 	for hot.ledger.Spend(key, 1, f.clock(hot)) {
 		got++
@@ -306,27 +308,27 @@
 	require.Empty(t, hot.ledger.Views(f.clock(hot))[0].Borrowed)
 }
 
-// An earlier process that only slept goes on under the same name beside the new one: what it has borrowed is held back
-// by the owners all the same, and a process that hears of a newer one ends all spending.
+// An earlier process resumes under the same name beside its successor: the owners still reserve
+// what it borrowed, and it stops all spending once it learns of the successor.
 func TestTwoUnderOneName(t *testing.T) {
 	f := newFleet(t, 4, 9)
 	f.run(f.lease)
-	twin := f.routers[0]
-	twin.demand = always(400)
+	replaced := f.routers[0]
+	replaced.demand = always(400)
 	f.run(2 * f.lease)
-	old := twin.ledger
-	f.restart(t, twin)
+	old := replaced.ledger
+	f.restart(t, replaced)
 	f.run(50 * time.Millisecond)
 	old.Fence()
-	require.False(t, old.Spend(key, 1, f.clock(twin)))
-	require.Empty(t, old.Tick(f.clock(twin)))
+	require.False(t, old.Spend(key, 1, f.clock(replaced)))
+	require.Empty(t, old.Tick(f.clock(replaced)))
 	f.run(3 * f.lease)
 	require.GreaterOrEqual(t, f.worst, 0.0)
-	require.Greater(t, twin.ledger.Views(f.clock(twin))[0].Rate, 0.85*f.limit, "and the new one borrows again")
+	require.Greater(t, replaced.ledger.Views(f.clock(replaced))[0].Rate, 0.85*f.limit, "the new process borrows again")
 }
 
-// An owner that has lent to a process and is asked by the next one under that name lends no more than it has left: the
-// first one may only be stopped, and go on with what it holds.
+// An owner that has lent to a process and receives an ask of its successor lends no more than it
+// has left: the first process may only be stopped, and may resume with what it holds.
 func TestALoanToAnEarlierProcessIsStillOut(t *testing.T) {
 	cfg := Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Epoch: 1, Lease: 4 * time.Second, Floor: 0.1, Burst: time.Second}
 	owner, err := New(cfg, 0)
@@ -340,14 +342,14 @@
 		return answer[0].Amount
 	}
 	require.InDelta(t, 6, ask(1, 1, 6), 1e-9)
-	require.InDelta(t, 3, ask(2, 1, 9), 1e-9, "the floor of 1 stays, and 6 are with the first process")
+	require.InDelta(t, 3, ask(2, 1, 9), 1e-9, "the floor of 1 stays, and 6 are lent to the first process")
 	now += Time(cfg.Lease)
-	require.InDelta(t, 9, ask(2, 2, 9), 1e-9, "the first one's lease is over")
+	require.InDelta(t, 9, ask(2, 2, 9), 1e-9, "the first lease has expired")
 }
 
 func TestDemandThatMovesEachSecond(t *testing.T) {
 	f := newFleet(t, 5, 11)
-	f.late = 20 * time.Millisecond
+	f.maxDelay = 20 * time.Millisecond
 	f.run(f.lease)
 	for i, r := range f.routers {
 		r.demand = func(now time.Duration) float64 {
@@ -359,7 +361,7 @@
 	}
 	f.run(20 * time.Second)
 	require.GreaterOrEqual(t, f.worst, 0.0)
-	t.Logf("demand of 0.6 of the limit that moves each second: %.2f of it served", f.spent/(20*60))
+	t.Logf("demand of 0.6 of the limit that moves each second: served %.2f of it", f.spent/(20*60))
 	require.Greater(t, f.spent/(20*60), 0.5)
 }
 
@@ -384,12 +386,12 @@
 	now += Time(2 * time.Second)
 	ask := Message{Kind: Ask, From: "b", To: "a", Epoch: l.epoch(l.budgets[key]), Life: 1, Key: key, Seq: 1, Amount: 3}
 	for name, spoil := range map[string]func(*Message){
-		"another epoch": func(m *Message) { m.Epoch++ }, "another limit": func(m *Message) { m.Epoch = l.epoch(&account{limit: 11}) }, "a stranger": func(m *Message) { m.From = "c" },
+		"another epoch": func(m *Message) { m.Epoch++ }, "another limit": func(m *Message) { m.Epoch = l.epoch(&account{limit: 11}) }, "an unknown router": func(m *Message) { m.From = "c" },
 		"itself": func(m *Message) { m.From = "a" }, "for another": func(m *Message) { m.To = "b" },
 		"no such budget": func(m *Message) { m.Key = "?" }, "not a number": func(m *Message) { m.Amount = math.NaN() },
 		"negative": func(m *Message) { m.Amount = -1 }, "infinite": func(m *Message) { m.Amount = math.Inf(1) },
 		"no number": func(m *Message) { m.Seq = 0 }, "another kind": func(m *Message) { m.Kind = 9 },
-		"a grant nobody asked for": func(m *Message) { m.Kind = Grant },
+		"a grant without an ask": func(m *Message) { m.Kind = Grant },
 	} {
 		m := ask
 		spoil(&m)
@@ -400,29 +402,29 @@
 	huge.Amount = 1e300
 	answer := l.Receive(huge, now)
 	require.Len(t, answer, 1)
-	require.InDelta(t, 4.5, answer[0].Amount, 1e-9, "all but the floor, whatever is asked")
-	require.Empty(t, l.Receive(huge, now), "doubled")
+	require.InDelta(t, 4.5, answer[0].Amount, 1e-9, "all but the floor, however much is requested")
+	require.Empty(t, l.Receive(huge, now), "duplicate")
 	require.InDelta(t, 0.5, l.Views(now)[0].Rate, 1e-9)
 	require.True(t, l.Spend("free", 1e9, now), "no limit is set")
 	require.False(t, l.Spend(key, math.NaN(), now))
-	// A limit that goes and comes back does not forget what is lent.
+	// A limit that is removed and set again keeps the state of its loans.
 	l.SetLimit(key, 0, now)
 	l.Tick(now)
 	l.SetLimit(key, 10, now)
 	require.InDelta(t, 0.5, l.Views(now)[0].Rate, 1e-9)
 }
 
-// explore plays all orders of what can happen to three routers within a depth: asks, answers delivered, doubled or lost,
-// time, a process that starts again while its forerunner goes on.
+// Explores all sequences of events at three routers up to a depth: asks, messages delivered,
+// duplicated or lost, time, and a process that restarts while its predecessor continues.
 func TestAllOrdersOfTwoLeases(t *testing.T) {
 	type world struct {
 		now     Time
-		ledgers []*Ledger // the last ones are forerunners
-		post    []Message
+		ledgers []*Ledger // replaced predecessors follow the current ones
+		mailbox []Message
 		life    uint64
 	}
 	cfg := Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Epoch: 1, Lease: 4 * time.Second, Floor: 0.1, Burst: time.Second}
-	make1 := func(self string, life uint64, now Time) *Ledger {
+	newLedger := func(self string, life uint64, now Time) *Ledger {
 		c := cfg
 		c.Self, c.Incarnation = self, life
 		l, err := New(c, now)
@@ -435,7 +437,7 @@
 		c.budgets = map[string]*account{}
 		for k, a := range l.budgets {
 			b := *a
-			b.lent, b.held = map[string]*lent{}, map[string]*held{}
+			b.lent, b.held = map[string]*lending{}, map[string]*borrowing{}
 			for n, x := range a.lent {
 				y := *x
 				y.grants = append([]grant(nil), x.grants...)
@@ -451,7 +453,7 @@
 		return &c
 	}
 	copyOf := func(w world) world {
-		out := world{now: w.now, post: append([]Message(nil), w.post...), life: w.life}
+		out := world{now: w.now, mailbox: append([]Message(nil), w.mailbox...), life: w.life}
 		for _, l := range w.ledgers {
 			out.ledgers = append(out.ledgers, clone(l))
 		}
@@ -459,10 +461,10 @@
 	}
 	print := func(w world) string {
 		var b strings.Builder
-		fmt.Fprint(&b, w.now, w.post)
+		fmt.Fprint(&b, w.now, w.mailbox)
 		for _, l := range w.ledgers {
 			a := l.budgets[key]
-			fmt.Fprint(&b, "|", l.cfg.Self, l.seq, l.began, a.demand > 0)
+			fmt.Fprint(&b, "|", l.cfg.Self, l.seq, l.startedAt, a.demand > 0)
 			for _, n := range cfg.Routers {
 				if x := a.lent[n]; x != nil {
 					fmt.Fprint(&b, "l", n, *x)
@@ -478,15 +480,15 @@
 		sum := 0.0
 		for _, l := range w.ledgers {
 			a := l.budgets[key]
-			sum += l.own(a, w.now) + l.borrowed(a, w.now)
+			sum += l.ownRate(a, w.now) + l.borrowedRate(a, w.now)
 		}
 		return sum
 	}
 	first := world{now: Time(time.Hour), life: 1}
 	for _, n := range cfg.Routers {
-		first.ledgers = append(first.ledgers, make1(n, 1, first.now))
+		first.ledgers = append(first.ledgers, newLedger(n, 1, first.now))
 	}
-	first.now += Time(cfg.Lease) // all know by now that nobody lent before
+	first.now += Time(cfg.Lease) // every router now knows that nothing was lent before
 	seen := map[string]bool{}
 	frontier := []world{first}
 	for range *depth {
@@ -497,35 +499,36 @@
 				return
 			}
 			seen[k] = true
-			// A forerunner spends its own share beside its heir, which Fence is for: what it has borrowed must be held back.
+			// A predecessor spends its own share beside its successor, which Fence prevents: what
+			// it borrowed must stay reserved.
 			own := 0.0
-			for _, forerunner := range w.ledgers[3:] {
-				own += forerunner.own(forerunner.budgets[key], w.now)
+			for _, predecessor := range w.ledgers[3:] {
+				own += predecessor.ownRate(predecessor.budgets[key], w.now)
 			}
 			require.LessOrEqual(t, rates(w), 3+own+1e-9, k)
 			next = append(next, w)
 		}
 		for _, w := range frontier {
-			for i := range 2 { // a and b want all there is, or nothing more
+			for i := range 2 { // a and b request everything, or nothing more
 				for _, demand := range []float64{3, 0} {
 					n := copyOf(w)
-					n.ledgers[i].budgets[key].demand, n.ledgers[i].budgets[key].at = demand, n.now
-					n.post = append(n.post, n.ledgers[i].Tick(n.now)...)
+					n.ledgers[i].budgets[key].demand, n.ledgers[i].budgets[key].settledAt = demand, n.now
+					n.mailbox = append(n.mailbox, n.ledgers[i].Tick(n.now)...)
 					visit(n)
 				}
 			}
-			for i, m := range w.post {
+			for i, m := range w.mailbox {
 				for _, keep := range []bool{false, true} {
-					if keep && len(w.post) > 4 {
+					if keep && len(w.mailbox) > 4 {
 						continue
 					}
 					n := copyOf(w)
 					if !keep {
-						n.post = append(n.post[:i:i], n.post[i+1:]...)
+						n.mailbox = append(n.mailbox[:i:i], n.mailbox[i+1:]...)
 					}
 					for j, l := range n.ledgers[:3] {
 						if cfg.Routers[j] == m.To {
-							n.post = append(n.post, l.Receive(m, n.now)...)
+							n.mailbox = append(n.mailbox, l.Receive(m, n.now)...)
 						}
 					}
 					visit(n)
@@ -538,7 +541,7 @@
 				n := copyOf(w)
 				n.life++
 				n.ledgers = append(n.ledgers, n.ledgers[0])
-				n.ledgers[0] = make1("a", n.life, n.now)
+				n.ledgers[0] = newLedger("a", n.life, n.now)
 				visit(n)
 			}
 		}
--- a/fleet/budget/ledger.go
+++ b/fleet/budget/ledger.go
@@ -1,7 +1,5 @@
 package budget
 
-// This file: one router's part in all budgets: what it may spend now.
-
 import (
 	"maps"
 	"math"
@@ -9,66 +7,67 @@
 	"time"
 )
 
-// Ledger is one router's part in all budgets.
+// Ledger is one router's part in all budgets. It decides what the router may spend now.
 type Ledger struct {
-	moves   []Move
-	cfg     Config
-	began   Time
-	fenced  bool
-	seq     uint64
-	budgets map[string]*account
+	moves     []Move
+	cfg       Config
+	startedAt Time
+	fenced    bool
+	seq       uint64
+	budgets   map[string]*account
 }
 
-// account is what a router knows of one budget.
+// account is a router's state of one budget.
 type account struct {
-	limit  float64
-	level  float64 // what may be spent now
-	at     Time    // when level was right
-	demand float64 // a second, at the time above
-	off    bool    // without a limit, but what was lent may still be in use
-	lent   map[string]*lent
-	held   map[string]*held
-	next   int // who is asked first, so that not all ask the same
+	limit     float64
+	level     float64 // amount that may be spent now
+	settledAt Time    // when level was last updated
+	demand    float64 // per second, averaged up to settledAt
+	removed   bool    // the limit was removed, but loans may still be in use
+	lent      map[string]*lending
+	held      map[string]*borrowing
+	// Index of the owner that is asked first; it differs between routers to spread the asks.
+	firstOwner int
 }
 
-// New returns a router's ledger without budgets.
+// New returns a router's ledger with no budgets.
 func New(cfg Config, now Time) (*Ledger, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	cfg.Routers = slices.Sorted(slices.Values(cfg.Routers))
-	return &Ledger{cfg: cfg, began: now, budgets: map[string]*account{}}, nil
+	return &Ledger{cfg: cfg, startedAt: now, budgets: map[string]*account{}}, nil
 }
 
-// SetLimit sets a budget's limit, in cost a second over all routers; 0 removes it.
-// While routers go over to another limit one by one, the larger of the two holds.
+// SetLimit sets a budget's limit, in cost per second over all routers; 0 removes it. While the
+// routers change to another limit one by one, the larger of the two applies to the fleet.
 func (l *Ledger) SetLimit(key string, perSecond float64, now Time) {
 	a := l.budgets[key]
 	if !(perSecond > 0) || math.IsInf(perSecond, 0) {
 		if a != nil {
 			l.settle(a, now)
-			a.off, a.limit, a.demand = true, 0, 0
+			a.removed, a.limit, a.demand = true, 0, 0
 		}
 		return
 	}
 	if a == nil {
-		a = &account{at: now, lent: map[string]*lent{}, held: map[string]*held{}}
-		a.next = slices.Index(l.cfg.Routers, l.cfg.Self) + 1
+		a = &account{settledAt: now, lent: map[string]*lending{}, held: map[string]*borrowing{}}
+		a.firstOwner = slices.Index(l.cfg.Routers, l.cfg.Self) + 1
 		l.budgets[key] = a
 	}
 	l.settle(a, now)
-	a.off, a.limit = false, perSecond
+	a.removed, a.limit = false, perSecond
 	l.settle(a, now)
 }
 
-// epoch is what both ends of a loan must agree in: the terms, and this budget's limit.
-// Another budget's change interrupts nothing here.
+// epoch identifies what both ends of a loan must agree on: the terms and this budget's limit. A
+// change to another budget does not interrupt loans of this one.
 func (l *Ledger) epoch(a *account) uint64 {
 	return (l.cfg.Epoch ^ math.Float64bits(a.limit)) * 0x9e3779b97f4a7c15
 }
 
-// SetIncarnation tells that this process goes by a newer life. What it has borrowed
-// under the one before is given up here and runs out where it came from.
+// SetIncarnation sets a newer incarnation for this process. What it borrowed under the previous one
+// is released here and expires at the owners.
 func (l *Ledger) SetIncarnation(life uint64) {
 	if life <= l.cfg.Incarnation {
 		return
@@ -79,21 +78,21 @@
 	}
 }
 
-// Fence ends all spending: another process goes on under this router's name.
+// Fence stops all spending, because another process has taken over this router's name.
 func (l *Ledger) Fence() { l.fenced = true }
 
-// Spend takes cost out of a budget, if it is there. A key without a limit is free.
-// The cost may be up to what Burst lets a router save up, and 1 at any rate.
+// Spend takes cost from a budget and reports whether enough was available. A key without a limit is
+// unrestricted. The maximum cost is the amount that Burst lets a router accumulate, and at least 1.
 func (l *Ledger) Spend(key string, cost float64, now Time) bool {
 	a := l.budgets[key]
-	if a == nil || a.off {
+	if a == nil || a.removed {
 		return !l.fenced
 	}
 	if !(cost >= 0) || l.fenced {
 		return false
 	}
 	l.settle(a, now)
-	a.demand += cost / (demandOver * l.cfg.Lease.Seconds())
+	a.demand += cost / (demandWindow * l.cfg.Lease.Seconds())
 	if a.level < cost {
 		return false
 	}
@@ -103,22 +102,22 @@
 
 func (l *Ledger) share(a *account) float64 { return a.limit / float64(len(l.cfg.Routers)) }
 
-// unsure tells whether an earlier process under this name may still have lent.
-func (l *Ledger) unsure(now Time) bool { return now-l.began < Time(l.cfg.Lease) }
+// unsure reports whether loans by an earlier process with this name may still be in use.
+func (l *Ledger) unsure(now Time) bool { return now-l.startedAt < Time(l.cfg.Lease) }
 
-// own is what is left of the own share.
-func (l *Ledger) own(a *account, now Time) float64 {
+// ownRate is the part of the own share that is not lent.
+func (l *Ledger) ownRate(a *account, now Time) float64 {
 	rate := l.share(a)
 	if l.unsure(now) {
 		rate *= l.cfg.Floor
 	}
 	for _, n := range a.lent {
-		rate -= n.out(now)
+		rate -= n.total(now)
 	}
 	return math.Max(rate, 0)
 }
 
-func (l *Ledger) borrowed(a *account, now Time) float64 {
+func (l *Ledger) borrowedRate(a *account, now Time) float64 {
 	rate := 0.0
 	for _, h := range a.held {
 		if now < h.until {
@@ -128,32 +127,32 @@
 	return rate
 }
 
-// most is what may be saved up.
-func (l *Ledger) most(a *account, now Time) float64 {
-	return math.Max(1, l.cfg.Burst.Seconds()*(l.own(a, now)+l.borrowed(a, now)))
+// maxLevel is the largest amount that may accumulate.
+func (l *Ledger) maxLevel(a *account, now Time) float64 {
+	return math.Max(1, l.cfg.Burst.Seconds()*(l.ownRate(a, now)+l.borrowedRate(a, now)))
 }
 
-// settle brings an account up to now. What came in since is counted by the rates at
-// the beginning, those of leases that ended meanwhile up to their ends.
+// settle updates an account to now. Income since the last update is computed from the rates at its
+// beginning; leases that expired in between count up to their expiry.
 func (l *Ledger) settle(a *account, now Time) {
-	if now > a.at {
-		gained := l.own(a, a.at) * (time.Duration(now - a.at)).Seconds()
+	if now > a.settledAt {
+		gained := l.ownRate(a, a.settledAt) * (time.Duration(now - a.settledAt)).Seconds()
 		for _, h := range a.held {
-			if end := min(h.until, now); end > a.at {
-				gained += h.amount * (time.Duration(end - a.at)).Seconds()
+			if end := min(h.until, now); end > a.settledAt {
+				gained += h.amount * (time.Duration(end - a.settledAt)).Seconds()
 			}
 		}
 		a.level += gained
-		a.demand *= math.Exp(-float64(now-a.at) / (demandOver * float64(l.cfg.Lease)))
-		a.at = now
+		a.demand *= math.Exp(-float64(now-a.settledAt) / (demandWindow * float64(l.cfg.Lease)))
+		a.settledAt = now
 	}
 	for _, n := range a.lent {
 		n.grants = slices.DeleteFunc(n.grants, func(g grant) bool { return now >= g.until })
 	}
-	a.level = math.Min(a.level, l.most(a, now))
+	a.level = math.Min(a.level, l.maxLevel(a, now))
 }
 
-// Tick returns the asks that are due. It is to be called several times a lease.
+// Tick returns the asks that are due. Call it several times per lease.
 func (l *Ledger) Tick(now Time) []Message {
 	var out []Message
 	if l.fenced {
@@ -163,20 +162,20 @@
 		a := l.budgets[key]
 		l.settle(a, now)
 		switch {
-		case !a.off:
-			out = l.asks(key, a, now, out)
-		case !a.out(now):
+		case !a.removed:
+			out = l.requestLoans(key, a, now, out)
+		case !a.hasLent(now):
 			delete(l.budgets, key)
 		}
 	}
 	return out
 }
 
-// Receive takes a message and returns the answer to it, if there is one. What is
-// malformed, of another epoch, for somebody else or of a stranger is dropped.
+// Receive processes a message and returns the answers to it. It drops messages that are malformed,
+// of another epoch, addressed to another router or sent by an unknown router.
 func (l *Ledger) Receive(m Message, now Time) []Message {
 	a := l.budgets[m.Key]
-	if a == nil || a.off || l.fenced || m.To != l.cfg.Self || m.From == l.cfg.Self || m.Epoch != l.epoch(a) || m.Seq == 0 ||
+	if a == nil || a.removed || l.fenced || m.To != l.cfg.Self || m.From == l.cfg.Self || m.Epoch != l.epoch(a) || m.Seq == 0 ||
 		!(m.Amount >= 0) || math.IsInf(m.Amount, 0) || !slices.Contains(l.cfg.Routers, m.From) {
 		return nil
 	}
@@ -185,22 +184,22 @@
 	case Ask:
 		return l.lend(a, m, now)
 	case Grant:
-		l.take(a, m, now)
+		l.acceptGrant(a, m, now)
 	case Return:
-		a.lent[m.From].back(m)
-		l.tell(Move{Kind: Returned, Key: m.Key, Router: m.From, Life: m.Life, Seq: m.Seq, Amount: m.Amount})
+		a.lent[m.From].reduce(m)
+		l.record(Move{Kind: Returned, Key: m.Key, Router: m.From, Life: m.Life, Seq: m.Seq, Amount: m.Amount})
 	}
 	l.settle(a, now)
 	return nil
 }
 
-func (l *Ledger) tell(m Move) {
+func (l *Ledger) record(m Move) {
 	if l.cfg.Tell {
 		l.moves = append(l.moves, m)
 	}
 }
 
-// Moves returns what was lent, returned and borrowed since it was asked for last, in order.
+// Moves returns the loans, returns and borrowings since the last call, in order.
 func (l *Ledger) Moves() []Move {
 	out := l.moves
 	l.moves = nil
--- a/fleet/budget/message.go
+++ b/fleet/budget/message.go
@@ -1,53 +1,53 @@
 package budget
 
-// This file: what routers say to each other, and what a ledger tells of loans.
-
 import (
 	"time"
 )
 
-// Kind says what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of message.
 const (
-	Ask    Kind = iota + 1 // the sender wants to hold Amount of the receiver's share
-	Grant                  // the sender lends Amount, in answer to the ask of this number
-	Return                 // the sender uses at most Amount of the grant of this number by now, and no older one
+	Ask   Kind = iota + 1 // the sender requests Amount of the receiver's share
+	Grant                 // the sender lends Amount, in answer to the ask with this number
+	// The sender now uses at most Amount of the grant with this number, and no older grant.
+	Return
 )
 
-// Message goes between two routers. It may be lost, doubled, late or out of order.
+// Message is sent between two routers. It may be lost, duplicated, delayed or reordered.
 type Message struct {
 	Kind   Kind    `cbor:"1,keyasint"`
 	From   string  `cbor:"2,keyasint"`
 	To     string  `cbor:"3,keyasint"`
 	Epoch  uint64  `cbor:"4,keyasint"`
 	Life   uint64  `cbor:"5,keyasint"` // incarnation of the router that asks
-	Key    string  `cbor:"6,keyasint"` // whose budget
+	Key    string  `cbor:"6,keyasint"` // name of the budget
 	Seq    uint64  `cbor:"7,keyasint"` // number of the ask
-	Amount float64 `cbor:"8,keyasint"` // a second
-	Using  uint64  `cbor:"9,keyasint"` // in an ask: number of the grant in use; older ones never will be again
+	Amount float64 `cbor:"8,keyasint"` // per second
+	// In an ask: number of the grant in use; older grants are never used again.
+	Using uint64 `cbor:"9,keyasint"`
 }
 
-// MoveKind says what a Move is.
+// MoveKind is the type of a Move.
 type MoveKind uint8
 
-// The kinds of Move. Lent and Returned are the owner's, Borrowed is the borrower's.
+// The kinds of Move. Lent and Returned are recorded by the owner, Borrowed by the borrower.
 const (
 	Lent MoveKind = iota + 1
 	Returned
 	Borrowed
 )
 
-// Move is a change of what is lent, as one end of it knows it. A grant is known by its key, both routers, the borrower's
-// life and the number of the ask.
+// Move is a change in a loan as recorded by one end. A grant is identified by its key, both
+// routers, the borrower's incarnation and the number of the ask.
 type Move struct {
 	Kind      MoveKind
 	Key       string
 	Router    string // the other end
 	Life, Seq uint64
-	Using     uint64        // of Lent: older grants of this life will never be used again
-	Amount    float64       // a second; of Returned: what is used at most by now
-	Share     float64       // of Lent: what the owner has to lend and to spend, in all
-	Left      time.Duration // until it ends by the clock of the end that tells of it
+	Using     uint64        // for Lent: older grants to this incarnation are never used again
+	Amount    float64       // per second; for Returned: the maximum that is still in use
+	Share     float64       // for Lent: the owner's whole share, to lend and to spend
+	Left      time.Duration // until the lease expires by the clock of the end that records it
 }
