--- a/fleet/outlier/outlier.go
+++ b/fleet/outlier/outlier.go
@@ -1,17 +1,17 @@
-// Package outlier takes workers out for a whole fleet of routers by agreement.
+// Package outlier removes failing workers from use at all routers of a fleet by agreement.
 //
-// Each router judges workers by what became of its own attempts there. Judgements and
-// what they rest on are passed on between routers, each for a stated time. A worker is
-// out for all while a stated number of routers judge its present incarnation so, not all
-// of them in one zone where the fleet has several, and while what they have seen together
-// is enough: routers of little traffic see little each. Never more than a stated share of a group of
-// workers alike, by kind or by zone, is out: beyond it the least agreed on stay in. A
-// worker comes back in steps.
+// Each router judges workers by the results of its own attempts. Routers forward judgements and the
+// counts behind them to each other; each judgement is valid for a stated time. A worker is out for
+// the whole fleet while a quorum of routers judges its present incarnation to be faulty, while
+// these routers are not all in one zone (if the fleet has several), and while the failures that
+// they counted together reach a minimum: a router with little traffic sees few failures. At most a
+// stated share of a group of workers, those of one kind or of one zone, is out; if more would be,
+// those with the least agreement stay in. A worker returns in steps.
 //
-// A router to which most workers look bad has a bad link itself, and judges nobody. One
-// that judges more workers than may be out is disregarded.
+// A router to which most workers appear faulty probably has a faulty link, and judges no worker.
+// The judgements of a router that judges more workers than may be out are ignored.
 //
-// The package does no I/O and starts nothing; the clock is an argument. A Detector is not
+// The package does no I/O and starts no goroutines; the clock is an argument. A Detector is not
 // safe for concurrent use.
 package outlier
 
@@ -28,14 +28,14 @@
 // Time is a reading of the caller's monotonic clock from an arbitrary start.
 type Time time.Duration
 
-// Fault is what is wrong with a worker.
+// Fault is the way in which a worker fails.
 type Fault uint8
 
 // The faults of a worker.
 const (
 	None    Fault = iota
 	Errors        // it answers with errors
-	Resets        // it breaks connections off
+	Resets        // it resets connections
 	Connect       // it can't be reached
 	Silent        // it does not answer in time
 )
@@ -46,147 +46,151 @@
 }
 
 const (
-	evidenceOver  = 5 * time.Second // time constant of what attempts tell
-	leastBad      = 0.5             // attempts gone wrong, faded, that a single judgement rests on
-	mostSeen      = 1e6             // attempts; what is more makes no sense
-	badPart       = 0.5             // of the attempts at a worker, from where on it may be judged
-	timesUsual    = 3.0             // and so many times what is usual at the others
+	evidenceDecay = 5 * time.Second // time constant of the attempt counts
+	minFailures   = 0.5             // decayed failures that a single judgement requires
+	maxAttempts   = 1e6             // attempts; larger counts in a message are invalid
+	// Failed fraction of the attempts at a worker at which it may be judged.
+	failingShare = 0.5
+	// And the required multiple of the failure rate at the other workers.
+	usualFactor   = 3.0
 	returnSteps   = 4
-	mostPassed    = 32 // judgements in a message
-	mostWorkers   = 4096
-	mostDoublings = 3 // of the time that a judgement holds, for a worker that is judged again and again
+	maxJudgements = 32 // judgements in a message
+	maxWorkers    = 4096
+	maxDoublings  = 3 // doublings of the hold time for a worker that is judged repeatedly
 )
 
-// Config says who judges and what may come of it.
+// Config lists the routers and sets the limits for taking workers out.
 type Config struct {
 	Self    string
-	Zones   map[string]string // the zone of each router, Self among them; "" is a zone as well
-	Quorum  int               // routers that must agree, this one among them
-	MostOut float64           // share of a group of workers that may be out, 0 to 0.5
-	Least   float64           // attempts gone wrong, of all who judge together, that take a worker out
-	Hold    time.Duration     // a judgement holds for so long unless it is made anew
-	Return  time.Duration     // a worker that comes back has all of its traffic after this
+	Zones   map[string]string // zone of each router, including Self; "" is also a zone
+	Quorum  int               // routers that must agree, including this one
+	MostOut float64           // fraction of a group of workers that may be out, 0 to 0.5
+	// Failures counted by all judging routers together that take a worker out.
+	Least  float64
+	Hold   time.Duration // validity of a judgement unless it is renewed
+	Return time.Duration // time until a returning worker has all of its traffic again
 }
 
-// ErrConfig is what a faulty Config wraps.
+// ErrConfig is wrapped by the errors for an invalid Config.
 var ErrConfig = errors.New("outlier detection")
 
 func (c *Config) check() error {
 	_, self := c.Zones[c.Self]
 	switch {
 	case !self:
-		return fmt.Errorf("%w: self is %q, none of the routers", ErrConfig, c.Self)
+		return fmt.Errorf("%w: self is %q, not among the routers", ErrConfig, c.Self)
 	case c.Quorum < 1:
-		return fmt.Errorf("%w: quorum is %d, not 1 or more", ErrConfig, c.Quorum)
+		return fmt.Errorf("%w: quorum is %d, must be at least 1", ErrConfig, c.Quorum)
 	case !(c.MostOut >= 0 && c.MostOut <= 0.5):
-		return fmt.Errorf("%w: most_out is %v, not from 0 to 0.5", ErrConfig, c.MostOut)
+		return fmt.Errorf("%w: most_out is %v, must be from 0 to 0.5", ErrConfig, c.MostOut)
 	case !(c.Least > 0):
-		return fmt.Errorf("%w: least is %v, not over 0", ErrConfig, c.Least)
+		return fmt.Errorf("%w: least is %v, must be greater than 0", ErrConfig, c.Least)
 	case c.Hold <= 0 || c.Return < 0:
-		return fmt.Errorf("%w: hold is %v and return %v, not over 0 and 0 or more", ErrConfig, c.Hold, c.Return)
+		return fmt.Errorf("%w: hold is %v and return %v, must be greater than 0 and not negative", ErrConfig, c.Hold, c.Return)
 	}
 	return nil
 }
 
-// Judgement is one router's word on one worker.
+// Judgement is one router's judgement of one worker.
 type Judgement struct {
-	Worker string  `cbor:"1,keyasint"`
-	Since  int64   `cbor:"2,keyasint"` // which incarnation of the worker
-	Origin string  `cbor:"3,keyasint"` // who judges
-	Life   uint64  `cbor:"4,keyasint"` // the judge's incarnation
-	Seq    uint64  `cbor:"5,keyasint"` // a later word of the same judge counts
-	Fault  Fault   `cbor:"6,keyasint"` // None takes the judgement back
-	Bad    float64 `cbor:"7,keyasint"` // attempts that went wrong lately, faded
-	Good   float64 `cbor:"8,keyasint"` // and that went well
-	LeftMs uint32  `cbor:"9,keyasint"` // it holds for so much longer
+	Worker string `cbor:"1,keyasint"`
+	Since  int64  `cbor:"2,keyasint"` // the worker's incarnation
+	Origin string `cbor:"3,keyasint"` // the router that judges
+	Life   uint64 `cbor:"4,keyasint"` // incarnation of Origin
+	// Judgements with a higher number replace earlier ones of the same origin.
+	Seq    uint64  `cbor:"5,keyasint"`
+	Fault  Fault   `cbor:"6,keyasint"` // None withdraws the judgement
+	Bad    float64 `cbor:"7,keyasint"` // recent failed attempts, decayed
+	Good   float64 `cbor:"8,keyasint"` // recent successful attempts, decayed
+	LeftMs uint32  `cbor:"9,keyasint"` // remaining validity
 }
 
-// Worker is one that the routers share.
+// Worker is a worker that the routers share.
 type Worker struct {
 	Name  string
 	Since int64  // its incarnation
-	Kind  string // those of one kind, or of one zone, must not all be out
+	Kind  string // the workers of one kind, or of one zone, must not all be out
 	Zone  string
 }
 
-// Detector is one router's part in all judgements.
+// Detector holds one router's evidence and the judgements of all routers.
 type Detector struct {
-	cfg      Config
-	life     uint64
-	seq      uint64
-	evidence map[string]*evidence
-	words    map[string]map[string]*word // by worker, by judge
-	back     map[string]Time             // since when workers that were out come back
-	out      map[string]bool
-	next     int
+	cfg         Config
+	incarnation uint64
+	seq         uint64
+	evidence    map[string]*evidence
+	judgements  map[string]map[string]*timedJudgement // by worker and origin
+	returning   map[string]Time                       // when workers that were out began to return
+	out         map[string]bool
+	next        int
 }
 
-// evidence is what became of own attempts at a worker lately.
+// evidence is the results of recent own attempts at a worker.
 type evidence struct {
-	since int64
-	good  float64
-	bad   [Silent + 1]float64
-	at    Time
-	again int // times that it was judged, each soon after the last
-	until Time
+	since       int64
+	good        float64
+	bad         [Silent + 1]float64
+	updatedAt   Time
+	judgedTimes int // judgements in short succession
+	judgedUntil Time
 }
 
-type word struct {
+type timedJudgement struct {
 	Judgement
 	until Time
 }
 
-// New returns a detector without evidence. The life grows with each start.
-func New(cfg Config, life uint64) (*Detector, error) {
+// New returns a detector without evidence. The incarnation increases with each start.
+func New(cfg Config, incarnation uint64) (*Detector, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	return &Detector{cfg: cfg, life: life, evidence: map[string]*evidence{}, words: map[string]map[string]*word{},
-		back: map[string]Time{}, out: map[string]bool{}}, nil
+	return &Detector{cfg: cfg, incarnation: incarnation, evidence: map[string]*evidence{}, judgements: map[string]map[string]*timedJudgement{},
+		returning: map[string]Time{}, out: map[string]bool{}}, nil
 }
 
-// SetLife tells that this process goes by a newer life: its judgements go by it from
-// the next one on, and those made before are made anew.
-func (d *Detector) SetLife(life uint64) {
-	if life <= d.life {
+// SetLife sets a newer incarnation for this process. Its judgements carry it from the next one on,
+// and earlier ones are made again.
+func (d *Detector) SetLife(incarnation uint64) {
+	if incarnation <= d.incarnation {
 		return
 	}
-	d.life = life
-	for _, by := range d.words {
+	d.incarnation = incarnation
+	for _, by := range d.judgements {
 		delete(by, d.cfg.Self)
 	}
 }
 
 func (e *evidence) fade(now Time) {
-	if now > e.at {
-		k := math.Exp(-float64(now-e.at) / float64(evidenceOver))
+	if now > e.updatedAt {
+		k := math.Exp(-float64(now-e.updatedAt) / float64(evidenceDecay))
 		e.good *= k
 		for i := range e.bad {
 			e.bad[i] *= k
 		}
-		e.at = now
+		e.updatedAt = now
 	}
 }
 
-// sum is all that went wrong, and the fault that did most of it.
-func (e *evidence) sum() (bad float64, most Fault) {
+// failures returns the count of all failures and the most frequent fault.
+func (e *evidence) failures() (bad float64, mainFault Fault) {
 	for i, v := range e.bad {
 		bad += v
-		if v > e.bad[most] {
-			most = Fault(i)
+		if v > e.bad[mainFault] {
+			mainFault = Fault(i)
 		}
 	}
-	return bad, most
+	return bad, mainFault
 }
 
-// Observe takes what became of an attempt at a worker; None says that it went well.
+// Observe records the result of an attempt at a worker; None means success.
 func (d *Detector) Observe(worker string, since int64, fault Fault, now Time) {
 	e := d.evidence[worker]
 	if e == nil || e.since != since {
-		if e == nil && len(d.evidence) >= mostWorkers {
+		if e == nil && len(d.evidence) >= maxWorkers {
 			return
 		}
-		e = &evidence{since: since, at: now}
+		e = &evidence{since: since, updatedAt: now}
 		d.evidence[worker] = e
 	}
 	e.fade(now)
@@ -197,86 +201,86 @@
 	}
 }
 
-// Keep drops what is known of workers that are not listed any more.
+// Keep drops the state of workers that are not listed any more.
 func (d *Detector) Keep(listed func(worker string) bool) {
 	maps.DeleteFunc(d.evidence, func(name string, _ *evidence) bool { return !listed(name) })
-	maps.DeleteFunc(d.words, func(name string, _ map[string]*word) bool { return !listed(name) })
-	maps.DeleteFunc(d.back, func(name string, _ Time) bool { return !listed(name) })
+	maps.DeleteFunc(d.judgements, func(name string, _ map[string]*timedJudgement) bool { return !listed(name) })
+	maps.DeleteFunc(d.returning, func(name string, _ Time) bool { return !listed(name) })
 }
 
-// Judge renews the own judgements. It is to be called several times in a Hold.
+// Judge renews the own judgements. Call it several times per Hold.
 func (d *Detector) Judge(now Time) {
-	good, bad, looked, wrong := 0.0, 0.0, 0, 0
+	good, bad, judged, failing := 0.0, 0.0, 0, 0
 	for _, e := range d.evidence {
 		e.fade(now)
-		b, _ := e.sum()
+		b, _ := e.failures()
 		good, bad = good+e.good, bad+b
-		if e.good+b >= leastBad {
-			looked++
-			if b >= badPart*(e.good+b) {
-				wrong++
+		if e.good+b >= minFailures {
+			judged++
+			if b >= failingShare*(e.good+b) {
+				failing++
 			}
 		}
 	}
-	// Where most look bad the fault is on this side.
-	own := looked > 2 && float64(wrong) > d.cfg.MostOut*float64(looked)
+	// If most workers appear faulty, the fault is at this router.
+	ownFault := judged > 2 && float64(failing) > d.cfg.MostOut*float64(judged)
 	for _, name := range slices.Sorted(maps.Keys(d.evidence)) {
 		e := d.evidence[name]
-		b, most := e.sum()
+		b, mainFault := e.failures()
 		n := e.good + b
 		usual := (bad - b) / math.Max(good+bad-n, 1)
-		w := d.words[name][d.cfg.Self]
+		w := d.judgements[name][d.cfg.Self]
 		held := w != nil && w.Fault != None && w.Since == e.since && now < w.until
 		switch {
-		case own || b < badPart*n:
-			if held && (own || n >= leastBad) {
-				d.say(name, e, None, b, now)
+		case ownFault || b < failingShare*n:
+			if held && (ownFault || n >= minFailures) {
+				d.judge(name, e, None, b, now)
 			}
-		case b < leastBad || b < timesUsual*usual*n:
+		case b < minFailures || b < usualFactor*usual*n:
 		case !held || w.until-now < Time(d.cfg.Hold)/2 || b > 1.5*w.Bad:
 			if !held {
-				if now-e.until > Time(8*d.cfg.Hold) {
-					e.again = 0
+				if now-e.judgedUntil > Time(8*d.cfg.Hold) {
+					e.judgedTimes = 0
 				}
-				e.again++
+				e.judgedTimes++
 			}
-			d.say(name, e, most, b, now)
+			d.judge(name, e, mainFault, b, now)
 		}
 	}
 	d.prune(now)
 }
 
-// say makes an own judgement. One that is made again and again holds for longer.
-func (d *Detector) say(name string, e *evidence, fault Fault, bad float64, now Time) {
+// judge makes an own judgement. Its validity is longer for a worker that is judged repeatedly.
+func (d *Detector) judge(name string, e *evidence, fault Fault, bad float64, now Time) {
 	d.seq++
-	hold := d.cfg.Hold << min(max(e.again-1, 0), mostDoublings)
-	e.until = now + Time(hold)
-	d.keep(&word{Judgement{name, e.since, d.cfg.Self, d.life, d.seq, fault, bad, e.good, 0}, e.until})
+	hold := d.cfg.Hold << min(max(e.judgedTimes-1, 0), maxDoublings)
+	e.judgedUntil = now + Time(hold)
+	d.store(&timedJudgement{Judgement{name, e.since, d.cfg.Self, d.incarnation, d.seq, fault, bad, e.good, 0}, e.judgedUntil})
 }
 
-func (d *Detector) keep(w *word) {
-	if d.words[w.Worker] == nil {
-		d.words[w.Worker] = map[string]*word{}
+func (d *Detector) store(w *timedJudgement) {
+	if d.judgements[w.Worker] == nil {
+		d.judgements[w.Worker] = map[string]*timedJudgement{}
 	}
-	d.words[w.Worker][w.Origin] = w
+	d.judgements[w.Worker][w.Origin] = w
 }
 
 func (d *Detector) prune(now Time) {
-	for name, by := range d.words {
-		maps.DeleteFunc(by, func(_ string, w *word) bool { return now >= w.until })
+	for name, by := range d.judgements {
+		maps.DeleteFunc(by, func(_ string, w *timedJudgement) bool { return now >= w.until })
 		if len(by) == 0 {
-			delete(d.words, name)
+			delete(d.judgements, name)
 		}
 	}
 }
 
-// Tell returns what a message to another router holds: the own judgements, and those
-// of others in turn.
+// Tell returns the judgements for a message to another router: the own ones, then others' in
+// rotation.
 func (d *Detector) Tell(now Time) []Judgement {
 	var own, others []Judgement
-	for _, name := range slices.Sorted(maps.Keys(d.words)) {
-		for _, origin := range slices.Sorted(maps.Keys(d.words[name])) {
-			w := d.words[name][origin]
+	for _, name := range slices.Sorted(maps.Keys(d.judgements)) {
+		for _, origin := range slices.Sorted(maps.Keys(d.judgements[name])) {
+			w := d.judgements[name][origin]
 			if now >= w.until {
 				continue
 			}
@@ -290,38 +294,39 @@
 		}
 	}
 	for i := range others {
-		if len(own) >= mostPassed {
+		if len(own) >= maxJudgements {
 			break
 		}
 		own = append(own, others[(d.next+i)%len(others)])
 	}
 	d.next++
-	return own[:min(len(own), mostPassed)]
+	return own[:min(len(own), maxJudgements)]
 }
 
-// Receive takes others' judgements. What is malformed, holds too long, comes from a
-// stranger or is older than what is known is passed over.
+// Receive processes others' judgements. It ignores those that are malformed, valid for too long, of
+// an unknown router, or older than the stored ones.
 func (d *Detector) Receive(list []Judgement, now Time) {
-	most := d.cfg.Hold << mostDoublings
-	for _, j := range list[:min(len(list), mostPassed)] {
+	maxHold := d.cfg.Hold << maxDoublings
+	for _, j := range list[:min(len(list), maxJudgements)] {
 		left := time.Duration(j.LeftMs) * time.Millisecond
 		_, known := d.cfg.Zones[j.Origin]
-		if !known || j.Origin == d.cfg.Self || j.Worker == "" || j.Fault > Silent || !(j.Bad >= 0 && j.Bad <= mostSeen) || !(j.Good >= 0 && j.Good <= mostSeen) ||
-			left <= 0 || left > most+time.Second || d.words[j.Worker] == nil && len(d.words) >= mostWorkers {
+		if !known || j.Origin == d.cfg.Self || j.Worker == "" || j.Fault > Silent || !(j.Bad >= 0 && j.Bad <= maxAttempts) || !(j.Good >= 0 && j.Good <= maxAttempts) ||
+			left <= 0 || left > maxHold+time.Second || d.judgements[j.Worker] == nil && len(d.judgements) >= maxWorkers {
 			continue
 		}
-		was := d.words[j.Worker][j.Origin]
+		was := d.judgements[j.Worker][j.Origin]
 		if was != nil && (j.Life < was.Life || j.Life == was.Life && j.Seq <= was.Seq) {
 			continue
 		}
-		d.keep(&word{j, now + Time(min(left, most))})
+		d.store(&timedJudgement{j, now + Time(min(left, maxHold))})
 	}
 }
 
-// agreed is who judges a worker's present incarnation, and what went wrong for them.
-func (d *Detector) agreed(w Worker, liars map[string]bool, now Time) (by []string, bad float64) {
-	for _, origin := range slices.Sorted(maps.Keys(d.words[w.Name])) {
-		if j := d.words[w.Name][origin]; j.Fault != None && j.Since == w.Since && now < j.until && !liars[origin] {
+// agreed returns the routers that judge a worker's present incarnation, and the sum of the failures
+// they counted.
+func (d *Detector) agreed(w Worker, unreliable map[string]bool, now Time) (by []string, bad float64) {
+	for _, origin := range slices.Sorted(maps.Keys(d.judgements[w.Name])) {
+		if j := d.judgements[w.Name][origin]; j.Fault != None && j.Since == w.Since && now < j.until && !unreliable[origin] {
 			by = append(by, origin)
 			bad += j.Bad
 		}
@@ -329,8 +334,8 @@
 	return by, bad
 }
 
-// enough tells whether these routers may take a worker out for all.
-func (d *Detector) enough(by []string) bool {
+// hasQuorum reports whether these routers may take a worker out for the fleet.
+func (d *Detector) hasQuorum(by []string) bool {
 	if len(by) < min(d.cfg.Quorum, len(d.cfg.Zones)) {
 		return false
 	}
@@ -338,17 +343,17 @@
 	for _, z := range d.cfg.Zones {
 		zones[z] = true
 	}
-	mine := map[string]bool{}
+	agreeing := map[string]bool{}
 	for _, origin := range by {
-		mine[d.cfg.Zones[origin]] = true
+		agreeing[d.cfg.Zones[origin]] = true
 	}
-	return len(zones) < 2 || len(mine) > 1
+	return len(zones) < 2 || len(agreeing) > 1
 }
 
-// Parts tells which part of its traffic each worker gets that does not get all of it:
-// 0 for those that are out, more for those on their way back.
+// Parts returns the fraction of its traffic for each worker that does not get all of it: 0 for
+// workers that are out, more for those that return.
 func (d *Detector) Parts(workers []Worker, now Time) map[string]float64 {
-	liars := d.liars(workers, now)
+	unreliable := d.unreliable(workers, now)
 	type candidate struct {
 		Worker
 		by  int
@@ -359,7 +364,7 @@
 	for _, w := range workers {
 		kinds[w.Kind]++
 		zones[w.Zone]++
-		if by, bad := d.agreed(w, liars, now); d.enough(by) && bad >= d.cfg.Least {
+		if by, bad := d.agreed(w, unreliable, now); d.hasQuorum(by) && bad >= d.cfg.Least {
 			list = append(list, candidate{w, len(by), bad})
 		}
 	}
@@ -368,7 +373,7 @@
 	})
 	out, kindsOut, zonesOut := map[string]bool{}, map[string]int{}, map[string]int{}
 	for _, k := range list {
-		if kindsOut[k.Kind] < d.most(kinds[k.Kind]) && zonesOut[k.Zone] < d.most(zones[k.Zone]) {
+		if kindsOut[k.Kind] < d.maxOut(kinds[k.Kind]) && zonesOut[k.Zone] < d.maxOut(zones[k.Zone]) {
 			out[k.Name] = true
 			kindsOut[k.Kind]++
 			zonesOut[k.Zone]++
@@ -378,18 +383,18 @@
 	for _, w := range workers {
 		e := d.evidence[w.Name]
 		if d.out[w.Name] && !out[w.Name] {
-			d.back[w.Name] = now
-			if e != nil { // what it did before it was out must not take it out again
+			d.returning[w.Name] = now
+			if e != nil { // earlier failures must not take it out again
 				e.good, e.bad = 0, [Silent + 1]float64{}
 			}
 		}
 		if out[w.Name] {
 			parts[w.Name] = 0
-			delete(d.back, w.Name)
-		} else if since, ok := d.back[w.Name]; ok {
+			delete(d.returning, w.Name)
+		} else if since, ok := d.returning[w.Name]; ok {
 			step := 1 + int(returnSteps*float64(now-since)/math.Max(float64(d.cfg.Return), 1))
 			if step > returnSteps {
-				delete(d.back, w.Name)
+				delete(d.returning, w.Name)
 			} else {
 				parts[w.Name] = float64(step) / (returnSteps + 1)
 			}
@@ -399,45 +404,45 @@
 	return parts
 }
 
-// most is how many of a group may be out.
-func (d *Detector) most(group int) int { return int(d.cfg.MostOut * float64(group)) }
+// maxOut is how many workers of a group may be out.
+func (d *Detector) maxOut(group int) int { return int(d.cfg.MostOut * float64(group)) }
 
-// liars are routers that judge more workers than may ever be out.
-func (d *Detector) liars(workers []Worker, now Time) map[string]bool {
+// unreliable returns the routers that judge more workers than may ever be out.
+func (d *Detector) unreliable(workers []Worker, now Time) map[string]bool {
 	judged := map[string]int{}
 	for _, w := range workers {
-		for origin, j := range d.words[w.Name] {
+		for origin, j := range d.judgements[w.Name] {
 			if j.Fault != None && j.Since == w.Since && now < j.until && origin != d.cfg.Self {
 				judged[origin]++
 			}
 		}
 	}
-	liars := map[string]bool{}
+	unreliable := map[string]bool{}
 	for origin, n := range judged {
-		liars[origin] = n > max(1, d.most(len(workers)))
+		unreliable[origin] = n > max(1, d.maxOut(len(workers)))
 	}
-	return liars
+	return unreliable
 }
 
-// Case is what is known of a worker, for people.
+// Case is the state of a worker, for display.
 type Case struct {
 	Worker string
 	By     []Judgement // LeftMs counts from now
-	Good   float64     // own attempts lately
+	Good   float64     // recent own attempts
 	Bad    float64
 	Out    bool
 }
 
-// Case tells of one worker.
+// Case returns the state of one worker.
 func (d *Detector) Case(worker string, now Time) Case {
 	k := Case{Worker: worker, Out: d.out[worker]}
 	if e := d.evidence[worker]; e != nil {
 		e.fade(now)
 		k.Good = e.good
-		k.Bad, _ = e.sum()
+		k.Bad, _ = e.failures()
 	}
-	for _, origin := range slices.Sorted(maps.Keys(d.words[worker])) {
-		if w := d.words[worker][origin]; now < w.until {
+	for _, origin := range slices.Sorted(maps.Keys(d.judgements[worker])) {
+		if w := d.judgements[worker][origin]; now < w.until {
 			j := w.Judgement
 			j.LeftMs = uint32(time.Duration(w.until - now).Milliseconds())
 			k.By = append(k.By, j)
--- a/fleet/outlier/outlier_test.go
+++ b/fleet/outlier/outlier_test.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-// word is another's judgement on a worker.
+// say makes another router's judgement of a worker.
 func say(origin, worker string, seq uint64) Judgement {
 	return Judgement{Worker: worker, Since: 1, Origin: origin, Life: 1, Seq: seq, Fault: Errors, Bad: 2, LeftMs: 3000}
 }
@@ -43,31 +43,31 @@
 	now := Time(time.Hour)
 	for _, tc := range []struct {
 		name  string
-		zones []string // of r0, which looks, and the others
+		zones []string // of r0, the router under test, and the others
 		words []Judgement
 		out   bool
 	}{
-		{"nobody", []string{"a", "a", "a"}, nil, false},
-		{"one alone", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1)}, false},
+		{"no router", []string{"a", "a", "a"}, nil, false},
+		{"one router alone", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1)}, false},
 		{"two of one zone, the only one", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, true},
 		{"two of one zone of two", []string{"b", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, false},
 		{"two of two zones", []string{"b", "a", "b"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, true},
 		{"one of them twice", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r1", "w00", 2)}, false},
-		{"one takes it back", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1),
+		{"one withdraws it", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1),
 			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 2, LeftMs: 3000}}, false},
-		{"its taking back comes late", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 9),
+		{"the withdrawal arrives late", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 9),
 			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 2, LeftMs: 3000}}, true},
-		{"a stranger", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r7", "w00", 1)}, false},
+		{"an unknown router", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r7", "w00", 1)}, false},
 		{"an earlier incarnation", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
 			{Worker: "w00", Since: 0, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
-		{"nonsense", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
+		{"invalid values", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
 			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: 99, Bad: 2, LeftMs: 3000},
 			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: math.NaN(), LeftMs: 3000},
 			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 1 << 31},
 			{Worker: "w00", Since: 1, Origin: "r0", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
-		{"too little seen together", []string{"a", "a", "a"}, []Judgement{{Worker: "w00", Since: 1, Origin: "r1", Life: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000},
+		{"too few failures together", []string{"a", "a", "a"}, []Judgement{{Worker: "w00", Since: 1, Origin: "r1", Life: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000},
 			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000}}, false},
-		{"a liar who judges all", []string{"a", "a", "a"}, func() (out []Judgement) {
+		{"a router that judges all workers", []string{"a", "a", "a"}, func() (out []Judgement) {
 			for i := range 10 {
 				out = append(out, say("r2", fmt.Sprintf("w%02d", i), uint64(i+1)))
 			}
@@ -81,7 +81,8 @@
 	}
 }
 
-// Own attempts make a judgement, which is spread, holds for its time, and comes back in steps; a new incarnation has it all.
+// Own attempts make a judgement that is shared and expires; the worker returns in steps; a new
+// incarnation has all of its traffic.
 func TestOutAndBackInSteps(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := detector(t, config("r0", "x", "x")), detector(t, config("r1", "x", "x"))
@@ -92,7 +93,7 @@
 	}
 	a.Judge(now)
 	b.Judge(now)
-	require.NotContains(t, a.Parts(pool(10), now), "w03", "one alone takes nobody out")
+	require.NotContains(t, a.Parts(pool(10), now), "w03", "one router alone takes no worker out")
 	a.Receive(b.Tell(now), now)
 	require.Equal(t, map[string]float64{"w03": 0}, a.Parts(pool(10), now))
 	k := a.Case("w03", now)
@@ -114,24 +115,26 @@
 	require.Equal(t, []float64{0.2, 0.4, 0.6, 0.8, 1, 1}, steps)
 }
 
-// A process that goes by a newer life than it began with makes its judgements anew: others have dropped those of the old.
+// A process whose incarnation is raised makes its judgements again: others have dropped those of
+// the old incarnation.
 func TestJudgementsGoByTheNewerLife(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := detector(t, config("r0", "x", "x")), detector(t, config("r1", "x", "x"))
-	a.Receive([]Judgement{{Worker: "w03", Since: 1, Origin: "r1", Life: 9, Seq: 50, LeftMs: 3000}}, now) // by its forerunner
+	// From its predecessor.
+	a.Receive([]Judgement{{Worker: "w03", Since: 1, Origin: "r1", Life: 9, Seq: 50, LeftMs: 3000}}, now)
 	for i := range 40 {
 		b.Observe(fmt.Sprintf("w%02d", i%10), 1, map[bool]Fault{true: Errors}[i%10 == 3], now)
 	}
 	b.Judge(now)
 	a.Receive(b.Tell(now), now)
-	require.Equal(t, None, a.Case("w03", now).By[0].Fault, "of an older life")
+	require.Equal(t, None, a.Case("w03", now).By[0].Fault, "of an older incarnation")
 	b.SetLife(10)
 	b.Judge(now)
 	a.Receive(b.Tell(now), now)
 	require.Equal(t, Errors, a.Case("w03", now).By[0].Fault)
 }
 
-// A router to which most workers look bad has a bad link, and judges nobody.
+// A router to which most workers appear faulty has a faulty link, and judges no worker.
 func TestBadLinkJudgesNobody(t *testing.T) {
 	now := Time(time.Hour)
 	c := detector(t, config("r0", "x", "x"))
@@ -142,7 +145,8 @@
 	require.Empty(t, c.Tell(now))
 }
 
-// Whatever is said, no more of a kind or a zone is out than the stated share, and nobody is out on the word of one.
+// For any judgements, no more than the stated share of a kind or a zone is out, and no worker is
+// out on one router's judgement.
 func TestShareHoldsWhateverIsSaid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Time(time.Hour)
@@ -184,8 +188,9 @@
 	})
 }
 
-// One of 20 workers answers 500 at once. With little traffic each router alone needs long to see as much of it; told by
-// others all stop using it soon. The ratio is what counts, both in one run.
+// One of 20 workers begins to answer all requests with errors. With little traffic each router
+// alone needs a long time to count enough failures; with others' judgements all routers soon stop
+// using it. The test compares both times within one run.
 func TestAllStopUsingABadWorker(t *testing.T) {
 	const rate, most, tick = 4.0, 3 * time.Minute, 100 * time.Millisecond
 	for _, n := range []int{8, 40, 200} {
@@ -217,7 +222,7 @@
 						told[i] = now - begin
 					}
 				}
-				if (now/Time(tick))%5 == 0 { // twice a second to two others
+				if (now/Time(tick))%5 == 0 { // twice per second to two others
 					for range 2 {
 						detectors[rng.IntN(n)].Receive(c.Tell(now), now)
 					}
@@ -237,7 +242,7 @@
 			}
 			return time.Duration(worst)
 		}
-		t.Logf("%3d routers of 4 attempts a second over 20 workers: all stop after %v; all have seen as much alone after %v (%v: not by then)",
+		t.Logf("%3d routers of 4 attempts a second over 20 workers: all stop after %v; each alone has counted as many failures after %v (%v: not by then)",
 			n, last(told), last(alone), most)
 		require.Less(t, last(told), 30*time.Second)
 		require.Greater(t, last(alone), 2*last(told))
