--- a/fleet/straggler/straggler_test.go
+++ b/fleet/straggler/straggler_test.go
@@ -13,7 +13,7 @@
 	"lichenshelf/fleet/version"
 )
 
-// depth 6 has 12,103 states.
+// Depth 6 has 12,103 states.
 var depth = flag.Int("depth", 5, "steps that are explored")
 
 const (
@@ -25,7 +25,7 @@
 	return Config{Routers: n, Rank: rank, Versions: 1, Grace: grace, MostAge: 30 * time.Second, MostShut: 0.25, Rate: 20, Steady: time.Second}
 }
 
-// world is some routers before a store that hands out slots. The store's answers may be lost.
+// world simulates routers with a store that hands out slots. The store's answers may be lost.
 type world struct {
 	cfg      Config
 	now      Time
@@ -33,10 +33,10 @@
 	machines []*Machine
 	views    []View
 	shut     []bool
-	slots    map[int]bool // of the store
-	cut      []bool       // hears nothing, and is not heard
-	stuck    []bool       // can't be brought up
-	asks     []Time       // of being brought up
+	slots    map[int]bool // assigned by the store
+	cut      []bool       // receives nothing, and is not received
+	stuck    []bool       // can't catch up
+	asks     []Time       // times of the requests to catch up
 }
 
 func newWorld(t require.TestingT, n int, change func(*Config)) *world {
@@ -55,7 +55,7 @@
 	return w
 }
 
-// step lets a router look once. With lose the store hears it, and its answer is lost.
+// step updates one router. With lose the store processes the request but its answer is lost.
 func (w *world) step(i int, lose bool) {
 	v := &w.views[i]
 	if !w.cut[i] {
@@ -105,13 +105,14 @@
 	}
 }
 
-// 30 of 80 fall behind at once: none is shut out that can be brought up, and they don't all ask together.
+// 30 of 80 routers begin to lag at once: no router that can catch up is shut out, and their
+// requests are spread.
 func TestThoseThatCanAreBroughtUp(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 200} {
 		w := newWorld(t, n, nil)
 		w.newest = 5
 		for i := range n {
-			if i%8 >= 3 { // the others are at it already
+			if i%8 >= 3 { // the others are up to date
 				w.views[i].Held = version.Vector{"c": 5}
 			}
 		}
@@ -130,12 +131,13 @@
 			}
 			most = max(most, in)
 		}
-		t.Logf("%3d routers: %d asked, %d within half a second at most", n, len(w.asks), most)
+		t.Logf("%3d routers: %d asked, at most %d within half a second", n, len(w.asks), most)
 		require.LessOrEqual(t, most, max(3, len(w.asks)/2))
 	}
 }
 
-// Who can't be brought up is shut out, as many as may be and no more, and comes back once it can.
+// Routers that can't catch up are shut out, at most as many as permitted, and are readmitted once
+// they can.
 func TestThoseThatCantAreShutOut(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 200} {
 		w := newWorld(t, n, nil)
@@ -150,12 +152,12 @@
 		}
 		w.run(t, 5*grace)
 		require.Zero(t, w.out())
-		require.Empty(t, w.slots, "all are given back")
+		require.Empty(t, w.slots, "all slots are returned")
 	}
 }
 
-// Nobody hears anything any more, the store being gone: what was acknowledged serves on, and past the age no more go out
-// than may.
+// With the store down and no messages between routers, the fleet serves on with its last versions;
+// past the maximum age no more routers are shut out than permitted.
 func TestNeverTheWholeFleet(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 80, 200} {
 		w := newWorld(t, n, nil)
@@ -164,7 +166,7 @@
 			w.cut[i] = true
 		}
 		w.run(t, 29*time.Second)
-		require.Zero(t, w.out(), "not old enough")
+		require.Zero(t, w.out(), "the age is not reached")
 		w.run(t, time.Minute)
 		require.Equal(t, w.cfg.Most()-w.cfg.Slots(), w.out(), "%d routers", n)
 		for i := range n {
@@ -175,7 +177,7 @@
 	}
 }
 
-// A router that falls behind again and again is let in later each time.
+// A router that begins to lag again and again is readmitted later each time.
 func TestFlappingIsLetInLater(t *testing.T) {
 	w := newWorld(t, 8, func(c *Config) { c.MostAge = 0 })
 	var away []time.Duration
@@ -192,7 +194,7 @@
 		}
 		away = append(away, time.Duration(w.now-began))
 	}
-	t.Logf("away for %v", away)
+	t.Logf("shut out for %v", away)
 	require.Greater(t, away[3], 2*away[0])
 	w.run(t, 2*forgetAfter*grace)
 	w.stuck[0] = true
@@ -205,10 +207,11 @@
 	for w.shut[0] {
 		w.run(t, tick)
 	}
-	require.Less(t, time.Duration(w.now-began), away[3], "forgotten")
+	require.Less(t, time.Duration(w.now-began), away[3], "the earlier shutouts no longer count")
 }
 
-// Whatever is lost, cut and stuck, in whatever order: the share holds at each moment, and once all is well all are in.
+// With lost answers, cut links and routers that can't catch up, in any order, the share holds at
+// every moment, and all routers are readmitted once the faults end.
 func TestTheShareHoldsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 3, 8, 20}).Draw(t, "routers")
@@ -236,21 +239,21 @@
 		for i := range n {
 			w.cut[i], w.stuck[i] = false, false
 		}
-		w.run(t, grace+(1<<mostDoublings)*2*time.Second)
+		w.run(t, grace+(1<<maxDoublings)*2*time.Second)
 		require.Zero(t, w.out())
 		require.Empty(t, w.slots)
 	})
 }
 
-// All orders of what can happen to four routers within a depth: a version more, cut and healed, stuck and not, a look whose
-// answer is lost or not, time.
+// Explores all sequences of events at four routers up to a depth: a new version, links cut and
+// healed, routers that can't catch up, a step whose answer is lost or not, time.
 func TestAllOrdersAtSmallSize(t *testing.T) {
 	const n = 4
 	type move struct {
 		what, router int
 	}
 	var moves []move
-	for i := range 2 { // two of them are harmed, the others only look
+	for i := range 2 { // two of them have faults, the others only step
 		moves = append(moves, move{0, i}, move{1, i}, move{2, i}, move{3, i})
 	}
 	moves = append(moves, move{4, 0}, move{5, 0}, move{6, 0})
@@ -280,7 +283,7 @@
 		}
 		return w
 	}
-	// By length, so that a state is met first on its shortest way.
+	// By length, so that a state is first reached by its shortest path.
 	for paths := [][]move{nil}; len(paths) > 0; {
 		var next [][]move
 		for _, path := range paths {
@@ -289,7 +292,7 @@
 			require.LessOrEqual(t, len(w.slots), w.cfg.Slots(), "%v", path)
 			key := fmt.Sprint(w.now, w.newest, w.slots, w.cut, w.stuck, w.shut)
 			for i, m := range w.machines {
-				key += fmt.Sprint(m.state, m.since, m.turn, m.asked, m.steady, m.shut, m.times, w.views[i])
+				key += fmt.Sprint(m.state, m.since, m.catchUpAt, m.slotAskedAt, m.steadySince, m.shutAt, m.repeats, w.views[i])
 			}
 			if seen[key] {
 				continue
@@ -307,22 +310,23 @@
 	require.Greater(t, len(seen), 1000)
 }
 
-// The check of the share finds a router that shuts itself out with no slot and no right.
+// The check of the share detects routers that shut themselves out without a slot and without the
+// rank for it.
 func TestTheCheckOfTheShareCanFail(t *testing.T) {
 	w := newWorld(t, 8, nil)
 	for i, m := range w.machines {
-		m.cfg.Rank = 0 // all believe that the right is theirs
+		m.cfg.Rank = 0 // all assume the rank that permits it
 		w.cut[i] = true
 	}
-	failed := &finding{}
+	failed := &recorder{}
 	w.run(failed, time.Minute)
 	require.True(t, failed.found)
 }
 
-type finding struct{ found bool }
+type recorder struct{ found bool }
 
-func (f *finding) Errorf(string, ...any) { f.found = true }
-func (f *finding) FailNow()              {}
+func (f *recorder) Errorf(string, ...any) { f.found = true }
+func (f *recorder) FailNow()              {}
 
 func TestFaultyConfigs(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){"routers": func(c *Config) { c.Routers = 0 }, "rank": func(c *Config) { c.Rank = 8 },
@@ -336,14 +340,14 @@
 	}
 }
 
-// Versions that come all the time make nobody a straggler that takes each of them within the grace, and one that was shut
-// out for lack of one comes back under them.
+// A steady stream of versions does not make a router lag that takes each of them within the grace,
+// and a router that was shut out is readmitted under such a stream.
 func TestVersionsThatComeAllTheTime(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 200} {
 		w := newWorld(t, n, nil)
 		w.stuck[0] = n > 1
 		for range 8 * int(grace/tick) {
-			w.newest++ // each look finds a newer one than it has taken
+			w.newest++ // each step finds a newer version than the router holds
 			w.run(t, tick)
 		}
 		require.Equal(t, n > 7, w.shut[0], "%d routers, a quarter of them may be out", n)
@@ -359,25 +363,26 @@
 	}
 }
 
-// A fence is shut from the moment that a router has not looked for too long until a look clears it, never longer than the grace.
+// A fence is closed from the moment that a router has not checked for too long until a check opens
+// it, and never for longer than the grace.
 func TestFence(t *testing.T) {
 	const window, ms = time.Second, time.Millisecond
 	at := func(d time.Duration) Time { return Time(time.Hour + d) }
 	type look struct {
-		asked, now time.Duration // after a stop of a minute
+		asked, now time.Duration // after a suspension of a minute
 		lacks      uint64
 		told, open bool
 	}
 	for name, looks := range map[string][]look{
-		"nothing lacking":           {{0, 10 * ms, 0, true, false}, {100 * ms, 110 * ms, 0, true, true}},
+		"no version missing":        {{0, 10 * ms, 0, true, false}, {100 * ms, 110 * ms, 0, true, true}},
 		"asked for before the stop": {{-time.Minute, 10 * ms, 0, true, false}, {5 * ms, 20 * ms, 0, true, false}, {100 * ms, 110 * ms, 0, true, true}},
-		"nobody to ask":             {{0, 10 * ms, 0, false, false}, {time.Second, time.Second, 0, false, false}, {4200 * ms, 4200 * ms, 0, false, true}},
-		"behind": {{0, 10 * ms, 7, true, false}, {time.Second, time.Second, 7, true, false}, {2 * time.Second, 2 * time.Second, 7, true, false},
+		"no answer":                 {{0, 10 * ms, 0, false, false}, {time.Second, time.Second, 0, false, false}, {4200 * ms, 4200 * ms, 0, false, true}},
+		"lagging": {{0, 10 * ms, 7, true, false}, {time.Second, time.Second, 7, true, false}, {2 * time.Second, 2 * time.Second, 7, true, false},
 			{3 * time.Second, 3 * time.Second, 0, true, true}},
-		"behind, no longer than so": {{0, 10 * ms, 7, true, false}, {4200 * ms, 4200 * ms, 7, true, true}},
+		"lagging until the grace ends": {{0, 10 * ms, 7, true, false}, {4200 * ms, 4200 * ms, 7, true, true}},
 	} {
 		f := NewFence(window, grace, at(0))
-		f.Look(9, true, at(window), at(window)) // to lack something is the machine's
+		f.Look(9, true, at(window), at(window)) // a lag alone does not close the fence
 		require.True(t, f.May(at(2*window)), name)
 		require.False(t, f.May(at(2*window+1)), name)
 		woke := at(time.Minute)
