--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -11,7 +11,7 @@
 	"lichenshelf/fleet/version"
 )
 
-// Breach is a thing that a router did against what it had said.
+// Breach is a violation of a rule by a router.
 type Breach struct {
 	Rule   string
 	Router string
@@ -19,7 +19,7 @@
 	Places []Place
 }
 
-// The rules that Check looks at.
+// The rules that Check verifies.
 const (
 	RuleWindow  = "nothing goes to a worker past its window after it was taken out"
 	RuleOlder   = "no router acts on a version older than one it acknowledged"
@@ -37,21 +37,22 @@
 	return fmt.Sprintf("%s: %s: %s (%s)", b.Router, b.Rule, b.Text, strings.Join(places, ", "))
 }
 
-// slack is how much later than it was decided an attempt may be noted: the note follows the
-// decision by what the router's goroutines wait for each other.
+// slack is the delay allowed between the decision on an attempt and its record: the record follows
+// the decision by the time that the router's goroutines wait for each other.
 const slack = 50 * time.Millisecond
 
-// checker walks one router's trail.
+// checker verifies one router's event log.
 type checker struct {
-	trail    *Trail
-	out      map[string]Entry // by worker and incarnation
-	acked    map[string]Entry // by part; kept over starts
-	held     version.Vector
-	number   map[uint64]version.Vector
-	taken    map[string]Entry
-	shut     *Entry
-	last     *Entry
-	whole    bool // its life's beginning is there: what came before is not missing
+	trail   *Trail
+	out     map[string]Entry // by worker and incarnation
+	acked   map[string]Entry // by part; kept across restarts
+	held    version.Vector
+	vectors map[uint64]version.Vector
+	taken   map[string]Entry
+	shut    *Entry
+	last    *Entry
+	// The log includes the start of this incarnation, so no earlier records are missing.
+	complete bool
 	breaches []Breach
 }
 
@@ -59,13 +60,13 @@
 	c.breaches = append(c.breaches, Breach{rule, c.trail.Router, fmt.Sprintf(format, args...), places})
 }
 
-// Check proves or refutes the rules for each trail. No breach means that nothing in the
-// records speaks against them; what was never recorded, or is damaged, is named as such.
+// Check verifies the rules for each event log. An empty result means that no record contradicts the
+// rules; missing and damaged records are reported as such.
 func Check(trails []Trail) []Breach {
 	var out []Breach
 	for i := range trails {
 		c := &checker{trail: &trails[i], acked: map[string]Entry{}}
-		c.begin()
+		c.reset()
 		for _, d := range trails[i].Damages {
 			c.breach(RuleDamaged, []Place{d.Place}, "%s", d.What)
 		}
@@ -77,9 +78,9 @@
 	return append(out, CheckLoans(trails)...)
 }
 
-// begin forgets what ends with a process.
-func (c *checker) begin() {
-	c.out, c.held, c.number, c.taken, c.shut = map[string]Entry{}, version.Vector{}, map[uint64]version.Vector{0: {}}, map[string]Entry{}, nil
+// reset clears the state that ends with a process.
+func (c *checker) reset() {
+	c.out, c.held, c.vectors, c.taken, c.shut = map[string]Entry{}, version.Vector{}, map[uint64]version.Vector{0: {}}, map[string]Entry{}, nil
 }
 
 func incarnation(e *Entry) string { return fmt.Sprintf("%s@%d", e.Worker, e.Since) }
@@ -87,20 +88,20 @@
 func (c *checker) step(e *Entry) {
 	if c.last != nil && e.Kind != Started && e.Seq != c.last.Seq+1 {
 		c.breach(RuleOrder, []Place{c.last.Place, e.Place}, "record %d follows %d: what lies between is missing", e.Seq, c.last.Seq)
-		c.whole = false
+		c.complete = false
 	}
 	c.last = e
 	switch e.Kind {
 	case Started:
-		c.begin()
-		c.whole = true
+		c.reset()
+		c.complete = true
 	case Taken:
 		if v := c.held[e.Part]; e.Version < v {
 			c.breach(RuleOrder, []Place{c.taken[e.Part].Place, e.Place}, "%s goes from %d to %d", e.Part, v, e.Version)
 		}
 		c.held[e.Part] = e.Version
 		c.taken[e.Part] = *e
-		c.number[e.Number] = maps.Clone(c.held)
+		c.vectors[e.Number] = maps.Clone(c.held)
 	case Acknowledged:
 		if a, ok := c.acked[e.Part]; !ok || e.Version >= a.Version {
 			c.acked[e.Part] = *e
@@ -114,13 +115,13 @@
 	case Readmitted:
 		c.shut = nil
 	case Sent:
-		c.sent(e)
+		c.checkSent(e)
 	}
 }
 
-// sent looks at attempts that went out. They may have begun before what is noted by now, so
-// what counts is when the last of them did.
-func (c *checker) sent(e *Entry) {
+// checkSent checks attempts that were sent. They may have begun before the latest recorded events,
+// so the time of the last of them counts.
+func (c *checker) checkSent(e *Entry) {
 	if out, ok := c.out[incarnation(e)]; ok && e.Until > out.At+out.Window+slack {
 		c.breach(RuleWindow, []Place{out.Place, e.Place}, "%d to %s until %v, which was out from %v on, with %v of grace", e.Count, e.Worker,
 			e.Until, out.At, out.Window)
@@ -128,9 +129,9 @@
 	if c.shut != nil && e.Until > c.shut.At+slack {
 		c.breach(RuleShut, []Place{c.shut.Place, e.Place}, "%d to %s until %v, shut out at %v", e.Count, e.Worker, e.Until, c.shut.At)
 	}
-	acts, ok := c.number[e.Number]
-	if !ok && !c.whole {
-		return // taken in what is missing, or has been dropped as too old
+	acts, ok := c.vectors[e.Number]
+	if !ok && !c.complete {
+		return // taken in missing records, or dropped as too old
 	}
 	if !ok {
 		c.breach(RuleOrder, []Place{e.Place}, "%d sends under number %d, which was never taken", e.Count, e.Number)
@@ -146,22 +147,22 @@
 	}
 }
 
-// Step is an entry with its place in the order of all.
+// Step is an entry with its position in the order of all entries.
 type Step struct {
 	Entry
 	Order uint64
 	Who   string
 }
 
-// Timeline puts the entries of all trails in an order that contradicts none of them: those of
-// one trail stay as they are, and a version comes after the one before it, whoever took that
-// first. Entries that nothing orders stand by their routers' names.
+// Timeline puts the entries of all event logs into an order that contradicts none of them: the
+// entries of one log keep their order, and a version comes after the previous one, whichever router
+// took that first. Entries without an order between them are sorted by router name.
 func Timeline(trails []Trail) []Step {
 	type key struct {
 		part    string
 		version uint64
 	}
-	first := map[key]uint64{} // the order of the first taking of each version
+	first := map[key]uint64{} // position of the first entry that takes each version
 	orders := make([][]uint64, len(trails))
 	for i, t := range trails {
 		orders[i] = make([]uint64, len(t.Entries))
@@ -189,7 +190,8 @@
 				}
 			}
 		}
-		// Orders only grow, and no further than there are entries: a circle would need a trail that went back.
+		// Positions only grow, up to the number of entries: a cycle would require a log that went
+		// back.
 		for k, v := range next {
 			if v > first[k] && v <= total(trails) {
 				first[k], changed = v, true
@@ -219,11 +221,11 @@
 type Holder struct {
 	Router                       string
 	Taken, Acknowledged, Refused *Entry
-	Sends                        uint64 // attempts under it
+	Sends                        uint64 // attempts sent under this version
 }
 
-// Who tells which routers took, acknowledged or refused a version of a part, and how much they
-// sent while it held.
+// Who returns the routers that took, acknowledged or refused a version of a part, and the number of
+// attempts they sent while it was in effect.
 func Who(trails []Trail, part string, v uint64) []Holder {
 	var out []Holder
 	for i := range trails {
@@ -235,7 +237,7 @@
 			case e.Kind == Started:
 				clear(under)
 			case e.Kind == Taken:
-				// All numbers from this one on hold the part's version until another is taken.
+				// All numbers from this one on include the part's version until another is taken.
 				if e.Part == part {
 					under[e.Number] = e.Version == v
 				} else {
@@ -259,8 +261,8 @@
 	return out
 }
 
-// Latest is the newest version of each part that anybody took, and Lags by how many versions
-// each router lies below it at the end of its trail.
+// Lags returns the newest version of each part that any router took, and the number of versions by
+// which each router lags at the end of its event log.
 func Lags(trails []Trail) (latest version.Vector, lags map[string]version.Vector) {
 	latest, lags = version.Vector{}, map[string]version.Vector{}
 	held := make([]version.Vector, len(trails))
@@ -285,17 +287,17 @@
 	return latest, lags
 }
 
-// Point is how far a router lay behind at one place in the order of all records.
+// Point is a router's lag at one position in the order of all records.
 type Point struct {
 	Order  uint64
 	Router string
-	Behind uint64 // versions, of the part in which it lay furthest behind
-	Sends  uint64 // attempts that it noted there
+	Behind uint64 // versions, for the part with the largest lag
+	Sends  uint64 // attempts recorded there
 }
 
-// Behind tells, along the timeline, by how many versions each router lay behind the newest
-// that anybody had taken by then, at each of its takings and sends. Versions order the
-// records, so what a router could not have known of yet may count as well.
+// Behind returns, along the timeline, each router's lag behind the newest version that any router
+// had taken by then, at each of its takings and sends. Records are ordered by versions, so a
+// version that a router could not have known of yet may count as well.
 func Behind(trails []Trail) []Point {
 	newest, held := version.Vector{}, map[string]version.Vector{}
 	var out []Point
@@ -312,7 +314,7 @@
 		}
 		p := Point{Order: s.Order, Router: s.Who, Sends: s.Count}
 		for part, v := range newest {
-			// A part that this router never takes is none of its own.
+			// Parts that this router never takes do not concern it.
 			if own, ok := held[s.Who][part]; ok && v > own {
 				p.Behind = max(p.Behind, v-own)
 			}
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// of makes a trail of records, numbered, with a start before them.
+// of makes an event log of numbered records, beginning with a start.
 func of(router string, life uint64, records ...Record) Trail {
 	t := Trail{Router: router}
 	t.add(life, records...)
@@ -41,7 +41,7 @@
 	return Record{Kind: Out, Worker: worker, At: at, Window: 250 * ms}
 }
 
-// Each rule finds what breaks it, at its places, and nothing else.
+// Each rule finds its breach at the right places, and no other breach.
 func TestCheckFindsEachBreach(t *testing.T) {
 	restarted := of("r", 1, taken("config", 3, 1, 10*ms), acked("config", 3, 20*ms), sent("w", 1, 30*ms, 40*ms))
 	restarted.add(2, taken("config", 2, 1, 10*ms), sent("w", 1, 30*ms, 40*ms))
@@ -57,22 +57,22 @@
 		trail Trail
 		rule  string
 	}{
-		"all well":               {of("r", 1, taken("config", 1, 1, 10*ms), acked("config", 1, 20*ms), sent("w", 1, 30*ms, 40*ms)), ""},
-		"within the window":      {of("r", 1, out("w", 100*ms), sent("w", 0, 110*ms, 340*ms)), ""},
-		"past the window":        {of("r", 1, out("w", 100*ms), sent("w", 0, 110*ms, 440*ms)), RuleWindow},
-		"to another":             {of("r", 1, out("w", 100*ms), sent("v", 0, 110*ms, 940*ms)), ""},
-		"to its next start":      {of("r", 1, out("w", 100*ms), Record{Kind: Sent, Worker: "w", Since: 5, At: 900 * ms, Until: 950 * ms, Count: 1}), ""},
-		"back before":            {of("r", 1, out("w", 100*ms), Record{Kind: Back, Worker: "w", At: 300 * ms}, sent("w", 0, 310*ms, 940*ms)), ""},
-		"under an older version": {of("r", 1, taken("config", 1, 1, 10*ms), taken("config", 2, 2, 20*ms), acked("config", 2, 30*ms), sent("w", 1, 200*ms, 210*ms)), RuleOlder},
-		"older after a restart":  {restarted, RuleOlder},
-		"as new after a restart": {again, ""},
-		"a version goes back":    {of("r", 1, taken("config", 2, 1, 10*ms), taken("config", 1, 2, 20*ms)), RuleOrder},
-		"under no number":        {of("r", 1, sent("w", 7, 1*ms, 2*ms)), RuleOrder},
-		"sent while shut out":    {of("r", 1, Record{Kind: ShutOut, At: 10 * ms}, sent("w", 0, 20*ms, 90*ms)), RuleShut},
-		"sent once readmitted":   {of("r", 1, Record{Kind: ShutOut, At: 10 * ms}, Record{Kind: Readmitted, At: 20 * ms}, sent("w", 0, 30*ms, 90*ms)), ""},
-		"a record is missing":    {cut, RuleOrder},
-		"its beginning is gone":  {pruned, ""},
-		"torn":                   {torn, RuleDamaged},
+		"no breach":                {of("r", 1, taken("config", 1, 1, 10*ms), acked("config", 1, 20*ms), sent("w", 1, 30*ms, 40*ms)), ""},
+		"within the window":        {of("r", 1, out("w", 100*ms), sent("w", 0, 110*ms, 340*ms)), ""},
+		"past the window":          {of("r", 1, out("w", 100*ms), sent("w", 0, 110*ms, 440*ms)), RuleWindow},
+		"to another":               {of("r", 1, out("w", 100*ms), sent("v", 0, 110*ms, 940*ms)), ""},
+		"to its next start":        {of("r", 1, out("w", 100*ms), Record{Kind: Sent, Worker: "w", Since: 5, At: 900 * ms, Until: 950 * ms, Count: 1}), ""},
+		"back before":              {of("r", 1, out("w", 100*ms), Record{Kind: Back, Worker: "w", At: 300 * ms}, sent("w", 0, 310*ms, 940*ms)), ""},
+		"under an older version":   {of("r", 1, taken("config", 1, 1, 10*ms), taken("config", 2, 2, 20*ms), acked("config", 2, 30*ms), sent("w", 1, 200*ms, 210*ms)), RuleOlder},
+		"older after a restart":    {restarted, RuleOlder},
+		"the same after a restart": {again, ""},
+		"a version goes backwards": {of("r", 1, taken("config", 2, 1, 10*ms), taken("config", 1, 2, 20*ms)), RuleOrder},
+		"under no number":          {of("r", 1, sent("w", 7, 1*ms, 2*ms)), RuleOrder},
+		"sent while shut out":      {of("r", 1, Record{Kind: ShutOut, At: 10 * ms}, sent("w", 0, 20*ms, 90*ms)), RuleShut},
+		"sent once readmitted":     {of("r", 1, Record{Kind: ShutOut, At: 10 * ms}, Record{Kind: Readmitted, At: 20 * ms}, sent("w", 0, 30*ms, 90*ms)), ""},
+		"a record is missing":      {cut, RuleOrder},
+		"its beginning is pruned":  {pruned, ""},
+		"torn":                     {torn, RuleDamaged},
 	} {
 		breaches := Check([]Trail{of("other", 1), c.trail})
 		if c.rule == "" {
@@ -86,7 +86,8 @@
 	}
 }
 
-// However routers take versions: the order keeps each trail's own and has each version after the one before it.
+// Whatever versions routers take, the order keeps that of each event log and puts each version
+// after the previous one.
 func TestTimelineContradictsNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var trails []Trail
@@ -106,7 +107,7 @@
 		steps := Timeline(trails)
 		last, first := map[string]uint64{}, map[uint64]uint64{}
 		for _, s := range steps {
-			require.Greater(t, s.Seq, last[s.Who], "a trail's own order")
+			require.Greater(t, s.Seq, last[s.Who], "the order of its own event log")
 			last[s.Who] = s.Seq
 			if s.Kind != Taken {
 				continue
@@ -142,7 +143,7 @@
 	require.Equal(t, uint64(0), lags["a"]["config"])
 }
 
-// How far behind a router was counts at its sends, along the order of all records.
+// The lag of a router is reported at its sends, along the order of all records.
 func TestBehind(t *testing.T) {
 	a := of("a", 1, taken("config", 1, 1, 10*ms), taken("config", 2, 2, 20*ms), taken("config", 3, 3, 30*ms), sent("w", 3, 40*ms, 0))
 	b := of("b", 1, taken("config", 1, 1, 10*ms), sent("w", 1, 500*ms, 0), sent("w", 1, 600*ms, 0), sent("w", 1, 700*ms, 0))
--- a/fleet/audit/loans.go
+++ b/fleet/audit/loans.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// RuleLease is what CheckLoans looks at.
+// RuleLease is the rule that CheckLoans verifies.
 const RuleLease = "no two routers hold one lease, and none holds what was not lent"
 
-// roundOff is the part by which sums of amounts may differ from what they are of.
-const roundOff = 1e-6
+// roundingTolerance is the relative error permitted in sums of amounts.
+const roundingTolerance = 1e-6
 
-// grant names a loan: nobody else's has the same names.
+// grant is the unique identification of a loan.
 type grant struct {
 	owner, borrower, key string
 	epoch, number        uint64
@@ -23,59 +23,61 @@
 	return fmt.Sprintf("grant %d of %s, from %s to %s", g.number, g.key, g.owner, g.borrower)
 }
 
-// CheckLoans proves or refutes what routers lent each other, by the trails of both ends: each loan that is held was lent,
-// to its holder, for no less and no shorter; it has one holder; and no owner lent more than its share at a time. A loan
-// whose owner's trail is not there, is damaged, or may have lost its last half second, is passed over.
+// CheckLoans verifies the loans between routers by the event logs of both ends: each loan that is
+// held was lent to its holder, for no less and no shorter; it has one holder; and no owner lent
+// more than its share at a time. A loan is skipped if its owner's log is missing or damaged, or may
+// have lost its last half second.
 func CheckLoans(trails []Trail) []Breach {
-	c := loans{lent: map[grant]*Entry{}, spans: map[grant][]span{}, known: map[string]bool{}, held: map[grant]*Entry{}}
+	c := loanChecker{lent: map[grant]*Entry{}, spans: map[grant][]span{}, completeLogs: map[string]bool{}, held: map[grant]*Entry{}}
 	for i := range trails {
-		c.lends(&trails[i])
+		c.readOwner(&trails[i])
 	}
 	for i := range trails {
-		c.holds(&trails[i])
+		c.readBorrower(&trails[i])
 	}
 	return c.breaches
 }
 
-type loans struct {
-	lent     map[grant]*Entry
-	spans    map[grant][]span // by all of a grant's names but the number: one for each of its owner's lives
-	known    map[string]bool  // owners whose trail is whole
-	held     map[grant]*Entry
-	breaches []Breach
+type loanChecker struct {
+	lent map[grant]*Entry
+	// By grant without its number: one for each of its owner's incarnations.
+	spans        map[grant][]span
+	completeLogs map[string]bool // owners whose event log is complete
+	held         map[grant]*Entry
+	breaches     []Breach
 }
 
-// span is from the first number to the last that an owner lent under in one life. It answers asks in their order, so a
-// grant between the two was lent in that life, or never.
+// span is the range of numbers that an owner lent under in one incarnation. The owner answers asks
+// in order, so a grant within the range was lent in that incarnation, or never.
 type span struct{ from, to uint64 }
 
-// lends walks an owner's trail.
-func (c *loans) lends(t *Trail) {
+// readOwner processes an owner's event log.
+func (c *loanChecker) readOwner(t *Trail) {
 	type loan struct {
 		*Entry
 		amount float64
 	}
-	out, life := map[grant]*loan{}, map[grant]*span{}
-	keep := func() {
-		for g, s := range life {
+	out, openSpans := map[grant]*loan{}, map[grant]*span{}
+	closeSpans := func() {
+		for g, s := range openSpans {
 			c.spans[g] = append(c.spans[g], *s)
 		}
-		clear(life)
+		clear(openSpans)
 	}
-	defer keep()
-	whole, seq := len(t.Damages) == 0, uint64(0)
+	defer closeSpans()
+	complete, seq := len(t.Damages) == 0, uint64(0)
 	for i := range t.Entries {
 		e := &t.Entries[i]
-		whole = whole && (e.Kind == Started || seq == 0 && i == 0 || e.Seq == seq+1)
+		complete = complete && (e.Kind == Started || seq == 0 && i == 0 || e.Seq == seq+1)
 		seq = e.Seq
 		g := grant{t.Router, e.Peer, e.Part, e.Epoch, e.Number}
 		switch e.Kind {
 		case Started:
 			clear(out)
-			keep()
+			closeSpans()
 		case Returned:
 			for k, l := range out {
-				if k.of() == g.of() && k.number < g.number {
+				if k.withoutNumber() == g.withoutNumber() && k.number < g.number {
 					delete(out, k)
 				} else if k == g {
 					l.amount = math.Min(l.amount, e.Amount)
@@ -83,41 +85,41 @@
 			}
 		case Lent:
 			c.lent[g] = e
-			if life[g.of()] == nil {
-				life[g.of()] = &span{g.number, g.number}
+			if openSpans[g.withoutNumber()] == nil {
+				openSpans[g.withoutNumber()] = &span{g.number, g.number}
 			}
-			life[g.of()].to = max(life[g.of()].to, g.number)
+			openSpans[g.withoutNumber()].to = max(openSpans[g.withoutNumber()].to, g.number)
 			for k, l := range out {
-				if e.At >= l.At+l.Window || k.of() == g.of() && k.number < e.Version {
+				if e.At >= l.At+l.Window || k.withoutNumber() == g.withoutNumber() && k.number < e.Version {
 					delete(out, k)
 				}
 			}
 			out[g] = &loan{e, e.Amount}
-			// A borrower uses one grant of a life at a time: its largest counts.
-			most := map[grant]float64{}
+			// A borrower uses one grant of an incarnation at a time, so the largest counts.
+			largest := map[grant]float64{}
 			for k, l := range out {
 				if k.key == g.key {
-					most[k.of()] = math.Max(most[k.of()], l.amount)
+					largest[k.withoutNumber()] = math.Max(largest[k.withoutNumber()], l.amount)
 				}
 			}
 			sum := 0.0
-			for _, m := range most {
+			for _, m := range largest {
 				sum += m
 			}
-			if sum > e.Share*(1+roundOff) {
+			if sum > e.Share*(1+roundingTolerance) {
 				c.breaches = append(c.breaches, Breach{RuleLease, t.Router, fmt.Sprintf("%s makes %g a second lent of a share of %g", g, sum, e.Share),
 					[]Place{e.Place}})
 			}
 		}
 	}
-	c.known[t.Router] = whole
+	c.completeLogs[t.Router] = complete
 }
 
-// of is the grant without its number.
-func (g grant) of() grant { g.number = 0; return g }
+// withoutNumber returns the grant without its number.
+func (g grant) withoutNumber() grant { g.number = 0; return g }
 
-// holds walks a borrower's trail.
-func (c *loans) holds(t *Trail) {
+// readBorrower processes a borrower's event log.
+func (c *loanChecker) readBorrower(t *Trail) {
 	for i := range t.Entries {
 		e := &t.Entries[i]
 		if e.Kind != Borrowed {
@@ -137,10 +139,10 @@
 		c.held[g] = e
 		lent := c.lent[g]
 		switch {
-		case lent == nil && c.known[g.owner] && slices.ContainsFunc(c.spans[g.of()], func(s span) bool { return s.from < g.number && g.number < s.to }):
+		case lent == nil && c.completeLogs[g.owner] && slices.ContainsFunc(c.spans[g.withoutNumber()], func(s span) bool { return s.from < g.number && g.number < s.to }):
 			breach(nil, "was never lent")
-		case lent == nil: // what its owner noted of it may be lost
-		case e.Amount > lent.Amount*(1+roundOff):
+		case lent == nil: // the owner's record of it may be lost
+		case e.Amount > lent.Amount*(1+roundingTolerance):
 			breach(lent, "is held for %g a second, lent for %g", e.Amount, lent.Amount)
 		case e.Window > lent.Window:
 			breach(lent, "is held for %v more, lent for %v in all", e.Window.Round(time.Millisecond), lent.Window.Round(time.Millisecond))
--- a/fleet/audit/loans_test.go
+++ b/fleet/audit/loans_test.go
@@ -12,8 +12,8 @@
 	"lichenshelf/fleet/budget"
 )
 
-// lend plays routers that lend each other parts of a limit over links that lose, double and delay, one of them killed on
-// the way, and returns their trails.
+// lend simulates routers that lend each other parts of a limit over links that lose, duplicate and
+// delay messages, one of them restarted on the way, and returns their event logs.
 func lend(t require.TestingT, seed uint64) []audit.Trail {
 	const steps, step, lease = 600, 20 * time.Millisecond, time.Second
 	names := []string{"a", "b", "c"}
@@ -39,16 +39,16 @@
 		start(i, 1, 0)
 	}
 	kinds := map[budget.MoveKind]audit.Kind{budget.Lent: audit.Lent, budget.Returned: audit.Returned, budget.Borrowed: audit.Borrowed}
-	type mail struct {
+	type delivery struct {
 		m  budget.Message
 		at int
 	}
-	var mails []mail
+	var inbox []delivery
 	post := func(s int, all []budget.Message) {
 		for _, m := range all {
 			for range 1 + rng.IntN(5)/4 {
 				if rng.IntN(8) > 0 {
-					mails = append(mails, mail{m, s + 1 + rng.IntN(4)})
+					inbox = append(inbox, delivery{m, s + 1 + rng.IntN(4)})
 				}
 			}
 		}
@@ -59,16 +59,16 @@
 			start(rng.IntN(len(names)), 2, now)
 		}
 		for i, l := range ledgers {
-			for range rng.IntN(2 + 10*((s/100+i)%3)) { // who wants much changes
+			for range rng.IntN(2 + 10*((s/100+i)%3)) { // the routers with much demand change
 				l.Spend("k", 1, now)
 			}
 			post(s, l.Tick(now))
 		}
-		due := mails
-		mails = nil
+		due := inbox
+		inbox = nil
 		for _, m := range due {
 			if m.at > s {
-				mails = append(mails, m)
+				inbox = append(inbox, m)
 				continue
 			}
 			i := int(m.m.To[0] - 'a')
@@ -93,16 +93,16 @@
 	return all
 }
 
-// Whatever the links do, routers that keep to the rules break none of the audit's.
+// Over faulty links, routers that follow the rules cause no breach in the audit.
 func TestLoansThatWereKeptHaveNoBreach(t *testing.T) {
-	require.Greater(t, len(of(lend(t, 1), audit.Borrowed)), 20, "something is lent")
+	require.Greater(t, len(of(lend(t, 1), audit.Borrowed)), 20, "grants were used")
 	rapid.Check(t, func(t *rapid.T) {
 		require.Empty(t, audit.CheckLoans(lend(t, rapid.Uint64().Draw(t, "seed"))))
 	})
 }
 
-// An ask that is answered with nothing tells its owner all the same which grants are used no more; an audit that does not
-// learn of it takes them for out.
+// An ask that is answered with nothing still tells the owner which grants are no longer used. An
+// audit that does not learn of it counts them as lent.
 func TestGrantsGivenUpByAnAskThatGotNothingAreTold(t *testing.T) {
 	const lease, limit = time.Second, 300
 	owner, err := budget.New(budget.Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Lease: lease, Drift: 0.01, Floor: 0.1,
@@ -133,15 +133,15 @@
 	require.InDelta(t, 50, ask("b", 1, 0, 50), 1e-9)
 	require.InDelta(t, 10, ask("b", 2, 1, 10), 1e-9)
 	for range 200 {
-		owner.Spend("k", 1, now) // it needs its whole share itself for a moment
+		owner.Spend("k", 1, now) // it needs its whole share for its own demand now
 	}
-	require.Zero(t, ask("b", 3, 2, 10), "so it lends nothing now; but it has learnt that the first grant is used no more")
+	require.Zero(t, ask("b", 3, 2, 10), "it lends nothing now, but it has learnt that the first grant is no longer used")
 	now += budget.Time(lease * 9 / 10)
-	require.Greater(t, ask("c", 1, 0, 90), 60.0, "its need has passed")
+	require.Greater(t, ask("c", 1, 0, 90), 60.0, "its own demand has passed")
 	require.Empty(t, audit.CheckLoans([]audit.Trail{trail}))
 }
 
-// Each thing that a router could have done or written against the rules is found.
+// Each violation that a router could commit or record is found.
 func TestLoansThatWereNotKeptAreFound(t *testing.T) {
 	for name, spoil := range map[string]func(trails []audit.Trail){
 		"held for more than was lent": func(trails []audit.Trail) { of(trails, audit.Borrowed)[3].Amount *= 2 },
@@ -154,7 +154,7 @@
 					later = later || l.Peer == "b" && l.Epoch == 1 && l.Number > h.Number
 				}
 				if h.Peer == "a" && later {
-					h.Number++ // its owner never saw that ask
+					h.Number++ // its owner never received that ask
 				}
 			}
 		},
--- a/fleet/audit/record.go
+++ b/fleet/audit/record.go
@@ -1,8 +1,8 @@
-// Package audit tells from the records of many routers who acted on what, and whether they
-// kept what they had said. It goes by versions and by what one router did after another
-// thing, not by wall clocks, which may be an hour apart.
+// Package audit determines from the event logs of many routers which router acted on which version,
+// and whether each router kept its commitments. It relies on versions and on the order of one
+// router's records, not on wall clocks, which may differ by an hour.
 //
-// The package does no I/O. What it reads is written by fleet/eventlog.
+// The package does no I/O. Event logs are written by fleet/eventlog.
 package audit
 
 import (
@@ -10,25 +10,29 @@
 	"time"
 )
 
-// Kind says what a record is of.
+// Kind is the type of a record.
 type Kind uint8
 
-// The kinds of record. Numbers stay as they are: they stand in files.
+// The kinds of record. The numbers are stored in files and must not change.
 const (
-	Started      Kind = 1  // the router has started; Life is its incarnation
-	Taken        Kind = 2  // Part is at Version from now on; Number names all that is acted on
-	Acknowledged Kind = 3  // it has told others that Part is at Version
-	Refused      Kind = 4  // it does not take Version of Part; Text says why
-	Out          Kind = 5  // Worker gets nothing new, Window later at the latest
-	Back         Kind = 6  // Worker may get something again
-	Sent         Kind = 7  // Count attempts went to Worker under Number, from At on until Until
-	Failed       Kind = 8  // an attempt of Request at Worker ended in Text
-	ShutOut      Kind = 9  // the router takes nothing new from now on; Text says why
-	Readmitted   Kind = 10 // it does again
+	Started Kind = 1 // the router has started; Life is its incarnation
+	// Part is at Version from now on; Number identifies the versions of all parts.
+	Taken        Kind = 2
+	Acknowledged Kind = 3  // it has reported to others that Part is at Version
+	Refused      Kind = 4  // it does not take Version of Part, for the reason Text
+	Out          Kind = 5  // Worker gets nothing new, after Window at the latest
+	Back         Kind = 6  // Worker may get requests again
+	Sent         Kind = 7  // Count attempts were sent to Worker under Number, from At until Until
+	Failed       Kind = 8  // an attempt of Request at Worker ended with Text
+	ShutOut      Kind = 9  // the router accepts no new requests from now on, for the reason Text
+	Readmitted   Kind = 10 // the router accepts new requests again
 	Ended        Kind = 11 // the router ends in good order
-	Lent         Kind = 12 // Peer may use Amount of this router's Share of Part for Window, by grant Number of Epoch; its older ones than Version are over
-	Returned     Kind = 13 // Peer uses at most Amount of grant Number of Epoch by now
-	Borrowed     Kind = 14 // this router uses Amount of Peer's share of Part for Window, by grant Number of Epoch
+	// Peer may use Amount of this router's Share of Part for Window, by grant Number of Epoch; its
+	// grants before Version have ended.
+	Lent     Kind = 12
+	Returned Kind = 13 // Peer now uses at most Amount of grant Number of Epoch
+	// This router uses Amount of Peer's share of Part for Window, by grant Number of Epoch.
+	Borrowed Kind = 14
 )
 
 // String implements fmt.Stringer.
@@ -41,15 +45,15 @@
 	return names[0]
 }
 
-// Record is one thing that a router did. Times are on its own monotonic clock, which begins
-// anew with each start.
+// Record is one event at a router. Times are on its own monotonic clock, which restarts with the
+// process.
 type Record struct {
-	Seq     uint64        `cbor:"1,keyasint"` // from 1, one more for each of the router's records
+	Seq     uint64        `cbor:"1,keyasint"` // from 1, consecutive over the router's records
 	Kind    Kind          `cbor:"2,keyasint"`
 	Router  string        `cbor:"3,keyasint,omitempty"`
 	Life    uint64        `cbor:"4,keyasint,omitempty"`
 	At      time.Duration `cbor:"5,keyasint"`
-	Wall    int64         `cbor:"6,keyasint,omitempty"` // Unix milliseconds, for people alone
+	Wall    int64         `cbor:"6,keyasint,omitempty"` // Unix milliseconds, for display only
 	Part    string        `cbor:"7,keyasint,omitempty"`
 	Version uint64        `cbor:"8,keyasint,omitempty"`
 	Number  uint64        `cbor:"9,keyasint,omitempty"`
@@ -61,12 +65,13 @@
 	Window  time.Duration `cbor:"15,keyasint,omitempty"`
 	Text    string        `cbor:"16,keyasint,omitempty"`
 	Peer    string        `cbor:"17,keyasint,omitempty"` // the router at the other end of a loan
-	Epoch   uint64        `cbor:"18,keyasint,omitempty"` // the life under which the borrower asked
-	Amount  float64       `cbor:"19,keyasint,omitempty"` // a second
-	Share   float64       `cbor:"20,keyasint,omitempty"` // a second
+	// The incarnation under which the borrower asked.
+	Epoch  uint64  `cbor:"18,keyasint,omitempty"`
+	Amount float64 `cbor:"19,keyasint,omitempty"` // per second
+	Share  float64 `cbor:"20,keyasint,omitempty"` // per second
 }
 
-// Place is where a record stands.
+// Place is the position of a record in a file.
 type Place struct {
 	File   string
 	Offset int64
@@ -75,19 +80,19 @@
 // String implements fmt.Stringer.
 func (p Place) String() string { return fmt.Sprintf("%s:%d", p.File, p.Offset) }
 
-// Entry is a record and where it stands.
+// Entry is a record and its place.
 type Entry struct {
 	Record
 	Place
 }
 
-// Damage is a place where a trail can't be read.
+// Damage is a place where an event log can't be read.
 type Damage struct {
 	Place
 	What string
 }
 
-// Trail is all that is there of one router, in order.
+// Trail is the event log of one router, in order.
 type Trail struct {
 	Router  string
 	Entries []Entry
