--- a/fleet/outlier/outlier.go
+++ b/fleet/outlier/outlier.go
@@ -86,7 +86,7 @@
 	case !(c.Least > 0):
 		return fmt.Errorf("%w: least is %v, must be greater than 0", ErrConfig, c.Least)
 	case c.Hold <= 0 || c.Return < 0:
-		return fmt.Errorf("%w: hold is %v and return %v, must be greater than 0 and not negative", ErrConfig, c.Hold, c.Return)
+		return fmt.Errorf("%w: hold is %v and return %v, want hold > 0 and return >= 0", ErrConfig, c.Hold, c.Return)
 	}
 	return nil
 }
--- a/fleet/straggler/straggler.go
+++ b/fleet/straggler/straggler.go
@@ -80,7 +80,7 @@
 	case c.Versions < 1:
 		return fmt.Errorf("%w: versions is %d, must be at least 1", ErrConfig, c.Versions)
 	case c.Grace <= 0 || c.MostAge < 0 || c.Steady < 0:
-		return fmt.Errorf("%w: grace is %v, most_age %v and steady %v, must be greater than 0, not negative and not negative", ErrConfig, c.Grace, c.MostAge, c.Steady)
+		return fmt.Errorf("%w: grace is %v, most_age %v and steady %v, want grace > 0, most_age >= 0 and steady >= 0", ErrConfig, c.Grace, c.MostAge, c.Steady)
 	case !(c.MostShut >= 0 && c.MostShut <= 0.5):
 		return fmt.Errorf("%w: most_shut is %v, must be from 0 to 0.5", ErrConfig, c.MostShut)
 	case !(c.Rate > 0):
