--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -1,14 +1,19 @@
-// Package zone decides in which state each zone is, from what routers inside and outside of it report: healthy, strained,
-// failing, lost, returning, or out by an operator; and which links between zones are cut.
+// Package zone determines the state of each zone from the reports of routers inside and outside of
+// it: healthy, strained, failing, lost, returning, or out by an operator. It also determines which
+// links between zones are cut.
 //
-// A zone that is seen bad from one other zone alone is a cut link: that zone's routers do without it, the others go on. It
-// is failing or lost by the word of routers of two zones at least, of which its own may be one, and not against the word of
-// another zone that sees it well. So a decider that is itself cut off finds cut links, and no zone lost.
+// If only one other zone reports a zone as bad, the link between the two is considered cut: the
+// routers of the reporting zone stop using the other one, and the rest continue. A zone is failing
+// or lost only if its own routers or those of at least two zones report it as bad, and it is not
+// lost if any zone reports it as good. A decider that is itself cut off therefore finds cut links,
+// and no lost zone.
 //
-// A lost zone gets nothing, so nothing more is learnt of it. After a hold, which doubles each time soon after the last, and
-// once its workers are listed, it returns with a trial, and from there by a ramp as long as what comes back is good.
+// A lost zone receives no traffic, so there are no new observations of it. After a hold time, which
+// doubles each time the zone is lost again soon, and once its workers are listed, the zone returns
+// with a trial level. From there its level rises as long as the results are good.
 //
-// The package does no I/O and starts nothing; the clock is an argument. A Monitor is not safe for concurrent use.
+// The package does no I/O and starts no goroutines; the clock is an argument. A Monitor is not safe
+// for concurrent use.
 package zone
 
 import (
@@ -22,17 +27,17 @@
 // Time is a reading of the caller's monotonic clock from an arbitrary start.
 type Time time.Duration
 
-// State is what a zone is.
+// State is the state of a zone.
 type State uint8
 
 // The states of a zone.
 const (
 	Healthy   State = iota
-	Strained        // its load lies over a stated part of what it takes
-	Failing         // a part of what goes there goes wrong
-	Lost            // next to all of it does: it gets nothing
-	Returning       // it was lost or out, and gets a growing part
-	Out             // by an operator
+	Strained        // its load exceeds a stated part of its capacity
+	Failing         // a part of the attempts there fails
+	Lost            // almost all attempts there fail: it receives no traffic
+	Returning       // it was lost or out, and receives a growing part of its traffic
+	Out             // taken out by an operator
 )
 
 // String implements fmt.Stringer.
@@ -40,32 +45,32 @@
 	return [...]string{"healthy", "strained", "failing", "lost", "returning", "out"}[min(s, Out)]
 }
 
-// Config says what counts. All fields must be the same at all who decide.
+// Config sets the thresholds and times. All fields must be the same at all deciders.
 type Config struct {
 	Zones   []string
-	Least   float64       // attempts in a sight, under which it says nothing
-	Failing float64       // part that goes wrong, from which a zone is failing,
-	Lost    float64       // and from which it is lost
-	Strain  float64       // part of its capacity, from which it is strained
-	Confirm time.Duration // for so long a zone must look worse before it counts as that
-	Hold    time.Duration // it stays lost for so long, doubled each time soon after the last
-	Return  time.Duration // from its trial to all of its capacity
-	Trial   float64       // part of its capacity with which it returns
+	Least   float64       // minimum attempts of an observation that counts
+	Failing float64       // failed part of the attempts from which a zone is failing
+	Lost    float64       // failed part of the attempts from which a zone is lost
+	Strain  float64       // part of its capacity from which a zone is strained
+	Confirm time.Duration // how long a zone must be worse before its state changes
+	Hold    time.Duration // how long a zone stays lost; doubled each time it was lost again soon
+	Return  time.Duration // time from the trial level to full capacity
+	Trial   float64       // part of its capacity with which a zone returns
 }
 
-// ErrConfig is what a faulty Config wraps.
+// ErrConfig is wrapped by the errors for an invalid Config.
 var ErrConfig = errors.New("zone")
 
 const (
-	mostDoublings = 4  // of Hold
-	forgetAfter   = 10 // times the longest Hold, after which an earlier loss counts no more
+	maxDoublings = 4  // of Hold
+	forgetAfter  = 10 // multiple of the longest Hold after which an earlier loss no longer counts
 )
 
 func (c *Config) check() error {
 	seen := map[string]bool{}
 	for _, z := range c.Zones {
 		if z == "" || seen[z] {
-			return fmt.Errorf("%w: zones hold %q, empty or named twice", ErrConfig, z)
+			return fmt.Errorf("%w: zones hold %q, empty or duplicate", ErrConfig, z)
 		}
 		seen[z] = true
 	}
@@ -73,88 +78,89 @@
 	case len(c.Zones) == 0:
 		return fmt.Errorf("%w: zones is empty", ErrConfig)
 	case !(c.Failing > 0 && c.Failing < c.Lost && c.Lost <= 1):
-		return fmt.Errorf("%w: failing is %v and lost %v, not over 0, larger, and up to 1", ErrConfig, c.Failing, c.Lost)
+		return fmt.Errorf("%w: failing is %v and lost %v, want 0 < failing < lost <= 1", ErrConfig, c.Failing, c.Lost)
 	case !(c.Least > 0):
-		return fmt.Errorf("%w: least is %v, not over 0", ErrConfig, c.Least)
+		return fmt.Errorf("%w: least is %v, must be greater than 0", ErrConfig, c.Least)
 	case !(c.Strain > 0 && c.Strain <= 1):
-		return fmt.Errorf("%w: strain is %v, not over 0 and up to 1", ErrConfig, c.Strain)
+		return fmt.Errorf("%w: strain is %v, must be greater than 0 and at most 1", ErrConfig, c.Strain)
 	case !(c.Trial > 0 && c.Trial <= 1):
-		return fmt.Errorf("%w: trial is %v, not over 0 and up to 1", ErrConfig, c.Trial)
+		return fmt.Errorf("%w: trial is %v, must be greater than 0 and at most 1", ErrConfig, c.Trial)
 	case c.Confirm < 0 || c.Hold <= 0 || c.Return <= 0:
-		return fmt.Errorf("%w: confirm is %v, hold %v and return %v, not 0 or more, over 0 and over 0", ErrConfig, c.Confirm, c.Hold, c.Return)
+		return fmt.Errorf("%w: confirm is %v, hold %v and return %v, want confirm >= 0, hold > 0 and return > 0", ErrConfig, c.Confirm, c.Hold, c.Return)
 	}
 	return nil
 }
 
-// Sight is what the routers of one zone had at another, or at their own, of late.
+// Sight is what the routers of one zone observed recently at another zone, or at their own.
 type Sight struct {
-	From, Of   string
-	Tried, Bad float64 // attempts, and those that could not reach it, were reset or answered by an error
+	From, Of string
+	// Attempts, and those of them that could not connect, were reset or were answered by an error.
+	Tried, Bad float64
 }
 
-// Capacity is what a zone takes, in the unit of Load. What makes no sense counts as not told.
+// Capacity is the load and capacity of a zone, in one unit. Invalid values are ignored.
 type Capacity struct {
-	Load   float64 // what it has
-	Now    float64 // with the workers that are listed as serving, as warm as they are
-	Listed bool    // any of its workers is
+	Load   float64 // current load
+	Now    float64 // capacity of the workers that are listed as serving, at their present warmth
+	Listed bool    // at least one of its workers is listed as serving
 }
 
-// View is what is known at a time.
+// View is the input of Judge at one time.
 type View struct {
 	Sights     []Sight
 	Capacities map[string]Capacity
-	Out        map[string]bool // by an operator
+	Out        map[string]bool // taken out by an operator
 }
 
-// Verdict is what a zone is by now.
+// Verdict is the state that the Monitor decided for a zone.
 type Verdict struct {
 	Zone  string
 	State State
 	Level float64 // part of its capacity that may be used, 0 to 1
 	Since Time
 	Why   string
-	Cut   []string // zones from which it can't be reached, while others can
+	Cut   []string // zones that can't reach it while others can
 }
 
-type record struct {
-	state       State
-	since       Time
-	worse       State // what it looks like, if that is worse
-	worseSince  Time
-	lostAt      Time
-	times       int
-	level       float64
-	at          Time // of level
-	why         string
-	everWasLost bool
+type status struct {
+	state          State
+	since          Time
+	indicated      State // state indicated by the observations, if it is worse than healthy
+	indicatedSince Time
+	lostAt         Time
+	lossRepeats    int
+	level          float64
+	updatedAt      Time // when level was last updated
+	why            string
+	wasLost        bool
 }
 
-// Monitor judges all zones.
+// Monitor decides the state of all zones.
 type Monitor struct {
 	cfg   Config
-	zones map[string]*record
+	zones map[string]*status
 }
 
-// New returns a monitor to which all zones are healthy.
+// New returns a monitor in which all zones are healthy.
 func New(cfg Config, now Time) (*Monitor, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	m := &Monitor{cfg: cfg, zones: map[string]*record{}}
+	m := &Monitor{cfg: cfg, zones: map[string]*status{}}
 	for _, z := range cfg.Zones {
-		m.zones[z] = &record{since: now, at: now, level: 1}
+		m.zones[z] = &status{since: now, updatedAt: now, level: 1}
 	}
 	return m, nil
 }
 
-// looks is what sights say of one zone, by the zone that they are from.
-type looks struct {
+// observations summarizes the sights of one zone by the zone that they are from.
+type observations struct {
 	of                  string
-	lost, failing, well []string
-	share               float64 // that goes wrong, over all
+	lost, failing, good []string
+	share               float64 // failed part of all attempts
 }
 
-func (m *Monitor) looks(v View, of string) (l looks) {
+func (m *Monitor) observations(v View, of string) (l observations) {
 	l.of = of
 	tried, bad := map[string]float64{}, map[string]float64{}
 	allTried, allBad := 0.0, 0.0
@@ -175,7 +181,7 @@
 		case share >= m.cfg.Failing:
 			l.failing = append(l.failing, from)
 		default:
-			l.well = append(l.well, from)
+			l.good = append(l.good, from)
 		}
 	}
 	if allTried > 0 {
@@ -184,21 +190,21 @@
 	return l
 }
 
-// worst is what the sights, taken together, say that a zone is, and why.
-func (l *looks) worst() (State, string) {
+// worst returns the state of a zone that the observations together indicate, and the reason.
+func (l *observations) worst() (State, string) {
 	worse := append(l.lost[:len(l.lost):len(l.lost)], l.failing...)
 	why := fmt.Sprintf("%.0f%% went wrong, as seen from %v", 100*l.share, worse)
 	switch inside := slices.Contains(worse, l.of); {
-	case len(l.well) == 0 && (slices.Contains(l.lost, l.of) || len(l.lost) >= 2):
+	case len(l.good) == 0 && (slices.Contains(l.lost, l.of) || len(l.lost) >= 2):
 		return Lost, why
-	case (inside || len(worse) >= 2) && len(l.well) <= max(len(worse)-2, 0):
+	case (inside || len(worse) >= 2) && len(l.good) <= max(len(worse)-2, 0):
 		return Failing, why
 	}
 	return Healthy, ""
 }
 
-// cut is from where the zone can't be reached, while it is not lost.
-func (l *looks) cut() (out []string) {
+// cut returns the zones from which the zone can't be reached while it is not lost.
+func (l *observations) cut() (out []string) {
 	for _, from := range l.lost {
 		if from != l.of {
 			out = append(out, from)
@@ -207,15 +213,15 @@
 	return out
 }
 
-// Judge takes what is known and returns what each zone is, in the order of the Config. It is to be called several times in a
-// Confirm.
+// Judge updates and returns the state of each zone, in the order of Config.Zones. Call it several
+// times per Confirm.
 func (m *Monitor) Judge(v View, now Time) []Verdict {
 	out := make([]Verdict, 0, len(m.cfg.Zones))
 	for _, name := range m.cfg.Zones {
-		r, l := m.zones[name], m.looks(v, name)
+		r, l := m.zones[name], m.observations(v, name)
 		m.step(r, &l, v.Capacities[name], v.Out[name], now)
 		verdict := Verdict{Zone: name, State: r.state, Level: r.level, Since: r.since, Why: r.why}
-		if r.state != Lost { // else all are without it
+		if r.state != Lost { // a lost zone is unreachable from all zones
 			verdict.Cut = l.cut()
 		}
 		out = append(out, verdict)
@@ -223,68 +229,68 @@
 	return out
 }
 
-func (r *record) become(s State, why string, now Time) {
+func (r *status) setState(s State, why string, now Time) {
 	if s != r.state {
 		r.state, r.since = s, now
 	}
 	r.why = why
 }
 
-func (m *Monitor) step(r *record, l *looks, k Capacity, out bool, now Time) {
-	elapsed := time.Duration(now - r.at)
-	r.at = now
+func (m *Monitor) step(r *status, l *observations, k Capacity, out bool, now Time) {
+	elapsed := time.Duration(now - r.updatedAt)
+	r.updatedAt = now
 	worst, why := l.worst()
 	switch {
 	case out:
-		r.become(Out, "by an operator", now)
-		r.level, r.worse = 0, Healthy
+		r.setState(Out, "by an operator", now)
+		r.level, r.indicated = 0, Healthy
 		return
 	case r.state == Out:
-		m.back(r, "an operator gave it back", now)
+		m.startReturn(r, "an operator gave it back", now)
 		return
 	}
-	if worst == Healthy || r.worse != worst && r.worse != Lost {
-		r.worseSince = now
+	if worst == Healthy || r.indicated != worst && r.indicated != Lost {
+		r.indicatedSince = now
 	}
-	r.worse = worst
-	confirmed := worst != Healthy && now-r.worseSince >= Time(m.cfg.Confirm)
+	r.indicated = worst
+	confirmed := worst != Healthy && now-r.indicatedSince >= Time(m.cfg.Confirm)
 	switch {
 	case confirmed && worst == Lost && r.state != Lost:
-		if r.everWasLost && now-r.lostAt < Time(forgetAfter*(m.cfg.Hold<<mostDoublings)) {
-			r.times = min(r.times+1, mostDoublings)
+		if r.wasLost && now-r.lostAt < Time(forgetAfter*(m.cfg.Hold<<maxDoublings)) {
+			r.lossRepeats = min(r.lossRepeats+1, maxDoublings)
 		} else {
-			r.times = 0
+			r.lossRepeats = 0
 		}
-		r.lostAt, r.everWasLost, r.level = now, true, 0
-		r.become(Lost, why, now)
+		r.lostAt, r.wasLost, r.level = now, true, 0
+		r.setState(Lost, why, now)
 	case r.state == Lost:
-		if now-r.since >= Time(m.cfg.Hold<<r.times) && k.Listed {
-			m.back(r, "its hold is over and its workers are listed", now)
+		if now-r.since >= Time(m.cfg.Hold<<r.lossRepeats) && k.Listed {
+			m.startReturn(r, "its hold is over and its workers are listed", now)
 		}
 	case confirmed && worst == Failing:
 		r.level = min(r.level, 1-l.share)
-		r.become(Failing, why, now)
+		r.setState(Failing, why, now)
 	case r.state == Returning || r.state == Failing && worst == Healthy:
 		if r.state == Failing {
-			r.become(Returning, "what comes back is good again", now)
+			r.setState(Returning, "what comes back is good again", now)
 		}
 		if worst == Healthy {
 			r.level = min(1, r.level+elapsed.Seconds()/m.cfg.Return.Seconds()*(1-m.cfg.Trial))
 		}
 		if r.level >= 1 {
-			r.become(Healthy, "", now)
+			r.setState(Healthy, "", now)
 		}
 	case r.state == Healthy || r.state == Strained:
 		r.level = 1
 		if sane := k.Now > 0 && k.Load >= 0; sane && k.Load > m.cfg.Strain*k.Now {
-			r.become(Strained, fmt.Sprintf("it has %.3g of %.3g", k.Load, k.Now), now)
+			r.setState(Strained, fmt.Sprintf("it has %.3g of %.3g", k.Load, k.Now), now)
 		} else {
-			r.become(Healthy, "", now)
+			r.setState(Healthy, "", now)
 		}
 	}
 }
 
-func (m *Monitor) back(r *record, why string, now Time) {
-	r.level, r.worse, r.worseSince = m.cfg.Trial, Healthy, now
-	r.become(Returning, why, now)
+func (m *Monitor) startReturn(r *status, why string, now Time) {
+	r.level, r.indicated, r.indicatedSince = m.cfg.Trial, Healthy, now
+	r.setState(Returning, why, now)
 }
--- a/fleet/zone/zone_test.go
+++ b/fleet/zone/zone_test.go
@@ -18,7 +18,7 @@
 	return Config{Zones: zones, Least: 5, Failing: 0.2, Lost: 0.8, Strain: 0.85, Confirm: second, Hold: 5 * second, Return: 10 * second, Trial: 0.05}
 }
 
-// world plays what routers see: bad[from][of] is the part that goes wrong.
+// world simulates the observations of routers: bad[from][of] is the part that fails.
 type world struct {
 	t   require.TestingT
 	cfg Config
@@ -42,7 +42,7 @@
 	return w
 }
 
-// all makes a zone look so from everywhere.
+// all sets the failing part of a zone as observed from every zone.
 func (w *world) all(of string, bad float64) {
 	for _, from := range w.cfg.Zones {
 		w.bad[[2]string{from, of}] = bad
@@ -54,7 +54,8 @@
 		w.v.Sights = nil
 		for _, from := range w.cfg.Zones {
 			for _, of := range w.cfg.Zones {
-				if w.got[of].Level > 0 || len(w.got) == 0 { // a zone that gets nothing shows nothing
+				// A zone without traffic is not observed.
+				if w.got[of].Level > 0 || len(w.got) == 0 {
 					w.v.Sights = append(w.v.Sights, Sight{from, of, 20, 20 * w.bad[[2]string{from, of}]})
 				}
 			}
@@ -85,13 +86,14 @@
 	require.Equal(t, Returning, w.state("a"))
 	require.Less(t, w.got["a"].Level, 0.1)
 	w.run(5 * second)
-	require.InDelta(t, 0.05+0.5*0.95, w.got["a"].Level, 0.05, "half of the way back")
+	require.InDelta(t, 0.05+0.5*0.95, w.got["a"].Level, 0.05, "half of the way to full capacity")
 	w.run(6 * second)
 	require.Equal(t, Healthy, w.state("a"))
 	require.Equal(t, Healthy, w.state("b"))
 }
 
-// A zone that comes and goes every 3 s is let back later each time: a bound on how often it moves anything.
+// A zone that fails and recovers every 3 s returns later each time, which bounds how often traffic
+// moves.
 func TestAZoneThatFlaps(t *testing.T) {
 	w := newWorld(t, config("a", "b", "c"))
 	moves, last := 0, Healthy
@@ -114,12 +116,12 @@
 	require.Equal(t, []string{"b"}, w.got["a"].Cut)
 	require.Equal(t, []string{"a"}, w.got["b"].Cut)
 	require.Empty(t, w.got["c"].Cut)
-	// Cut off from all others it still serves its own.
+	// A zone that is cut off from all others still serves its own traffic.
 	w.bad[[2]string{"c", "a"}] = 1
 	w.run(20 * second)
-	require.Equal(t, Healthy, w.state("a"), "its own routers see it well")
+	require.Equal(t, Healthy, w.state("a"), "its own routers report it as good")
 	require.Equal(t, []string{"b", "c"}, w.got["a"].Cut)
-	// A decider that hears its own zone alone finds no zone lost.
+	// A decider that receives reports of its own zone only finds no lost zone.
 	w = newWorld(t, config("a", "b", "c"))
 	for range 100 {
 		w.now += Time(tick)
@@ -127,14 +129,14 @@
 			require.Equal(t, Healthy, v.State)
 		}
 	}
-	// What its own routers see has no link in between.
+	// There is no link between a zone and its own routers.
 	w = newWorld(t, config("a", "b"))
 	for range 20 {
 		w.now += Time(tick)
 		w.c.Judge(View{Sights: []Sight{{"b", "b", 20, 20}}, Capacities: w.v.Capacities}, w.now)
 	}
 	require.Equal(t, Lost, w.c.Judge(View{}, w.now)[1].State)
-	// Of two zones the other one can't be told from a cut link.
+	// With two zones, a loss of the other one is indistinguishable from a cut link.
 	w = newWorld(t, config("a", "b"))
 	w.bad[[2]string{"a", "b"}] = 1
 	w.run(10 * second)
@@ -147,7 +149,7 @@
 	w.all("a", 0.4)
 	w.run(3 * second)
 	require.Equal(t, Failing, w.state("a"))
-	require.InDelta(t, 0.6, w.got["a"].Level, 0.01, "what goes right there")
+	require.InDelta(t, 0.6, w.got["a"].Level, 0.01, "the part that succeeds there")
 	w.all("a", 0)
 	w.run(second)
 	require.Equal(t, Returning, w.state("a"))
@@ -157,7 +159,7 @@
 	w.run(second)
 	require.Equal(t, Strained, w.state("b"))
 	require.Equal(t, 1.0, w.got["b"].Level)
-	w.v.Capacities["b"] = Capacity{Load: -1, Now: 1e300 * 0, Listed: true} // makes no sense
+	w.v.Capacities["b"] = Capacity{Load: -1, Now: 1e300 * 0, Listed: true} // invalid
 	w.run(second)
 	require.Equal(t, Healthy, w.state("b"))
 	w.v.Out["c"] = true
@@ -181,8 +183,9 @@
 	}
 }
 
-// Whatever is seen: a zone is only lost by the word of its own or of two others, and none sees it well; nothing lost has a level; and once all
-// is well for long enough all are healthy.
+// For any observations, a zone becomes lost only if its own routers or those of two other zones
+// report it, and none reports it as good; a lost zone has level 0; and once there are no faults for
+// long enough all zones are healthy.
 func TestWhateverIsSeen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "zones")]
@@ -209,16 +212,16 @@
 						if w.bad[[2]string{from, z}] >= w.cfg.Lost {
 							worse++
 						} else {
-							require.GreaterOrEqual(t, w.bad[[2]string{from, z}], w.cfg.Failing, "%s sees %s well", from, z)
+							require.GreaterOrEqual(t, w.bad[[2]string{from, z}], w.cfg.Failing, "%s reports %s as good", from, z)
 						}
 					}
-					require.True(t, worse >= 2 || w.bad[[2]string{z, z}] >= w.cfg.Lost, "%s by the word of one other zone", z)
+					require.True(t, worse >= 2 || w.bad[[2]string{z, z}] >= w.cfg.Lost, "%s by the report of one other zone", z)
 				}
 			}
 		}
 		clear(w.bad)
 		clear(w.v.Out)
-		w.run(w.cfg.Hold<<mostDoublings + 2*w.cfg.Return + 10*second)
+		w.run(w.cfg.Hold<<maxDoublings + 2*w.cfg.Return + 10*second)
 		for z := range w.got {
 			require.Equal(t, Healthy, w.state(z), fmt.Sprint(z, w.got[z]))
 		}
