--- a/fleet/traffic/step.go
+++ b/fleet/traffic/step.go
@@ -6,75 +6,82 @@
 	"time"
 )
 
-// Pace bounds how a decider moves traffic.
+// Pace bounds how fast a decider moves traffic.
 type Pace struct {
-	Every   time.Duration // between two steps, where nothing is lost
-	Up      float64       // of all traffic, that may come to a zone in a step,
-	Back    float64       // and that a zone gets back of its own entry's in a step: less, so that a return is slower than the leaving
-	Band    float64       // differences below this part are let be
-	Burst   int           // maps that may be made at once,
-	PerMin  float64       // and a minute from there
-	Reserve int           // of the burst, kept for zones that may not be used any more
+	Every time.Duration // minimum time between two steps that are not urgent
+	Up    float64       // part of all traffic that a zone may gain in a step
+	// Part of all traffic that a zone may regain from its own entry in a step; less than Up, so
+	// that a return is slower than leaving.
+	Back   float64
+	Band   float64 // smaller differences are ignored
+	Burst  int     // maps that may be made at once
+	PerMin float64 // and per minute after that
+	// Part of Burst that is kept for steps away from zones that may no longer be used.
+	Reserve int
 }
 
-// Stepper is a decider's way from map to map.
+// Stepper moves a decider's map towards its aim.
 type Stepper struct {
-	pace  Pace
-	last  Time
-	level float64 // maps that may be made
-	at    Time
-	began bool
+	pace      Pace
+	lastStep  Time
+	mapsLeft  float64 // maps that may be made
+	updatedAt Time
+	stepped   bool
 }
 
-// NewStepper returns a stepper that has made no map.
+// NewStepper returns a stepper that has not made a map.
 func NewStepper(p Pace, now Time) (*Stepper, error) {
 	switch {
 	case p.Every <= 0 || p.Burst < 1 || p.Reserve < 0 || p.Reserve >= p.Burst || !(p.PerMin > 0):
-		return nil, fmt.Errorf("%w: every is %v, burst %d, reserve %d and per_min %v", ErrMap, p.Every, p.Burst, p.Reserve, p.PerMin)
+		return nil, fmt.Errorf("%w: every is %v, burst %d, reserve %d and per_min %v, want every > 0, 0 <= reserve < burst and per_min > 0", ErrMap, p.Every, p.Burst, p.Reserve, p.PerMin)
 	case !(p.Up > 0 && p.Up <= 1) || !(p.Back > 0 && p.Back <= p.Up) || !(p.Band >= 0 && p.Band < 1):
-		return nil, fmt.Errorf("%w: up is %v, back %v and band %v, not over 0 to 1, over 0 to up, and 0 to under 1", ErrMap, p.Up, p.Back, p.Band)
+		return nil, fmt.Errorf("%w: up is %v, back %v and band %v, want 0 < up <= 1, 0 < back <= up and 0 <= band < 1", ErrMap, p.Up, p.Back, p.Band)
 	}
-	return &Stepper{pace: p, level: float64(p.Burst), at: now}, nil
+	return &Stepper{pace: p, mapsLeft: float64(p.Burst), updatedAt: now}, nil
 }
 
-// Aim is where a decider wants to go, and what may be.
+// Aim is the target of a decider and the bounds on the way to it.
 type Aim struct {
 	Read, Write [][]float64
 	Load        []float64 // of each entry, in one unit
-	Bears       []float64 // load that a zone may get more of in this step, warm and cold as it is, beside Up; negative: not bounded
-	Level       []float64 // part of each zone's capacity that may be used; at 0 it may not be used at all
-	Why, By     string
+	// Load that a zone can gain in this step at its present warmth, a bound in addition to Up;
+	// negative: not bounded.
+	Bears []float64
+	// Part of each zone's capacity that may be used; at 0 the zone may not be used at all.
+	Level   []float64
+	Why, By string
 }
 
-// Most is how many maps are made at most in a time, whatever comes in.
+// Most is the maximum number of maps made in a time, for any input.
 func (p *Pace) Most(in time.Duration) float64 { return float64(p.Burst) + p.PerMin*in.Minutes() + 1 }
 
-// Step returns the next map on the way from the one that holds to the aim, with the next epoch; nil where nothing is to move
-// yet. The map that holds must have the zones of the aim, in their order.
+// Step returns the next map between the current one and the aim, with the next epoch, or nil if
+// there is nothing to move yet. The current map must have the zones of the aim, in the same order.
 func (s *Stepper) Step(now Map, aim Aim, at Time) *Map {
-	s.level = math.Min(float64(s.pace.Burst), s.level+s.pace.PerMin*time.Duration(at-s.at).Minutes())
-	s.at = at
+	s.mapsLeft = math.Min(float64(s.pace.Burst), s.mapsLeft+s.pace.PerMin*time.Duration(at-s.updatedAt).Minutes())
+	s.updatedAt = at
 	n := len(now.Zones)
 	total := 0.0
 	for _, l := range aim.Load {
 		total += l
 	}
-	urgent, far := false, 0.0
+	urgent, maxDiff := false, 0.0
 	for e := range n {
 		for z := range n {
-			far = math.Max(far, math.Abs(aim.Read[e][z]-now.Read[e][z]))
+			maxDiff = math.Max(maxDiff, math.Abs(aim.Read[e][z]-now.Read[e][z]))
 			urgent = urgent || aim.Level[z] == 0 && now.Read[e][z] > 0
 		}
 	}
 	for r := range n {
 		for w := range n {
-			far = math.Max(far, math.Abs(aim.Write[r][w]-now.Write[r][w]))
+			maxDiff = math.Max(maxDiff, math.Abs(aim.Write[r][w]-now.Write[r][w]))
 			urgent = urgent || aim.Level[w] == 0 && aim.Level[r] > 0 && now.Write[r][w] > 0
 		}
 	}
 	level := make([]float64, n)
 	opened := false
-	for z, l := range aim.Level { // what a map says is whether a zone is barred; the ramp between is in its shares
+	// A map only states whether a zone is barred; its shares express the ramp in between.
+	for z, l := range aim.Level {
 		if l > 0 {
 			level[z] = 1
 		}
@@ -86,7 +93,7 @@
 	if !urgent {
 		need += float64(s.pace.Reserve)
 	}
-	if s.level < need || !urgent && (!opened && far <= s.pace.Band || s.began && at-s.last < Time(s.pace.Every)) {
+	if s.mapsLeft < need || !urgent && (!opened && maxDiff <= s.pace.Band || s.stepped && at-s.lastStep < Time(s.pace.Every)) {
 		return nil
 	}
 	next := Map{Epoch: now.Epoch + 1, Zones: now.Zones, Level: level, Why: aim.Why, By: aim.By, Read: rows(now.Read), Write: rows(aim.Write)}
@@ -94,16 +101,17 @@
 	if next.same(&now) {
 		return nil
 	}
-	s.level--
-	s.last, s.began = at, true
+	s.mapsLeft--
+	s.lastStep, s.stepped = at, true
 	return &next
 }
 
-// read moves the readers' parts: out of zones that may not be used at once, into others as far as they bear it.
+// read moves the readers' shares: out of zones that may not be used at once, and into others as far
+// as they can bear it.
 func (s *Stepper) read(next *Map, now Map, aim Aim, total float64) {
 	n := len(now.Zones)
 	for z := range n {
-		// What all entries together want more of here, in load.
+		// The load by which all entries together want to increase their use of this zone.
 		more, ownMore := 0.0, 0.0
 		for e := range n {
 			if d := (aim.Read[e][z] - now.Read[e][z]) * aim.Load[e]; d > 0 && aim.Level[z] > 0 {
@@ -137,8 +145,8 @@
 			}
 		}
 	}
-	// What came in somewhere leaves the zones that are to get less, as they are over their aim; what was given up by zones that
-	// may not be used is there to come in anyway.
+	// Gains are taken from the zones whose shares exceed the aim, in proportion to the excess.
+	// Traffic that left zones that may not be used is available anyway.
 	for e := range n {
 		sum, over := 0.0, 0.0
 		for z := range n {
@@ -151,7 +159,8 @@
 		for z := range n {
 			want += aim.Read[e][z]
 		}
-		// Nothing is shed that the map before served, but what can't be borne; nothing is served that the aim sheds.
+		// What the previous map served is shed only if it can't be borne, and what the aim sheds is
+		// not served.
 		excess := sum - math.Min(1, math.Max(want, 0))
 		if excess <= 0 || over <= 0 {
 			continue
@@ -173,40 +182,43 @@
 	return out
 }
 
-// Balance turns shares into figures for the decisions: what a server of a zone counts for against one of the own zone, beside
-// all else. The own zone's is 1. A zone that may not be used gets an infinite one; one that may, but has no share, is as dear as
-// can be: it takes what the others, jammed for a moment, would have refused. Those of the rest follow what was sent: more than
-// its share makes a zone dearer, less makes it cheaper, within bounds.
+// Balance turns shares into cost factors for routing decisions: the weight of a server of a zone
+// relative to one of the own zone, in addition to all other costs. The factor of the own zone is 1.
+// A zone that may not be used has an infinite factor. A zone that may be used but has no share has
+// the highest finite one, so that it takes requests that the briefly congested others would have
+// refused. The factors of the remaining zones follow the traffic sent: more than its share raises a
+// zone's factor, less lowers it, within bounds.
 type Balance struct {
 	sent    []float64
-	figures []float64
+	factors []float64
 	at      Time
 }
 
 const (
-	balanceOver  = 2 * time.Second // that what was sent is remembered for
-	gain         = 0.15            // of a figure's logarithm, a look, for a share that is missed whole
-	least, dear  = 0.6, 8.0
-	usualFigure  = 1.15 // of a zone of which nothing is known yet
-	leastSending = 5.0  // requests lately, under which nothing is concluded
+	balanceDecay = 2 * time.Second // time constant of the counts of sent requests
+	// Change of a factor's logarithm per update, for a share that is missed completely.
+	gain                 = 0.15
+	minFactor, maxFactor = 0.6, 8.0
+	initialFactor        = 1.15 // factor of a zone without data
+	minSent              = 5.0  // recent requests below which the factors don't change
 )
 
-// Sent notes a request that was sent to a zone, by its index.
+// Sent records a request that was sent to a zone, by its index.
 func (b *Balance) Sent(zone, zones int, at Time) {
-	b.size(zones)
-	b.age(at)
+	b.grow(zones)
+	b.decay(at)
 	b.sent[zone]++
 }
 
-func (b *Balance) size(n int) {
+func (b *Balance) grow(n int) {
 	for len(b.sent) < n {
-		b.sent, b.figures = append(b.sent, 0), append(b.figures, usualFigure)
+		b.sent, b.factors = append(b.sent, 0), append(b.factors, initialFactor)
 	}
 }
 
-func (b *Balance) age(at Time) {
+func (b *Balance) decay(at Time) {
 	if at > b.at {
-		f := math.Exp(-float64(at-b.at) / float64(balanceOver))
+		f := math.Exp(-float64(at-b.at) / float64(balanceDecay))
 		for i := range b.sent {
 			b.sent[i] *= f
 		}
@@ -214,11 +226,11 @@
 	}
 }
 
-// Figures returns one for each zone, by the shares that are to hold and whether the zone may be used. It is to be called a few
-// times a second.
+// Figures returns the cost factor of each zone, given the target shares and whether each zone may
+// be used. Call it a few times per second.
 func (b *Balance) Figures(shares []float64, may []bool, own int, at Time) []float64 {
-	b.size(len(shares))
-	b.age(at)
+	b.grow(len(shares))
+	b.decay(at)
 	all := 0.0
 	for _, s := range b.sent {
 		all += s
@@ -227,17 +239,17 @@
 	for z, share := range shares {
 		switch {
 		case !may[z]:
-			out[z], b.figures[z] = math.Inf(1), usualFigure
+			out[z], b.factors[z] = math.Inf(1), initialFactor
 		case share <= 0:
-			out[z], b.figures[z] = dear, usualFigure
+			out[z], b.factors[z] = maxFactor, initialFactor
 		case z == own:
 			out[z] = 1
 		default:
-			if all >= leastSending {
-				b.figures[z] *= math.Exp(gain * (b.sent[z]/all - share) / math.Max(share, 0.05))
-				b.figures[z] = math.Min(math.Max(b.figures[z], least), dear)
+			if all >= minSent {
+				b.factors[z] *= math.Exp(gain * (b.sent[z]/all - share) / math.Max(share, 0.05))
+				b.factors[z] = math.Min(math.Max(b.factors[z], minFactor), maxFactor)
 			}
-			out[z] = b.figures[z]
+			out[z] = b.factors[z]
 		}
 	}
 	return out
--- a/fleet/traffic/traffic_test.go
+++ b/fleet/traffic/traffic_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// A decider that comes back with an old epoch is not heard, of two at once the first holds, and a later one ends the matter.
+// A map of a decider that resumes with an old epoch is refused, of two maps of one epoch the first
+// stays in effect, and a later epoch replaces it.
 func TestEpochs(t *testing.T) {
 	k, err := NewKeeper(Terms{Fresh: second, Fade: second, Spill: 0.2}, "a")
 	require.NoError(t, err)
@@ -60,7 +61,8 @@
 	require.EqualValues(t, 6, m.Epoch)
 }
 
-// A map that is not renewed fades into the own zone and the spill without a jump; what can't be seen is not used meanwhile.
+// A map that is not renewed fades into the own zone and the spill without a jump; unreachable zones
+// are not used meanwhile.
 func TestAMapThatGrowsOld(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	k, err := NewKeeper(Terms{Fresh: 2 * second, Fade: 10 * second, Spill: 0.2}, "a")
@@ -74,43 +76,43 @@
 	for at := Time(0); at < Time(20*second); at += Time(100 * time.Millisecond) {
 		now := k.Shares(zones, all, at)
 		for i := range now {
-			require.InDelta(t, last[i], now[i], 0.02, "no jump at %v", time.Duration(at))
+			require.InDelta(t, last[i], now[i], 0.02, "jump at %v", time.Duration(at))
 		}
 		last = now
 	}
 	require.InDeltaSlice(t, []float64{0.8, 0.1, 0.1}, last, 1e-9)
 	blind := func(z string) bool { return z != "b" }
-	require.InDeltaSlice(t, []float64{1, 0, 0}, k.Shares(zones, blind, 0), 1e-9, "b's part goes where the rest does")
+	require.InDeltaSlice(t, []float64{1, 0, 0}, k.Shares(zones, blind, 0), 1e-9, "the share of b goes where the rest does")
 	require.InDeltaSlice(t, []float64{0, 0.5, 0.5}, k.Shares(zones, func(z string) bool { return z != "a" }, Time(time.Hour)), 1e-9)
 	foreign, err := NewKeeper(Terms{Fresh: second, Fade: second}, "z")
 	require.NoError(t, err)
 	require.NoError(t, foreign.Take(&m, 0))
-	require.InDeltaSlice(t, []float64{1. / 3, 1. / 3, 1. / 3}, foreign.Shares(zones, all, 0), 1e-9, "a map that does not know the zone")
+	require.InDeltaSlice(t, []float64{1. / 3, 1. / 3, 1. / 3}, foreign.Shares(zones, all, 0), 1e-9, "a map that does not contain the zone")
 }
 
-// world is zones with their load and capacity under a decider, in virtual time.
+// world simulates zones with their load and capacity under a decider, in virtual time.
 type world struct {
-	t       require.TestingT
-	names   []string
-	load    []float64 // of each entry
-	real    []float64 // what each zone takes in truth; 0: lost
-	cfg     zone.Config
-	monitor *zone.Monitor
-	step    *Stepper
-	pace    Pace
-	now     Map
-	at      Time
-	states  []zone.Verdict
-	made    int
-	blind   map[[2]int]bool // links that are cut
-	served  float64
-	asked   float64
+	t        require.TestingT
+	names    []string
+	load     []float64 // of each entry
+	actual   []float64 // actual capacity of each zone; 0: lost
+	cfg      zone.Config
+	monitor  *zone.Monitor
+	step     *Stepper
+	pace     Pace
+	now      Map
+	at       Time
+	states   []zone.Verdict
+	maps     int
+	cutLinks map[[2]int]bool
+	served   float64
+	asked    float64
 }
 
 const look = 250 * time.Millisecond
 
 func newWorld(t require.TestingT, load, takes []float64) *world {
-	w := &world{t: t, load: load, real: append([]float64(nil), takes...), blind: map[[2]int]bool{}, at: Time(time.Hour)}
+	w := &world{t: t, load: load, actual: append([]float64(nil), takes...), cutLinks: map[[2]int]bool{}, at: Time(time.Hour)}
 	for i := range load {
 		w.names = append(w.names, fmt.Sprint("z", i))
 	}
@@ -125,7 +127,7 @@
 	return w
 }
 
-// in is the load that zones have by the map that holds.
+// in returns the load of each zone under the current map.
 func (w *world) in() []float64 {
 	out := make([]float64, len(w.names))
 	for e, l := range w.load {
@@ -145,29 +147,30 @@
 			for z := range n {
 				sent := w.load[e] * w.now.Read[e][z]
 				bad := 0.0
-				if w.real[z] == 0 || w.blind[[2]int{e, z}] {
+				if w.actual[z] == 0 || w.cutLinks[[2]int{e, z}] {
 					bad = 1
 				}
 				w.asked += sent
 				if bad == 0 {
-					w.served += sent * math.Min(1, w.real[z]/in[z])
+					w.served += sent * math.Min(1, w.actual[z]/in[z])
 				}
 				if sent > 0 {
 					view.Sights = append(view.Sights, zone.Sight{From: w.names[e], Of: w.names[z], Tried: sent, Bad: sent * bad})
 				}
-				// Routers look at each other's zones with a little traffic of their own, as sessions that hang on to a worker do.
+				// Routers always send a little traffic to each other's zones, since sessions stay
+				// at their workers.
 				view.Sights = append(view.Sights, zone.Sight{From: w.names[e], Of: w.names[z], Tried: 6, Bad: 6 * bad})
 			}
 			w.asked += w.load[e] * (1 - sum(w.now.Read[e])) // shed
 		}
 		for z, name := range w.names {
-			view.Capacities[name] = zone.Capacity{Load: in[z], Now: w.real[z], Listed: w.real[z] > 0}
+			view.Capacities[name] = zone.Capacity{Load: in[z], Now: w.actual[z], Listed: w.actual[z] > 0}
 		}
 		w.states = w.monitor.Judge(view, zone.Time(w.at))
 		site := solver.Site{Far: make([][]float64, n), Seen: make([][]bool, n), Safe: 0.8}
 		aim := Aim{Load: w.load, Why: "virtual", By: "r", Bears: make([]float64, n), Level: make([]float64, n)}
 		for z, v := range w.states {
-			capacity := v.Level * math.Max(w.real[z], 1)
+			capacity := v.Level * math.Max(w.actual[z], 1)
 			site.Zones = append(site.Zones, solver.Zone{Read: capacity, Write: capacity})
 			site.Demand = append(site.Demand, solver.Demand{Entry: z, Load: w.load[z], Worth: 1})
 			aim.Level[z], aim.Bears[z] = v.Level, math.Max(capacity-in[z], 0)
@@ -196,10 +199,10 @@
 			require.NoError(w.t, next.Check())
 			require.Equal(w.t, w.now.Epoch+1, next.Epoch)
 			w.now = *next
-			w.made++
+			w.maps++
 			after := w.in()
 			for z := range n {
-				require.LessOrEqual(w.t, after[z], math.Max(in[z], in[z]+aim.Bears[z])+1e-6*(1+in[z]), "zone %d bears no more", z)
+				require.LessOrEqual(w.t, after[z], math.Max(in[z], in[z]+aim.Bears[z])+1e-6*(1+in[z]), "zone %d can bear no more", z)
 				if aim.Level[z] == 0 {
 					require.Zero(w.t, after[z], "nothing goes to a zone that may not be used")
 				}
@@ -232,54 +235,55 @@
 	return far / sum(w.load)
 }
 
-// A zone is lost in one instant with 40% of the load, its neighbours at 70%: what they can bear goes there, nothing to the lost
-// one, the rest is shed; it returns little by little, and then all is near again.
+// A zone with 40% of the load is lost at once while its neighbours are at 70%: they receive what
+// they can bear, the lost zone nothing, and the rest is shed. The zone returns gradually, and then
+// all traffic is near again.
 func TestAZoneIsLostAndReturns(t *testing.T) {
 	w := newWorld(t, []float64{80, 60, 60}, []float64{115, 86, 86})
 	w.run(10 * second)
-	require.Zero(t, w.far(), "nothing moves when nothing is wrong")
-	require.Zero(t, w.made)
-	w.real[0] = 0
+	require.Zero(t, w.far(), "nothing moves without a fault")
+	require.Zero(t, w.maps)
+	w.actual[0] = 0
 	w.served, w.asked = 0, 0
 	w.run(5 * second)
 	require.Equal(t, zone.Lost, w.states[0].State)
 	w.served, w.asked = 0, 0
 	w.run(15 * second)
-	t.Logf("served %.3f of all while the zone is lost, of 172 that are left for 200: %.3f at most", w.served/w.asked, 172./200)
+	t.Logf("served %.3f of all while the zone is lost; the remaining capacity of 172 for 200 permits %.3f", w.served/w.asked, 172./200)
 	require.Greater(t, w.served/w.asked, 0.95*172/200)
-	w.real[0] = 115
+	w.actual[0] = 115
 	began, near := w.at, time.Duration(0)
 	for w.far() > 0.001 && w.at < began+Time(5*time.Minute) {
 		w.run(second)
 		near = time.Duration(w.at - began)
 	}
-	t.Logf("all near again %v after its workers were, %d maps in all", near, w.made)
+	t.Logf("all traffic is near again %v after the workers returned, %d maps in total", near, w.maps)
 	require.Less(t, near, 4*time.Minute)
-	made := w.made
+	made := w.maps
 	w.run(time.Minute)
-	require.Equal(t, made, w.made, "no more moves once all is well")
+	require.Equal(t, made, w.maps, "nothing moves once the faults have ended")
 }
 
-// A link that is cut moves what went over it and nothing else; both sides go on serving their own.
+// A cut link moves only the traffic that used it; both sides continue to serve their own traffic.
 func TestACutLinkMovesLittle(t *testing.T) {
 	w := newWorld(t, []float64{110, 40, 40}, []float64{100, 100, 100})
 	w.run(20 * second)
-	require.Greater(t, w.far(), 0.1, "the excess is elsewhere")
+	require.Greater(t, w.far(), 0.1, "the excess is in other zones")
 	to := 1
 	if w.now.Read[0][2] > w.now.Read[0][1] {
 		to = 2
 	}
-	w.blind[[2]int{0, to}], w.blind[[2]int{to, 0}] = true, true
+	w.cutLinks[[2]int{0, to}], w.cutLinks[[2]int{to, 0}] = true, true
 	w.run(30 * second)
 	require.Zero(t, w.now.Read[0][to])
-	require.InDelta(t, 1, w.now.Read[to][to], 1e-6, "it serves its own")
+	require.InDelta(t, 1, w.now.Read[to][to], 1e-6, "it serves its own traffic")
 	for _, v := range w.states {
 		require.NotEqual(t, zone.Lost, v.State)
 	}
 }
 
-// Whatever happens, at 2 to 4 zones: never onto a zone that is lost, no more to a zone than it bears, no more maps than are
-// stated, and all near again once faults end.
+// For random faults at 2 to 4 zones: nothing goes to a lost zone, no zone gains more than it can
+// bear, no more maps are made than stated, and all traffic is near again once the faults end.
 func TestWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "zones")
@@ -294,22 +298,22 @@
 			z, o := rng.IntN(n), rng.IntN(n)
 			switch rng.IntN(4) {
 			case 0:
-				w.real[z] = 0
+				w.actual[z] = 0
 			case 1:
-				w.real[z] = takes[z]
+				w.actual[z] = takes[z]
 			case 2:
-				w.blind[[2]int{z, o}] = !w.blind[[2]int{z, o}]
+				w.cutLinks[[2]int{z, o}] = !w.cutLinks[[2]int{z, o}]
 			case 3:
 				w.load[z] = takes[z] * 1.5 * rng.Float64()
 			}
-			began, made := w.at, w.made
+			began, made := w.at, w.maps
 			w.run(time.Duration(1+rng.IntN(40)) * second / 2)
-			require.LessOrEqual(t, float64(w.made-made), w.pace.Most(time.Duration(w.at-began)))
+			require.LessOrEqual(t, float64(w.maps-made), w.pace.Most(time.Duration(w.at-began)))
 		}
 		for z := range n {
-			w.real[z], w.load[z] = takes[z], takes[z]*0.5
+			w.actual[z], w.load[z] = takes[z], takes[z]*0.5
 		}
-		clear(w.blind)
+		clear(w.cutLinks)
 		w.run(4 * time.Minute)
 		require.InDelta(t, 0, w.far(), 0.05, "near again")
 		for e := range n {
@@ -318,9 +322,9 @@
 	})
 }
 
-// The check of what a zone bears finds a decider that moves all at once.
+// The check of what a zone bears detects a decider that moves everything at once.
 func TestTheCheckCanFail(t *testing.T) {
-	f := &finding{}
+	f := &recorder{}
 	w := newWorld(f, []float64{180, 20, 20}, []float64{100, 150, 150})
 	w.run(20 * second)
 	require.False(t, f.found)
@@ -330,10 +334,10 @@
 	require.True(t, f.found)
 }
 
-type finding struct{ found bool }
+type recorder struct{ found bool }
 
-func (f *finding) Errorf(string, ...any) { f.found = true }
-func (f *finding) FailNow()              {}
+func (f *recorder) Errorf(string, ...any) { f.found = true }
+func (f *recorder) FailNow()              {}
 
 func TestFaultyPaces(t *testing.T) {
 	good := Pace{Every: second, Up: 0.2, Back: 0.1, Band: 0.02, Burst: 6, PerMin: 10, Reserve: 2}
@@ -349,7 +353,7 @@
 	require.ErrorIs(t, err, ErrMap)
 }
 
-// Figures bring what is sent to the shares, whatever the zones' other costs are.
+// Figures bring the traffic sent to the target shares, whatever the other costs of the zones are.
 func TestFiguresFollowShares(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, share := range []float64{0.1, 0.3, 0.6} {
@@ -359,7 +363,7 @@
 		figures := b.Figures(shares, may, 0, at)
 		for i := range 6000 {
 			at += Time(10 * time.Millisecond)
-			// The server that costs least, by noise as large as the figures.
+			// The cheapest server, with noise as large as the factors.
 			best, z := math.Inf(1), 0
 			for k := range figures {
 				if c := figures[k] * (0.5 + rng.Float64()); c < best {
@@ -378,6 +382,6 @@
 		require.InDelta(t, share, sent[1]/(sent[0]+sent[1]), 0.06)
 		require.Zero(t, sent[2])
 		require.Equal(t, 1.0, figures[0])
-		require.Equal(t, dear, b.Figures(shares, []bool{true, true, true}, 0, at)[2], "without a share, but it may be used")
+		require.Equal(t, maxFactor, b.Figures(shares, []bool{true, true, true}, 0, at)[2], "no share, but it may be used")
 	}
 }
