--- a/fleet/solver/flow.go
+++ b/fleet/solver/flow.go
@@ -2,12 +2,12 @@
 
 import "container/heap"
 
-// graph is a network of which edges come in pairs, each with the one that takes its flow back beside it.
+// graph is a flow network whose edges come in pairs: edge e and its reverse edge e^1.
 type graph struct {
-	to, next   []int
-	room, cost []int
-	first      []int
-	full       []int // room at the beginning, of each pair
+	to, next       []int
+	residual, cost []int
+	first          []int
+	capacity       []int // initial residual capacity of each pair
 }
 
 func newGraph(nodes int) *graph {
@@ -18,75 +18,76 @@
 	return g
 }
 
-// add returns the edge's number, by which its flow is asked for. Costs are 0 or more.
+// add returns the number of the edge, by which flow returns its flow. Costs must not be negative.
 func (g *graph) add(from, to, room, cost int) int {
 	e := len(g.to)
-	g.to, g.room, g.cost = append(g.to, to, from), append(g.room, room, 0), append(g.cost, cost, -cost)
+	g.to, g.residual, g.cost = append(g.to, to, from), append(g.residual, room, 0), append(g.cost, cost, -cost)
 	g.next = append(g.next, g.first[from], g.first[to])
 	g.first[from], g.first[to] = e, e+1
-	g.full = append(g.full, room)
+	g.capacity = append(g.capacity, room)
 	return e
 }
 
-func (g *graph) flow(e int) int { return g.full[e/2] - g.room[e] }
+func (g *graph) flow(e int) int { return g.capacity[e/2] - g.residual[e] }
 
 const unreached = int(^uint(0) >> 2)
 
-// solve sends as much as there is from source to sink, on the cheapest ways first: each length's ways are used up by depth
-// before the next length is looked for.
+// solve sends the maximum flow from source to sink at minimum cost. It uses up all shortest paths
+// of one length by depth-first search before it looks for the next length.
 func (g *graph) solve(source, sink int) {
 	n := len(g.first)
-	height, dist, at, on := make([]int, n), make([]int, n), make([]int, n), make([]bool, n)
-	for g.shortest(source, sink, height, dist) {
-		for v := range height {
-			height[v] += min(dist[v], dist[sink])
+	potential, dist, nextEdge, onPath := make([]int, n), make([]int, n), make([]int, n), make([]bool, n)
+	for g.shortest(source, sink, potential, dist) {
+		for v := range potential {
+			potential[v] += min(dist[v], dist[sink])
 		}
-		copy(at, g.first)
-		for g.push(source, sink, unreached, height, at, on) > 0 {
+		copy(nextEdge, g.first)
+		for g.augment(source, sink, unreached, potential, nextEdge, onPath) > 0 {
 		}
 	}
 }
 
-// push sends along edges that cost nothing by the heights.
-func (g *graph) push(v, sink, most int, height, at []int, on []bool) int {
+// augment sends flow along edges whose reduced cost is zero.
+func (g *graph) augment(v, sink, limit int, potential, nextEdge []int, onPath []bool) int {
 	if v == sink {
-		return most
+		return limit
 	}
-	on[v] = true
-	defer func() { on[v] = false }()
-	for ; at[v] >= 0; at[v] = g.next[at[v]] {
-		e := at[v]
+	onPath[v] = true
+	defer func() { onPath[v] = false }()
+	for ; nextEdge[v] >= 0; nextEdge[v] = g.next[nextEdge[v]] {
+		e := nextEdge[v]
 		w := g.to[e]
-		if g.room[e] == 0 || on[w] || g.cost[e]+height[v]-height[w] != 0 {
+		if g.residual[e] == 0 || onPath[w] || g.cost[e]+potential[v]-potential[w] != 0 {
 			continue
 		}
-		if sent := g.push(w, sink, min(most, g.room[e]), height, at, on); sent > 0 {
-			g.room[e] -= sent
-			g.room[e^1] += sent
+		if sent := g.augment(w, sink, min(limit, g.residual[e]), potential, nextEdge, onPath); sent > 0 {
+			g.residual[e] -= sent
+			g.residual[e^1] += sent
 			return sent
 		}
 	}
 	return 0
 }
 
-// shortest finds the cost of the cheapest way to each node, by the heights under which no edge costs less than nothing.
-func (g *graph) shortest(source, sink int, height, dist []int) bool {
+// shortest finds the cost of the cheapest path to each node, by the potentials under which no
+// residual edge has a negative reduced cost. It reports whether the sink is reachable.
+func (g *graph) shortest(source, sink int, potential, dist []int) bool {
 	for i := range dist {
 		dist[i] = unreached
 	}
 	dist[source] = 0
 	q := &queue{{0, source}}
 	for q.Len() > 0 {
-		it := heap.Pop(q).(item)
-		if it.dist > dist[it.node] {
+		current := heap.Pop(q).(item)
+		if current.dist > dist[current.node] {
 			continue
 		}
-		for e := g.first[it.node]; e >= 0; e = g.next[e] {
-			if g.room[e] == 0 {
+		for e := g.first[current.node]; e >= 0; e = g.next[e] {
+			if g.residual[e] == 0 {
 				continue
 			}
 			w := g.to[e]
-			if d := it.dist + g.cost[e] + height[it.node] - height[w]; d < dist[w] {
+			if d := current.dist + g.cost[e] + potential[current.node] - potential[w]; d < dist[w] {
 				dist[w] = d
 				heap.Push(q, item{d, w})
 			}
--- a/fleet/solver/network.go
+++ b/fleet/solver/network.go
@@ -2,27 +2,30 @@
 
 import "math"
 
-// source is the node that all load comes from.
+// source is the node where all load originates.
 const source = 0
 
-// network is a site as a graph whose flow of least cost is the best plan. Its nodes are the source, the demands, the entries, each
-// reader's zone with a way in and a way out, the writers' zones and the sink.
+// network is a site as a graph whose minimum-cost flow is the best plan. Its nodes are the source,
+// the demands, the entries, an input and an output node of each zone's readers, the writers' zones
+// and the sink.
 type network struct {
 	*graph
-	site                     *Site
-	unit                     float64 // requests a second that one unit of flow stands for
-	demand, entry            int     // the first node of each kind
-	readerIn, readerOut      int
-	writer, sink             int
-	demanded, entering, shed []int // units of each demand and entry; the edge by which a demand is shed
+	site                *Site
+	unit                float64 // requests per second of one unit of flow
+	demand, entry       int     // first node of each kind
+	readerIn, readerOut int
+	writer, sink        int
+	// Units of each demand and entry; the edges by which demands are shed.
+	demanded, entering, shed []int
 	reads                    [][]readEdges
-	writes                   [][]int // edges by readers' and writers' zones
-	over                     []int   // edges past the safe part of a zone
+	writes                   [][]int // edges by readers' zone and writers' zone
+	over                     []int   // edges for load beyond the safe part of a zone
 }
 
-// readEdges are the ways from an entry to a reader's zone: for as much as goes there now, and for what would be moved there.
+// readEdges are the edges from an entry to a reader's zone: for the load that goes there in the
+// previous plan, and for load that would be moved there.
 type readEdges struct {
-	seen        bool // else there is none
+	seen        bool // else there are no edges
 	kept, moved int
 }
 
@@ -41,12 +44,12 @@
 	return net
 }
 
-// units is a rate in units of flow, rounded down.
+// units converts a rate to units of flow, rounded down.
 func (net *network) units(rate float64) int {
 	return int(math.Min(math.Floor(rate/net.unit+1e-9), 4*Units))
 }
 
-// addDemands lets each demand come in at its entry, or be shed.
+// addDemands adds the edges by which each demand comes in at its entry, or is shed.
 func (net *network) addDemands() {
 	net.entering = make([]int, len(net.site.Zones))
 	for i, d := range net.site.Demand {
@@ -59,7 +62,8 @@
 	}
 }
 
-// addReads lets each entry's load go to the readers' zones that it sees: what goes there by the plan before costs no move.
+// addReads adds the edges from each entry to the readers' zones that it can reach. Load that goes
+// there by the previous plan has no cost of moving.
 func (net *network) addReads(before *Plan) {
 	s := net.site
 	for from := range s.Zones {
@@ -83,7 +87,8 @@
 	}
 }
 
-// addZones bounds what readers and writers of each zone take, and lets states go from the ones to the others.
+// addZones adds the capacities of each zone's readers and writers, and the edges for read states
+// between them.
 func (net *network) addZones() {
 	s := net.site
 	for reader := range s.Zones {
@@ -101,14 +106,14 @@
 	}
 }
 
-// addCapacity bounds a way by a rate, of which the part past the safe one costs.
+// addCapacity limits an edge to a rate, of which the part beyond the safe one has a cost.
 func (net *network) addCapacity(from, to int, rate float64) {
 	safe := net.units(rate * net.site.Safe)
 	net.add(from, to, safe, 0)
 	net.over = append(net.over, net.add(from, to, net.units(rate)-safe, overCost))
 }
 
-// plan reads the plan off the flow.
+// plan derives the plan from the flow.
 func (net *network) plan() *Plan {
 	zones := len(net.site.Zones)
 	plan := &Plan{Read: square(zones), Write: square(zones), Shed: make([]float64, len(net.demanded))}
--- a/fleet/solver/solver_test.go
+++ b/fleet/solver/solver_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// apart is distances that are alike between all zones.
+// apart returns equal distances between all zones.
 func apart(n int, d float64) [][]float64 {
 	out := square(n)
 	for a := range out {
@@ -38,7 +38,7 @@
 		site Site
 		want func(t *testing.T, p *Plan)
 	}{
-		"all is near while that is safe": {site([]float64{70, 70, 70}, []float64{100, 100, 100}, []float64{100, 100, 100}), func(t *testing.T, p *Plan) {
+		"all traffic is near while that is safe": {site([]float64{70, 70, 70}, []float64{100, 100, 100}, []float64{100, 100, 100}), func(t *testing.T, p *Plan) {
 			require.Zero(t, p.Far)
 			require.Zero(t, p.Over)
 			require.True(t, p.Feasible())
@@ -49,37 +49,37 @@
 			require.Equal(t, 1.0, p.Read[1][1])
 			require.InDelta(t, 1, p.Write[1][1], 0.001, "pairs stay together")
 		}},
-		"without room anywhere nothing leaves": {site([]float64{95, 85, 85}, []float64{100, 100, 100}, []float64{100, 100, 100}), func(t *testing.T, p *Plan) {
+		"nothing leaves if no zone has room": {site([]float64{95, 85, 85}, []float64{100, 100, 100}, []float64{100, 100, 100}), func(t *testing.T, p *Plan) {
 			require.Zero(t, p.Far)
 			require.InDelta(t, 15+5+5+15+5+5, p.Over, 0.5)
 		}},
 		"a zone without writers sends its states away": {site([]float64{50, 10}, []float64{100, 100}, []float64{0, 100}), func(t *testing.T, p *Plan) {
 			require.True(t, p.Feasible())
-			require.InDelta(t, 1, p.Read[0][1], 0.001, "the prompt goes where its writer is: a state is dearer than a prompt")
+			require.InDelta(t, 1, p.Read[0][1], 0.001, "the prompt goes where its writer is: a state costs more than a prompt")
 		}},
-		"more than all can hold": {Site{Zones: []Zone{{60, 60}, {40, 40}}, Far: apart(2, 0.5), Safe: 0.8,
+		"more than the total capacity": {Site{Zones: []Zone{{60, 60}, {40, 40}}, Far: apart(2, 0.5), Safe: 0.8,
 			Demand: []Demand{{0, 100, 1}, {1, 50, 0.2}}}, func(t *testing.T, p *Plan) {
 			require.False(t, p.Feasible())
 			require.InDelta(t, 0, p.Shed[0], 0.001)
-			require.InDelta(t, 1, p.Shed[1], 0.001, "what is worth least")
+			require.InDelta(t, 1, p.Shed[1], 0.001, "the lowest value")
 		}},
-		"never onto a zone that is not seen": {func() Site {
+		"never to an unreachable zone": {func() Site {
 			s := site([]float64{100, 10, 10}, []float64{100, 100, 100}, []float64{100, 100, 100})
 			s.Seen = [][]bool{{true, false, true}, {true, true, true}, {true, true, true}}
 			return s
 		}(), func(t *testing.T, p *Plan) { require.Zero(t, p.Read[0][1]) }},
-		"never over a link's room": {func() Site {
+		"never beyond the room of a link": {func() Site {
 			s := site([]float64{50, 0}, []float64{100, 0}, []float64{0, 100})
 			s.Room = [][]float64{{0, 30}, {0, 0}}
 			return s
 		}(), func(t *testing.T, p *Plan) { require.InDelta(t, 0.4, p.Shed[0], 0.001) }},
-		"nothing comes in": {site([]float64{0, 0}, []float64{1, 1}, []float64{1, 1}), func(t *testing.T, p *Plan) { require.True(t, p.Feasible()) }},
+		"no load": {site([]float64{0, 0}, []float64{1, 1}, []float64{1, 1}), func(t *testing.T, p *Plan) { require.True(t, p.Feasible()) }},
 	} {
 		p, err := Solve(c.site, nil)
 		require.NoError(t, err, name)
 		t.Run(name, func(t *testing.T) { c.want(t, p) })
 	}
-	// Among equals what holds stays.
+	// Among plans of equal cost the previous one is kept.
 	s := site([]float64{100, 20, 20}, []float64{100, 100, 100}, []float64{100, 100, 100})
 	first, err := Solve(s, nil)
 	require.NoError(t, err)
@@ -102,7 +102,7 @@
 	}
 }
 
-// cost is what a plan costs by the same terms as the solver's, computed from its shares.
+// cost computes the cost of a plan from its shares, by the terms of the solver.
 func cost(s Site, p *Plan) (shed, over, dist float64) {
 	n := len(s.Zones)
 	read, write := make([]float64, n), make([]float64, n)
@@ -133,7 +133,8 @@
 	return shed, over, dist
 }
 
-// brute tries all ways to place each entry's load in whole tenths on pairs of zones, and returns the least cost.
+// brute tries all ways to place each entry's load in whole parts on pairs of zones, and returns the
+// least cost.
 func brute(s Site, parts int) (bestShed, bestOver, bestDist float64) {
 	n := len(s.Zones)
 	bestShed, bestOver, bestDist = math.Inf(1), math.Inf(1), math.Inf(1)
@@ -197,7 +198,8 @@
 	return bestShed, bestOver, bestDist
 }
 
-// The plan is never worse than the best that trying all finds, by more than a hundredth, and what it says of itself is so.
+// The plan is worse than the best one found by brute force by at most a hundredth, and the figures
+// it reports are right.
 func TestAgainstBruteForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 2
@@ -218,9 +220,10 @@
 			all += d.Load
 		}
 		near := 0.01 * all
-		// Brute force knows sixths of a demand alone: the plan may shed less, and what it takes beyond that lies over the safe
-		// load, at a reader and a writer, and may go far. To take a unit of dearer load costs a cycle of four units at most, since
-		// worths differ by a quarter; so does a unit less over the safe load cost one of a unit.
+		// Brute force only places sixths of a demand. The plan may shed less, and what it takes in
+		// addition exceeds the safe load, at a reader and a writer, and may go far. Taking a unit
+		// of more valuable load costs a cycle of at most four units, since values differ by a
+		// quarter; a unit less over the safe load costs one of a unit.
 		more := 4 * max(0, bestShed-shed)
 		require.LessOrEqual(t, shed, bestShed+near, "shed")
 		require.LessOrEqual(t, over, bestOver+2*more+near, "over the safe load")
@@ -230,8 +233,8 @@
 	})
 }
 
-// Whatever the site, shares are shares, nothing goes past a capacity, a link's room or onto what is not seen, and asked again
-// with its own answer the solver moves nothing.
+// For any site, shares are from 0 to 1, no capacity or link is exceeded, unreachable zones get
+// nothing, and the solver moves nothing when given its own plan.
 func TestBoundsOfPlans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "zones")
