--- a/fleet/counts/counts.go
+++ b/fleet/counts/counts.go
@@ -1,13 +1,13 @@
-// Package counts tells what the other routers of a fleet have at each worker: prompt
-// tokens sent there and not yet read, and tokens of answers that are written there.
+// Package counts estimates the load that the other routers of a fleet have at each worker: prompt
+// tokens that were sent there and not yet read, and tokens of answers that are written there.
 //
-// Each router tells of its own work as a whole, by a version that grows. States merge
-// whatever the order or repetition: the newest of each router counts. Each is told to a
-// few others only, so that work goes with the number of routers; who has not been heard
-// of lately is taken for the mean of those who have, oneself among them.
+// Each router reports all of its own work in one state with an increasing version. States merge in
+// any order and with any repetition: the newest state of each router counts. A router sends its
+// state to a few others per round, so the cost is proportional to the number of routers. A router
+// without a recent state counts as the mean of the known ones, including this router.
 //
-// The package does no I/O and starts nothing; the clock is an argument. A Board is not
-// safe for concurrent use.
+// The package does no I/O and starts no goroutines; the clock is an argument. A Board is not safe
+// for concurrent use.
 package counts
 
 import (
@@ -21,13 +21,13 @@
 type Time time.Duration
 
 const (
-	mostWorkers = 4096 // in one state
-	mostTokens  = 1e8  // at one worker; what is more makes no sense
-	forgetAfter = 10   // times Fresh, after which a state is dropped
-	least       = 0.5  // tokens; what is less is rounding
+	maxWorkers  = 4096 // in one state
+	maxTokens   = 1e8  // at one worker; larger values are invalid
+	forgetAfter = 10   // multiple of fresh after which a state is dropped
+	minTokens   = 0.5  // tokens; less is a rounding error
 )
 
-// Work is what is out at one worker, in tokens.
+// Work is the open load at one worker, in tokens.
 type Work struct {
 	_      struct{} `cbor:",toarray"`
 	Unread float64  // prompts that wait there to be read
@@ -38,11 +38,11 @@
 	return Work{Unread: w.Unread + times*v.Unread, Held: w.Held + times*v.Held}
 }
 
-func (w Work) sane() bool {
-	return w.Unread >= 0 && w.Unread <= mostTokens && w.Held >= 0 && w.Held <= mostTokens
+func (w Work) valid() bool {
+	return w.Unread >= 0 && w.Unread <= maxTokens && w.Held >= 0 && w.Held <= maxTokens
 }
 
-// State is all that one router has out.
+// State is all open work of one router.
 type State struct {
 	Router  string          `cbor:"1,keyasint"`
 	Life    uint64          `cbor:"2,keyasint"` // its incarnation
@@ -50,10 +50,10 @@
 	Work    map[string]Work `cbor:"5,keyasint"` // by worker
 }
 
-// Board is what one router knows of all.
+// Board holds one router's own work and the latest states of the others.
 type Board struct {
 	self   string
-	others int // routers beside this one
+	others int // number of routers other than this one
 	fresh  time.Duration
 	own    State
 	states map[string]*state
@@ -65,10 +65,10 @@
 	at Time
 }
 
-// New returns a board of a router among the given ones. A state loses its weight with
-// the time constant fresh. The life grows with each start.
-func New(self string, routers []string, life uint64, fresh time.Duration) *Board {
-	b := &Board{self: self, fresh: fresh, own: State{Router: self, Life: life, Work: map[string]Work{}},
+// New returns the board of one of the given routers. The weight of a state decays with the time
+// constant fresh. The incarnation increases with each start.
+func New(self string, routers []string, incarnation uint64, fresh time.Duration) *Board {
+	b := &Board{self: self, fresh: fresh, own: State{Router: self, Life: incarnation, Work: map[string]Work{}},
 		states: map[string]*state{}, known: map[string]bool{}}
 	for _, r := range routers {
 		b.known[r] = r != self
@@ -77,23 +77,23 @@
 	return b
 }
 
-// SetLife tells that this process goes by a newer life.
-func (b *Board) SetLife(life uint64) { b.own.Life = max(b.own.Life, life) }
+// SetLife sets a newer incarnation for this process.
+func (b *Board) SetLife(incarnation uint64) { b.own.Life = max(b.own.Life, incarnation) }
 
-// Add notes own work at a worker, sent or, if negative, done.
+// Add records own work at a worker: sent, or completed if negative.
 func (b *Board) Add(worker string, more Work) {
 	w, ok := b.own.Work[worker]
 	w = w.plus(more, 1)
 	switch {
-	case !ok && len(b.own.Work) >= mostWorkers || math.IsNaN(w.Unread+w.Held):
-	case w.Unread < least && w.Held < least:
+	case !ok && len(b.own.Work) >= maxWorkers || math.IsNaN(w.Unread+w.Held):
+	case w.Unread < minTokens && w.Held < minTokens:
 		delete(b.own.Work, worker)
 	default:
-		b.own.Work[worker] = Work{Unread: min(max(w.Unread, 0), mostTokens), Held: min(max(w.Held, 0), mostTokens)}
+		b.own.Work[worker] = Work{Unread: min(max(w.Unread, 0), maxTokens), Held: min(max(w.Held, 0), maxTokens)}
 	}
 }
 
-// Tell returns the own state, of a new version.
+// Tell returns the own state with a new version.
 func (b *Board) Tell() State {
 	b.own.Version++
 	s := b.own
@@ -101,10 +101,10 @@
 	return s
 }
 
-// Receive takes another router's state. One that is older than what is known, of a
-// stranger, or past all bounds is passed over.
+// Receive stores another router's state. It ignores a state that is older than the stored one, of
+// an unknown router, or out of bounds.
 func (b *Board) Receive(s State, now Time) {
-	if !b.known[s.Router] || len(s.Work) > mostWorkers {
+	if !b.known[s.Router] || len(s.Work) > maxWorkers {
 		return
 	}
 	was := b.states[s.Router]
@@ -112,35 +112,36 @@
 		return
 	}
 	for _, w := range s.Work {
-		if !w.sane() {
+		if !w.valid() {
 			return
 		}
 	}
 	b.states[s.Router] = &state{s, now}
 }
 
-// Own is what this router has at a worker.
+// Own returns this router's work at a worker.
 func (b *Board) Own(worker string) Work { return b.own.Work[worker] }
 
-// Peers is what the other routers have at each worker where somebody has something, the
-// sum over all of them. Workers are told in order.
-func (b *Board) Peers(now Time, tell func(worker string, w Work)) {
+// Peers calls tell, in order of the workers' names, with an estimate of the other routers' total
+// work at each worker where any router has work.
+func (b *Board) Peers(now Time, report func(worker string, w Work)) {
 	maps.DeleteFunc(b.states, func(_ string, s *state) bool { return now-s.at > Time(forgetAfter*b.fresh) })
-	heard, sums, seen := 0.0, map[string]Work{}, map[string]Work{}
+	totalWeight, sums, seen := 0.0, map[string]Work{}, map[string]Work{}
 	for w, v := range b.own.Work {
 		seen[w] = v
 	}
 	for _, s := range b.states {
 		weight := b.weight(s, now)
-		heard += weight
+		totalWeight += weight
 		for w, v := range s.Work {
 			sums[w], seen[w] = sums[w].plus(v, weight), seen[w].plus(v, weight)
 		}
 	}
-	// Those who are heard of count by their weight; for the rest stands the mean of all who are known.
-	rest := math.Max(float64(b.others)-heard, 0) / (heard + 1)
+	// Received states count by their weight; the remaining routers count as the mean of all known
+	// states.
+	rest := math.Max(float64(b.others)-totalWeight, 0) / (totalWeight + 1)
 	for _, w := range slices.Sorted(maps.Keys(seen)) {
-		tell(w, sums[w].plus(seen[w], rest))
+		report(w, sums[w].plus(seen[w], rest))
 	}
 }
 
@@ -148,11 +149,11 @@
 	return math.Exp(-float64(max(now-s.at, 0)) / float64(b.fresh))
 }
 
-// Heard is how many others count, each by its weight.
+// Heard returns the sum of the weights of the other routers' states.
 func (b *Board) Heard(now Time) float64 {
-	heard := 0.0
+	totalWeight := 0.0
 	for _, s := range b.states {
-		heard += b.weight(s, now)
+		totalWeight += b.weight(s, now)
 	}
-	return heard
+	return totalWeight
 }
--- a/fleet/counts/counts_test.go
+++ b/fleet/counts/counts_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// States merge alike in any order and however often they come.
+// States merge to the same result in any order and with repetitions.
 func TestStatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var states []State
@@ -37,7 +37,8 @@
 			states = append(states, State{Router: rapid.SampledFrom(names(4)).Draw(t, "router"), Life: rapid.Uint64Range(1, 2).Draw(t, "life"),
 				Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Work: map[string]Work{}})
 			s := &states[len(states)-1]
-			s.Work["w"] = Work{Unread: float64(s.Life*10 + s.Version)} // one version says one thing
+			// One version has one content.
+			s.Work["w"] = Work{Unread: float64(s.Life*10 + s.Version)}
 		}
 		now := Time(time.Hour)
 		a, b := New("r000", names(4), 1, time.Second), New("r000", names(4), 1, time.Second)
@@ -61,8 +62,8 @@
 	return out
 }
 
-// With each router told to two others a round, the sum over all is known about right; a router that is stopped counts as
-// the mean by and by, and one that starts again at once by its new life.
+// If each router sends its state to two others per round, every router's estimate of the total is
+// within a quarter.
 func TestPeersWorkIsKnownAboutRight(t *testing.T) {
 	for _, n := range []int{2, 8, 80, 200} {
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
@@ -90,7 +91,7 @@
 			}
 			now += Time(200 * time.Millisecond)
 		}
-		t.Logf("%3d routers: off by %.2f at worst, %.0f messages a second", n, worst, float64(sent)/10)
+		t.Logf("%3d routers: maximum error %.2f, %.0f messages a second", n, worst, float64(sent)/10)
 		require.Less(t, worst, 0.25)
 	}
 }
@@ -98,21 +99,21 @@
 func TestSilenceAgesToTheMeanAndIsForgotten(t *testing.T) {
 	now := Time(time.Hour)
 	b := New("r000", names(3), 1, time.Second)
-	require.Empty(t, peers(b, now), "nothing is known")
+	require.Empty(t, peers(b, now), "no state is known")
 	b.Receive(State{Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 900}}}, now)
 	require.InDelta(t, 1350, peers(b, now)["w"], 1, "the third counts as the mean of the two")
 	b.Receive(State{Router: "r002", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 100}}}, now)
 	require.InDelta(t, 1000, peers(b, now)["w"], 1)
 	now += Time(3 * time.Second)
 	b.Receive(State{Router: "r002", Life: 1, Version: 2, Work: map[string]Work{"w": {Unread: 100}}}, now)
-	require.Less(t, peers(b, now)["w"], 320.0, "who is silent counts as the others do")
+	require.Less(t, peers(b, now)["w"], 320.0, "a silent router counts as the mean of the others")
 	b.Receive(State{Router: "r001", Life: 2, Version: 1, Work: map[string]Work{}}, now)
-	require.InDelta(t, 100, peers(b, now)["w"], 1, "started again, with nothing out")
+	require.InDelta(t, 100, peers(b, now)["w"], 1, "restarted, with no open work")
 	now += Time(11 * time.Second)
 	require.Empty(t, peers(b, now))
 	b.Add("w", Work{Unread: 30, Held: 50})
 	b.Peers(now, func(_ string, w Work) {
-		require.Equal(t, Work{Unread: 60, Held: 100}, w, "where nobody is heard of, the own work stands for theirs")
+		require.Equal(t, Work{Unread: 60, Held: 100}, w, "without states of others, the own work is the estimate for them")
 	})
 }
 
@@ -122,7 +123,7 @@
 	a.Receive(State{Router: "r001", Life: 9, Version: 50}, now)
 	b.Add("w", Work{Unread: 100})
 	a.Receive(b.Tell(), now)
-	require.Empty(t, peers(a, now), "of an older life")
+	require.Empty(t, peers(a, now), "of an older incarnation")
 	b.SetLife(10)
 	a.Receive(b.Tell(), now)
 	require.InDelta(t, 100, peers(a, now)["w"], 1)
@@ -132,16 +133,16 @@
 	now := Time(time.Hour)
 	b := New("r000", names(2), 1, time.Second)
 	many := map[string]Work{}
-	for i := range mostWorkers + 1 {
+	for i := range maxWorkers + 1 {
 		many[fmt.Sprint(i)] = Work{Unread: 1}
 	}
 	for name, s := range map[string]State{
-		"a stranger": {Router: "x", Work: map[string]Work{"w": {Unread: 1}}}, "itself": {Router: "r000", Work: map[string]Work{"w": {Unread: 1}}},
-		"negative":  {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: -1}}},
-		"no number": {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: math.NaN()}}},
-		"held":      {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Held: math.Inf(1)}}},
-		"absurd":    {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 1e300}}},
-		"too many":  {Router: "r001", Life: 1, Version: 1, Work: many},
+		"an unknown router": {Router: "x", Work: map[string]Work{"w": {Unread: 1}}}, "itself": {Router: "r000", Work: map[string]Work{"w": {Unread: 1}}},
+		"negative":      {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: -1}}},
+		"not a number":  {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: math.NaN()}}},
+		"held":          {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Held: math.Inf(1)}}},
+		"out of bounds": {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 1e300}}},
+		"too many":      {Router: "r001", Life: 1, Version: 1, Work: many},
 	} {
 		b.Receive(s, now)
 		require.Empty(t, peers(b, now), name)
