--- a/fleet/attempts/attempts.go
+++ b/fleet/attempts/attempts.go
@@ -1,15 +1,15 @@
-// Package attempts says which of a fleet's budgets an attempt is spent from: what goes
-// to a worker that has only just started is spent from that worker's budget, and what is
-// sent again after a failure from the one for repeats. All routers together share each
-// of them, so that neither a cold worker nor a fleet in trouble is pushed over by many
-// routers that each send little.
+// Package attempts determines which of a fleet's budgets an attempt is spent from: attempts at a
+// worker that has only just started are spent from that worker's budget, and repeats after a
+// failure from the budget for repeats. All routers share each budget, so that neither a cold worker
+// nor a fleet under stress is overloaded by many routers that each send little.
 //
-// A worker is cold from when this router first hears of its start, by its own monotonic
-// clock: another wall clock than the worker's makes nobody warm. Only what a router finds
-// listed as it starts goes by the wall clock, since all would be cold otherwise.
+// A worker is cold from the time when this router first learns of its start, by the router's own
+// monotonic clock, so a difference between the wall clocks makes no worker warm. Only for the
+// workers that a router finds listed when it starts is the wall clock used, since all of them would
+// count as cold otherwise.
 //
-// The package does no I/O and starts nothing; both clocks are arguments. Rules are not
-// safe for concurrent use.
+// The package does no I/O and starts no goroutines; both clocks are arguments. Rules are not safe
+// for concurrent use.
 package attempts
 
 import (
@@ -21,31 +21,32 @@
 // Time is a reading of the caller's monotonic clock from an arbitrary start.
 type Time time.Duration
 
-// mostCold bounds the budgets of cold workers. Those past it are not bounded by the
-// fleet, the latest start first: they are many, and each router bounds them alone.
-const mostCold = 4096
+// maxCold bounds the number of budgets for cold workers. Workers that start beyond it have no shared
+// budget: there are many of them, and each router limits them by itself.
+const maxCold = 4096
 
 // Config holds the limits, over all routers.
 type Config struct {
-	Front            string        // whose workers these are; part of the budgets' names
+	// The front that the workers belong to; part of the budgets' names.
+	Front            string
 	RepeatsPerSecond float64       // 0: not bounded
 	ColdPerSecond    float64       // attempts to one cold worker; 0: not bounded
-	WarmWithin       time.Duration // a worker is cold for so long
+	WarmWithin       time.Duration // how long a worker is cold
 }
 
-// Worker is a line of the list of workers.
+// Worker is an entry of the list of workers.
 type Worker struct {
 	Name  string
 	Since int64 // wall clock of its latest start in nanoseconds; 0: long ago
 	Gone  bool
 }
 
-// Rules are those of one front.
+// Rules determines the budgets of one front.
 type Rules struct {
-	cfg   Config
-	begun bool
-	known map[string]int64 // the start that is known of each worker
-	cold  map[string]cold  // by worker
+	cfg     Config
+	started bool
+	known   map[string]int64 // the known start of each worker
+	cold    map[string]cold  // by worker
 }
 
 type cold struct {
@@ -53,18 +54,18 @@
 	until Time
 }
 
-// New returns rules that know no worker.
+// New returns rules without workers.
 func New(cfg Config) *Rules {
 	return &Rules{cfg: cfg, known: map[string]int64{}, cold: map[string]cold{}}
 }
 
-// Listed takes a list of workers, whole or changes to it, heard of at now, which is wall
-// by the wall clock. It tells whether the budgets have changed.
+// Listed updates the workers from a whole list or from changes to it, received at now, which is
+// wall by the wall clock. It reports whether the budgets have changed.
 func (r *Rules) Listed(workers []Worker, whole bool, wall int64, now Time) bool {
 	if r.cfg.ColdPerSecond <= 0 || r.cfg.WarmWithin <= 0 {
 		return false
 	}
-	changed := r.age(now)
+	changed := r.expire(now)
 	if whole {
 		listed := make(map[string]bool, len(workers))
 		for _, w := range workers {
@@ -87,19 +88,19 @@
 		}
 		r.known[w.Name] = w.Since
 		left := r.cfg.WarmWithin
-		if !r.begun { // found as it is: how old it is can be told by the wall clock alone
+		if !r.started { // listed at this router's start: only the wall clock gives its age
 			left -= time.Duration(max(wall-w.Since, 0))
 		}
 		if _, was := r.cold[w.Name]; was {
 			delete(r.cold, w.Name)
 			changed = true
 		}
-		if w.Since > 0 && left > 0 && len(r.cold) < mostCold {
+		if w.Since > 0 && left > 0 && len(r.cold) < maxCold {
 			r.cold[w.Name] = cold{w.Since, now + Time(left)}
 			changed = true
 		}
 	}
-	r.begun = r.begun || whole || len(r.known) > 0
+	r.started = r.started || whole || len(r.known) > 0
 	return changed
 }
 
@@ -110,14 +111,14 @@
 	return was
 }
 
-// age forgets who is warm by now.
-func (r *Rules) age(now Time) bool {
+// expire removes the workers that are warm by now, and reports whether there were any.
+func (r *Rules) expire(now Time) bool {
 	n := len(r.cold)
 	maps.DeleteFunc(r.cold, func(_ string, c cold) bool { return now >= c.until })
 	return len(r.cold) != n
 }
 
-// Prefix begins the names of all budgets of this front's cold workers.
+// Prefix is the common prefix of the names of all budgets of this front's cold workers.
 func (r *Rules) Prefix() string { return "cold/" + r.cfg.Front + "/" }
 
 // Repeats is the name of the budget for repeated attempts.
@@ -127,11 +128,11 @@
 	return fmt.Sprintf("%s%s@%d", r.Prefix(), name, since)
 }
 
-// Cold returns the limits of the cold workers' budgets by name, and whether they have
-// changed with time since they were looked at last. A new start of a worker has a budget
-// of its own: what was lent for the one before is of no use to it.
+// Cold returns the limits of the cold workers' budgets by name, and reports whether any has expired
+// since the last call. Each start of a worker has a budget of its own: loans for the previous start
+// can't be used for it.
 func (r *Rules) Cold(now Time) (limits map[string]float64, changed bool) {
-	changed = r.age(now)
+	changed = r.expire(now)
 	limits = make(map[string]float64, len(r.cold))
 	for name, c := range r.cold {
 		limits[r.key(name, c.since)] = r.cfg.ColdPerSecond
@@ -139,19 +140,19 @@
 	return limits, changed
 }
 
-// Refusal says why an attempt may not go out.
+// Refusal is the reason why an attempt must not be sent.
 type Refusal uint8
 
-// Why an attempt may not go out.
+// The reasons for a refusal.
 const (
 	None    Refusal = iota
-	TooCold         // this worker must not get it now, another may
-	Repeats         // no repeated attempt may go anywhere now
+	TooCold         // not to this worker now, but another may get it
+	Repeats         // no repeat may be sent to any worker now
 )
 
-// Spend spends an attempt from the budgets that it concerns, by way of spend, which tells
-// whether that much was there. The cold worker's comes first: where it has none left the
-// attempt goes elsewhere, and a repeat is not lost for it.
+// Spend spends an attempt from the budgets that apply to it. It calls spend, which reports whether
+// the budget had enough left. The cold worker's budget comes first: if it is exhausted, the attempt
+// goes to another worker without using up a repeat.
 func (r *Rules) Spend(worker string, repeat bool, now Time, spend func(key string) bool) Refusal {
 	if c, ok := r.cold[worker]; ok && now < c.until && !spend(r.key(worker, c.since)) {
 		return TooCold
--- a/fleet/attempts/attempts_test.go
+++ b/fleet/attempts/attempts_test.go
@@ -23,25 +23,25 @@
 
 func at(d time.Duration) Time { return Time(d) }
 
-// Who counts as cold, and for how long, by what is heard and when.
+// Whether and how long a worker counts as cold depends on when this router learns of its start.
 func TestColdFromWhenItsStartIsHeardOf(t *testing.T) {
 	old := Worker{Name: "old"}
 	for name, c := range map[string]struct {
-		later      bool // heard of after the first list
+		later      bool // received after the first list
 		wall       int64
 		since      int64
-		coldAt     time.Duration // cold at this time after it was heard of
-		warmAt     time.Duration // warm then; 0: always warm
+		coldAt     time.Duration // cold at this time after it was received
+		warmAt     time.Duration // warm at this time; 0: always warm
 		neverKnown bool
 	}{
-		"found as it is, of this second":        {wall: 2 * hour, since: 2*hour - int64(time.Second), coldAt: 8 * time.Second, warmAt: 9 * time.Second},
-		"found as it is, long ago":              {wall: 2 * hour, since: hour},
-		"found as it is, without a start":       {wall: 2 * hour, since: 0},
-		"found as it is, in the future":         {wall: hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
-		"heard of":                              {later: true, wall: 2 * hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
-		"heard of, own clock an hour ahead":     {later: true, wall: 3 * hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
-		"heard of, own clock an hour behind":    {later: true, wall: hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
-		"heard of, without a start, never cold": {later: true, wall: hour, since: 0},
+		"listed at the start, of this second":       {wall: 2 * hour, since: 2*hour - int64(time.Second), coldAt: 8 * time.Second, warmAt: 9 * time.Second},
+		"listed at the start, long ago":             {wall: 2 * hour, since: hour},
+		"listed at the start, without a start":      {wall: 2 * hour, since: 0},
+		"listed at the start, in the future":        {wall: hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
+		"learnt later":                              {later: true, wall: 2 * hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
+		"learnt later, own clock an hour ahead":     {later: true, wall: 3 * hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
+		"learnt later, own clock an hour behind":    {later: true, wall: hour, since: 2 * hour, coldAt: 9 * time.Second, warmAt: warm},
+		"learnt later, without a start, never cold": {later: true, wall: hour, since: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := rules()
@@ -70,7 +70,8 @@
 	}
 }
 
-// A restart has a budget of its own; who has gone has none; a list that names a worker again changes nothing.
+// A restart has a budget of its own; a removed worker has none; listing a worker again changes
+// nothing.
 func TestBudgetsFollowTheList(t *testing.T) {
 	r := rules()
 	require.False(t, r.Listed([]Worker{{Name: "a", Since: 1}, {Name: "b", Since: 1}}, true, hour, 0))
@@ -86,17 +87,17 @@
 	require.True(t, r.Listed([]Worker{{Name: "a", Since: hour + 1}}, false, hour, at(8*time.Second)))
 	require.True(t, r.Listed([]Worker{{Name: "a", Gone: true}}, false, hour, at(8*time.Second)))
 
-	many := make([]Worker, 3*mostCold)
+	many := make([]Worker, 3*maxCold)
 	for i := range many {
 		many[i] = Worker{Name: fmt.Sprint(i), Since: hour}
 	}
 	r.Listed(many, false, hour, at(9*time.Second))
 	limits, _ = r.Cold(at(9 * time.Second))
-	require.Len(t, limits, mostCold)
+	require.Len(t, limits, maxCold)
 
 	off := New(Config{Front: "p", WarmWithin: warm})
 	require.False(t, off.Listed(many, true, hour, 0))
-	require.Equal(t, None, off.Spend("1", true, 0, func(string) bool { return false }), "without limits all may go")
+	require.Equal(t, None, off.Spend("1", true, 0, func(string) bool { return false }), "without limits no attempt is refused")
 }
 
 func TestWhatAnAttemptIsSpentFrom(t *testing.T) {
@@ -106,7 +107,7 @@
 	for _, c := range []struct {
 		worker string
 		repeat bool
-		empty  string // the budget that has nothing left
+		empty  string // the budget that is exhausted
 		want   Refusal
 		spent  string
 	}{
@@ -132,8 +133,9 @@
 	}
 }
 
-// Many routers hear of a start at times of their own and all want to send at once: together they send the cold worker
-// no more than its limit allows, at any number of routers, and about all of it is used where they can hear each other.
+// Many routers learn of a start at different times and all want to send at once. Together they send
+// the cold worker no more than its limit, at any number of routers, and use most of the limit if
+// they can reach each other.
 func TestColdWorkerIsNotPushedOverByMany(t *testing.T) {
 	const (
 		limit = 20.0
@@ -170,7 +172,7 @@
 								l.SetLimit(key, v, budget.Time(now))
 							}
 						}
-						if i < demand { // what comes is for a few of them only
+						if i < demand { // only a few routers have requests
 							for range 1 + rng.IntN(3) {
 								if r.cold["c"].until > 0 && r.Spend("c", false, at(now), func(key string) bool {
 									return l.Spend(key, 1, budget.Time(now))
