--- a/fleet/version/version.go
+++ b/fleet/version/version.go
@@ -1,10 +1,10 @@
-// Package version keeps what a router acts on in order: each part of it, such as the
-// configuration or a list of workers, has a version that only goes up, and never goes below
-// what the router has acknowledged, not even after a restart. All parts together are a
-// vector; each vector that was acted on has a number of its own, by which a decision names
-// what it rests on.
+// Package version keeps track of the versions that a router acts on. Each part of its state, such
+// as the configuration or a list of workers, has a version that only increases, and that is never
+// less than what the router has acknowledged, even after a restart. The versions of all parts form
+// a vector. Each vector that the router acted on has a number, by which a decision refers to the
+// versions it was based on.
 //
-// The package does no I/O and starts nothing. A Tracker is not safe for concurrent use.
+// The package does no I/O and starts no goroutines. A Tracker is not safe for concurrent use.
 package version
 
 import (
@@ -15,17 +15,17 @@
 	"strings"
 )
 
-// ErrOlder says that a version lies below one that is held, or was acknowledged.
+// ErrOlder is returned for a version that is older than the held or the acknowledged one.
 var ErrOlder = errors.New("older than what is known")
 
-// mostKept is how many vectors are remembered by their numbers.
-const mostKept = 1024
+// maxKept is the number of vectors that are kept by their numbers.
+const maxKept = 1024
 
-// Here begins the name of a part whose versions this router counts by itself: they order its own records, and can't be
-// held against another router's.
+// Here is the prefix of the parts whose versions this router counts by itself. They order its own
+// records and can't be compared with those of another router.
 const Here = "here/"
 
-// Shared is the part of v that can be compared between routers.
+// Shared returns the parts of v that can be compared between routers.
 func (v Vector) Shared() Vector {
 	out := Vector{}
 	for part, n := range v {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// Known is the part of v that o has as well.
+// Known returns the parts of v that o has as well.
 func (v Vector) Known(o Vector) Vector {
 	out := Vector{}
 	for part, n := range v {
@@ -47,10 +47,10 @@
 	return out
 }
 
-// Vector holds the version of each part. A part that is missing has version 0.
+// Vector holds the version of each part. A missing part has version 0.
 type Vector map[string]uint64
 
-// Compare tells whether v is older than o in some part, and whether it is newer in some.
+// Compare reports whether v is older than o in some part, and whether it is newer in some part.
 func (v Vector) Compare(o Vector) (older, newer bool) {
 	for part, n := range v {
 		newer = newer || n > o[part]
@@ -61,7 +61,7 @@
 	return older, newer
 }
 
-// Behind is by how many versions v lies below o, over all parts.
+// Behind returns the number of versions by which v lags behind o, over all parts.
 func (v Vector) Behind(o Vector) (sum uint64) {
 	for part, n := range o {
 		if n > v[part] {
@@ -71,7 +71,7 @@
 	return sum
 }
 
-// Tracker knows what one router acts on.
+// Tracker holds the versions that one router acts on.
 type Tracker struct {
 	held   Vector
 	acked  Vector
@@ -79,8 +79,8 @@
 	kept   map[uint64]Vector
 }
 
-// New returns a tracker of a router that has acknowledged so much before it was started;
-// nil if that is nothing, or not known.
+// New returns the tracker of a router that acknowledged the given versions before it started; nil
+// if none or unknown.
 func New(acked Vector) *Tracker {
 	t := &Tracker{held: Vector{}, acked: maps.Clone(acked), kept: map[uint64]Vector{0: {}}}
 	if t.acked == nil {
@@ -89,8 +89,8 @@
 	return t
 }
 
-// Take goes over to a version of a part. One that is held already changes nothing; one
-// below what is held or was acknowledged is ErrOlder, and changes nothing either.
+// Take sets the version of a part. The held version changes nothing; a version less than the held
+// or the acknowledged one returns ErrOlder and changes nothing.
 func (t *Tracker) Take(part string, v uint64) (changed bool, err error) {
 	switch {
 	case v < t.held[part]:
@@ -103,36 +103,36 @@
 	t.held[part] = v
 	t.number++
 	t.kept[t.number] = maps.Clone(t.held)
-	delete(t.kept, t.number-mostKept)
+	delete(t.kept, t.number-maxKept)
 	return true, nil
 }
 
-// Leave gives up a part: what is acted on has none of it any more.
+// Leave removes a part from what the router acts on.
 func (t *Tracker) Leave(part string) { delete(t.held, part) }
 
-// Floor notes that a version of a part was acknowledged before the start.
+// Floor records that a version of a part was acknowledged before the start.
 func (t *Tracker) Floor(part string, acked uint64) { t.acked[part] = max(t.acked[part], acked) }
 
-// Acknowledge notes that the held version of a part has been acknowledged to others.
+// Acknowledge records that the held version of a part has been acknowledged to others.
 func (t *Tracker) Acknowledge(part string) { t.acked[part] = max(t.acked[part], t.held[part]) }
 
-// Number names what is acted on now. It grows with each change.
+// Number identifies the held versions. It increases with each change.
 func (t *Tracker) Number() uint64 { return t.number }
 
-// Held is what is acted on now.
+// Held returns the versions that the router acts on.
 func (t *Tracker) Held() Vector { return maps.Clone(t.held) }
 
-// Acked is what has been acknowledged.
+// Acked returns the acknowledged versions.
 func (t *Tracker) Acked() Vector { return maps.Clone(t.acked) }
 
-// At is the vector of a number; false if it is not remembered.
+// At returns the vector with a number; false if it is no longer kept.
 func (t *Tracker) At(number uint64) (Vector, bool) {
 	v, ok := t.kept[number]
 	return maps.Clone(v), ok
 }
 
-// Missing names the parts whose version lies below what was acknowledged: until they are
-// there, a router acts on less than it has said.
+// Missing returns the parts whose held version is less than the acknowledged one. Until they
+// arrive, the router acts on older versions than it has acknowledged.
 func (t *Tracker) Missing() []string {
 	var out []string
 	for _, part := range slices.Sorted(maps.Keys(t.acked)) {
--- a/fleet/version/version_test.go
+++ b/fleet/version/version_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is taken and acknowledged in whatever order, over any number of starts: versions only go up, never below what
-// was acknowledged, and a number names one vector for good.
+// For any sequence of versions, acknowledgements and restarts, versions only increase, are never
+// less than the acknowledged ones, and a number identifies one vector forever.
 func TestVersionsOnlyGoUp(t *testing.T) {
 	parts := []string{"config", "hand", "workers/dns"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -24,7 +24,7 @@
 				most[part] = max(most[part], k.Held()[part])
 			case 1:
 				acked := k.Acked()
-				k = New(acked) // started again, with what it finds
+				k = New(acked) // restarted with the acknowledged versions
 				clear(named)
 				before = Vector{}
 				require.Equal(t, len(k.Missing()) > 0, sum(acked) > 0)
@@ -72,11 +72,11 @@
 	require.Equal(t, uint64(4), a.Behind(b))
 	require.Equal(t, uint64(2), b.Behind(a))
 	k := New(nil)
-	for i := range uint64(mostKept + 10) {
+	for i := range uint64(maxKept + 10) {
 		_, err := k.Take("x", i+1)
 		require.NoError(t, err)
 	}
 	_, ok := k.At(5)
-	require.False(t, ok, "forgotten")
-	require.LessOrEqual(t, len(k.kept), mostKept+1)
+	require.False(t, ok, "no longer kept")
+	require.LessOrEqual(t, len(k.kept), maxKept+1)
 }
