--- a/fleet/attempts/attempts.go
+++ b/fleet/attempts/attempts.go
@@ -21,8 +21,8 @@
 // Time is a reading of the caller's monotonic clock from an arbitrary start.
 type Time time.Duration
 
-// maxCold bounds the number of budgets for cold workers. Workers that start beyond it have no shared
-// budget: there are many of them, and each router limits them by itself.
+// maxCold bounds the number of budgets for cold workers. Workers that start beyond it have no
+// shared budget: there are many of them, and each router limits them by itself.
 const maxCold = 4096
 
 // Config holds the limits, over all routers.
--- a/fleet/attempts/attempts_test.go
+++ b/fleet/attempts/attempts_test.go
@@ -45,24 +45,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := rules()
-			heard := time.Duration(0)
+			learntAt := time.Duration(0)
 			if c.later {
 				r.Listed([]Worker{old}, true, 2*hour, 0)
-				heard = time.Second
-				r.Listed([]Worker{{Name: "w", Since: c.since}}, false, c.wall, at(heard))
+				learntAt = time.Second
+				r.Listed([]Worker{{Name: "w", Since: c.since}}, false, c.wall, at(learntAt))
 			} else {
 				r.Listed([]Worker{old, {Name: "w", Since: c.since}}, true, c.wall, 0)
 			}
 			cold := func(d time.Duration) bool {
-				return r.Spend("w", false, at(heard+d), func(string) bool { return false }) == TooCold
+				return r.Spend("w", false, at(learntAt+d), func(string) bool { return false }) == TooCold
 			}
 			require.Equal(t, c.coldAt > 0, cold(0))
 			if c.coldAt > 0 {
 				require.True(t, cold(c.coldAt))
 				require.False(t, cold(c.warmAt))
-				limits, _ := r.Cold(at(heard))
+				limits, _ := r.Cold(at(learntAt))
 				require.Equal(t, map[string]float64{fmt.Sprintf("cold/p/w@%d", c.since): 2}, limits)
-				limits, changed := r.Cold(at(heard + c.warmAt))
+				limits, changed := r.Cold(at(learntAt + c.warmAt))
 				require.Empty(t, limits)
 				require.True(t, changed)
 			}
@@ -165,7 +165,7 @@
 				for now := began; now < began+14*time.Second; now += step {
 					for i, name := range names {
 						l, r := ledgers[name], all[name]
-						if heard := began + time.Duration(i%8)*step; now == heard {
+						if learntAt := began + time.Duration(i%8)*step; now == learntAt {
 							r.Listed([]Worker{{Name: "c", Since: hour}}, false, hour+int64(i-n/2)*hour/10, at(now))
 							limits, _ := r.Cold(at(now))
 							for key, v := range limits {
--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -129,7 +129,7 @@
 	if c.shut != nil && e.Until > c.shut.At+slack {
 		c.breach(RuleShut, []Place{c.shut.Place, e.Place}, "%d to %s until %v, shut out at %v", e.Count, e.Worker, e.Until, c.shut.At)
 	}
-	acts, ok := c.vectors[e.Number]
+	vector, ok := c.vectors[e.Number]
 	if !ok && !c.complete {
 		return // taken in missing records, or dropped as too old
 	}
@@ -138,11 +138,11 @@
 		return
 	}
 	for _, part := range slices.Sorted(maps.Keys(c.acked)) {
-		if a := c.acked[part]; acts[part] < a.Version && e.At > a.At+slack && a.Life == e.Life {
-			c.breach(RuleOlder, []Place{a.Place, e.Place}, "%d to %s under %s %d, %d was acknowledged", e.Count, e.Worker, part, acts[part], a.Version)
-		} else if acts[part] < a.Version && a.Life != e.Life {
+		if a := c.acked[part]; vector[part] < a.Version && e.At > a.At+slack && a.Life == e.Life {
+			c.breach(RuleOlder, []Place{a.Place, e.Place}, "%d to %s under %s %d, %d was acknowledged", e.Count, e.Worker, part, vector[part], a.Version)
+		} else if vector[part] < a.Version && a.Life != e.Life {
 			c.breach(RuleOlder, []Place{a.Place, e.Place}, "%d to %s under %s %d, %d was acknowledged before its start", e.Count, e.Worker, part,
-				acts[part], a.Version)
+				vector[part], a.Version)
 		}
 	}
 }
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -12,15 +12,15 @@
 const ms = time.Millisecond
 
 // of makes an event log of numbered records, beginning with a start.
-func of(router string, life uint64, records ...Record) Trail {
+func of(router string, incarnation uint64, records ...Record) Trail {
 	t := Trail{Router: router}
-	t.add(life, records...)
+	t.add(incarnation, records...)
 	return t
 }
 
-func (t *Trail) add(life uint64, records ...Record) {
+func (t *Trail) add(incarnation uint64, records ...Record) {
 	for i, r := range append([]Record{{Kind: Started, Router: t.Router}}, records...) {
-		r.Life, r.Seq = life, uint64(i+1)
+		r.Life, r.Seq = incarnation, uint64(i+1)
 		t.Entries = append(t.Entries, Entry{r, Place{t.Router, int64(len(t.Entries))}})
 	}
 }
@@ -132,11 +132,11 @@
 		taken("config", 2, 3, 40*ms), sent("w", 3, 0, 0))
 	b := of("b", 1, Record{Kind: Refused, Part: "config", Version: 1, Text: "no"})
 	c := of("c", 1)
-	who := Who([]Trail{a, b, c}, "config", 1)
-	require.Len(t, who, 2)
-	require.Equal(t, uint64(6), who[0].Sends, "under both numbers that hold it")
-	require.NotNil(t, who[0].Acknowledged)
-	require.Equal(t, "no", who[1].Refused.Text)
+	holders := Who([]Trail{a, b, c}, "config", 1)
+	require.Len(t, holders, 2)
+	require.Equal(t, uint64(6), holders[0].Sends, "under both numbers that hold it")
+	require.NotNil(t, holders[0].Acknowledged)
+	require.Equal(t, "no", holders[1].Refused.Text)
 	latest, lags := Lags([]Trail{a, b, c})
 	require.Equal(t, uint64(2), latest["config"])
 	require.Equal(t, uint64(2), lags["c"]["config"])
@@ -148,12 +148,12 @@
 	a := of("a", 1, taken("config", 1, 1, 10*ms), taken("config", 2, 2, 20*ms), taken("config", 3, 3, 30*ms), sent("w", 3, 40*ms, 0))
 	b := of("b", 1, taken("config", 1, 1, 10*ms), sent("w", 1, 500*ms, 0), sent("w", 1, 600*ms, 0), sent("w", 1, 700*ms, 0))
 	c := of("c", 1, sent("w", 0, 10*ms, 0))
-	most, sends := map[string]uint64{}, map[string]uint64{}
+	maxLag, sends := map[string]uint64{}, map[string]uint64{}
 	for _, p := range Behind([]Trail{a, b, c}) {
-		most[p.Router] = max(most[p.Router], p.Behind)
+		maxLag[p.Router] = max(maxLag[p.Router], p.Behind)
 		sends[p.Router] += p.Sends
 	}
-	require.Equal(t, map[string]uint64{"a": 0, "b": 2, "c": 0}, most, "c has no such part")
+	require.Equal(t, map[string]uint64{"a": 0, "b": 2, "c": 0}, maxLag, "c has no such part")
 	require.Positive(t, sends["b"])
 }
 
--- a/fleet/audit/loans_test.go
+++ b/fleet/audit/loans_test.go
@@ -27,8 +27,8 @@
 		r.Seq++
 		trails[i].Entries = append(trails[i].Entries, audit.Entry{Record: r, Place: audit.Place{File: names[i], Offset: int64(n)}})
 	}
-	start := func(i int, life uint64, now budget.Time) {
-		l, err := budget.New(budget.Config{Self: names[i], Routers: names, Incarnation: life, Lease: lease, Drift: 0.01, Floor: 0.1,
+	start := func(i int, incarnation uint64, now budget.Time) {
+		l, err := budget.New(budget.Config{Self: names[i], Routers: names, Incarnation: incarnation, Lease: lease, Drift: 0.01, Floor: 0.1,
 			Burst: lease, Tell: true}, now)
 		require.NoError(t, err)
 		l.SetLimit("k", 300, now)
--- a/fleet/budget/budget_test.go
+++ b/fleet/budget/budget_test.go
@@ -48,15 +48,15 @@
 }
 
 type router struct {
-	name    string
-	life    uint64
-	speed   float64
-	stopped bool
-	ledger  *Ledger
-	demand  func(time.Duration) float64 // per second
-	served  float64
-	owed    float64
-	earlier []*Ledger // replaced processes of this router that may still run
+	name        string
+	incarnation uint64
+	speed       float64
+	stopped     bool
+	ledger      *Ledger
+	demand      func(time.Duration) float64 // per second
+	served      float64
+	owed        float64
+	earlier     []*Ledger // replaced processes of this router that may still run
 }
 
 type delivery struct {
@@ -85,11 +85,11 @@
 
 // restart starts a process under the router's name with no state.
 func (f *fleet) restart(t require.TestingT, r *router) {
-	r.life++
+	r.incarnation++
 	if r.ledger != nil {
 		r.earlier = append(r.earlier, r.ledger)
 	}
-	l, err := New(Config{Self: r.name, Routers: names(len(f.routers)), Incarnation: r.life, Epoch: 1, Lease: f.lease,
+	l, err := New(Config{Self: r.name, Routers: names(len(f.routers)), Incarnation: r.incarnation, Epoch: 1, Lease: f.lease,
 		Drift: f.drift, Floor: 0.1, Burst: f.burst}, f.clock(r))
 	require.NoError(t, err)
 	l.SetLimit(key, f.limit, f.clock(r))
@@ -335,8 +335,8 @@
 	require.NoError(t, err)
 	owner.SetLimit(key, 30, 0)
 	now := Time(cfg.Lease)
-	ask := func(life, seq uint64, amount float64) float64 {
-		m := Message{Kind: Ask, From: "b", To: "a", Epoch: owner.epoch(owner.budgets[key]), Life: life, Key: key, Seq: seq, Amount: amount}
+	ask := func(incarnation, seq uint64, amount float64) float64 {
+		m := Message{Kind: Ask, From: "b", To: "a", Epoch: owner.epoch(owner.budgets[key]), Life: incarnation, Key: key, Seq: seq, Amount: amount}
 		answer := owner.Receive(m, now)
 		require.Len(t, answer, 1)
 		return answer[0].Amount
@@ -418,15 +418,15 @@
 // duplicated or lost, time, and a process that restarts while its predecessor continues.
 func TestAllOrdersOfTwoLeases(t *testing.T) {
 	type world struct {
-		now     Time
-		ledgers []*Ledger // replaced predecessors follow the current ones
-		mailbox []Message
-		life    uint64
+		now         Time
+		ledgers     []*Ledger // replaced predecessors follow the current ones
+		mailbox     []Message
+		incarnation uint64
 	}
 	cfg := Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Epoch: 1, Lease: 4 * time.Second, Floor: 0.1, Burst: time.Second}
-	newLedger := func(self string, life uint64, now Time) *Ledger {
+	newLedger := func(self string, incarnation uint64, now Time) *Ledger {
 		c := cfg
-		c.Self, c.Incarnation = self, life
+		c.Self, c.Incarnation = self, incarnation
 		l, err := New(c, now)
 		require.NoError(t, err)
 		l.SetLimit(key, 3, now)
@@ -453,7 +453,7 @@
 		return &c
 	}
 	copyOf := func(w world) world {
-		out := world{now: w.now, mailbox: append([]Message(nil), w.mailbox...), life: w.life}
+		out := world{now: w.now, mailbox: append([]Message(nil), w.mailbox...), incarnation: w.incarnation}
 		for _, l := range w.ledgers {
 			out.ledgers = append(out.ledgers, clone(l))
 		}
@@ -484,7 +484,7 @@
 		}
 		return sum
 	}
-	first := world{now: Time(time.Hour), life: 1}
+	first := world{now: Time(time.Hour), incarnation: 1}
 	for _, n := range cfg.Routers {
 		first.ledgers = append(first.ledgers, newLedger(n, 1, first.now))
 	}
@@ -537,11 +537,11 @@
 			n := copyOf(w)
 			n.now += Time(cfg.Lease / 2)
 			visit(n)
-			if w.life < 2 {
+			if w.incarnation < 2 {
 				n := copyOf(w)
-				n.life++
+				n.incarnation++
 				n.ledgers = append(n.ledgers, n.ledgers[0])
-				n.ledgers[0] = newLedger("a", n.life, n.now)
+				n.ledgers[0] = newLedger("a", n.incarnation, n.now)
 				visit(n)
 			}
 		}
--- a/fleet/budget/ledger.go
+++ b/fleet/budget/ledger.go
@@ -68,11 +68,11 @@
 
 // SetIncarnation sets a newer incarnation for this process. What it borrowed under the previous one
 // is released here and expires at the owners.
-func (l *Ledger) SetIncarnation(life uint64) {
-	if life <= l.cfg.Incarnation {
+func (l *Ledger) SetIncarnation(incarnation uint64) {
+	if incarnation <= l.cfg.Incarnation {
 		return
 	}
-	l.cfg.Incarnation = life
+	l.cfg.Incarnation = incarnation
 	for _, a := range l.budgets {
 		clear(a.held)
 	}
--- a/fleet/budget/owner.go
+++ b/fleet/budget/owner.go
@@ -7,14 +7,14 @@
 
 // lending is the state of what this router lends to one borrower.
 type lending struct {
-	life, seq uint64 // its latest ask that was answered
-	grants    []grant
+	incarnation, seq uint64 // its latest ask that was answered
+	grants           []grant
 }
 
 type grant struct {
-	life, seq uint64
-	amount    float64
-	until     Time
+	incarnation, seq uint64
+	amount           float64
+	until            Time
 }
 
 // total is the amount lent to one router: the largest grant to each of its processes, since a
@@ -22,18 +22,18 @@
 func (n *lending) total(now Time) float64 {
 	sum := 0.0
 	for i, g := range n.grants {
-		if !slices.ContainsFunc(n.grants[:i], func(earlier grant) bool { return earlier.life == g.life }) {
-			sum += n.totalTo(g.life, now)
+		if !slices.ContainsFunc(n.grants[:i], func(earlier grant) bool { return earlier.incarnation == g.incarnation }) {
+			sum += n.totalTo(g.incarnation, now)
 		}
 	}
 	return sum
 }
 
 // totalTo is the amount lent to one process: its largest grant.
-func (n *lending) totalTo(life uint64, now Time) float64 {
+func (n *lending) totalTo(incarnation uint64, now Time) float64 {
 	largest := 0.0
 	for _, g := range n.grants {
-		if g.life == life && now < g.until {
+		if g.incarnation == incarnation && now < g.until {
 			largest = math.Max(largest, g.amount)
 		}
 	}
@@ -52,16 +52,16 @@
 
 // dropGrants removes the grants to an incarnation that are older than the one it uses, since it
 // never uses them again, and reports whether there were any.
-func (n *lending) dropGrants(life, before uint64) bool {
+func (n *lending) dropGrants(incarnation, before uint64) bool {
 	count := len(n.grants)
-	n.grants = slices.DeleteFunc(n.grants, func(g grant) bool { return g.life == life && g.seq < before })
+	n.grants = slices.DeleteFunc(n.grants, func(g grant) bool { return g.incarnation == incarnation && g.seq < before })
 	return len(n.grants) < count
 }
 
 // amount returns the amount of a grant; 0 once its lease has expired.
-func (n *lending) amount(life, seq uint64) float64 {
+func (n *lending) amount(incarnation, seq uint64) float64 {
 	for _, g := range n.grants {
-		if g.life == life && g.seq == seq {
+		if g.incarnation == incarnation && g.seq == seq {
 			return g.amount
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 	n.dropGrants(m.Life, m.Seq)
 	for i := range n.grants {
-		if g := &n.grants[i]; g.life == m.Life && g.seq == m.Seq {
+		if g := &n.grants[i]; g.incarnation == m.Life && g.seq == m.Seq {
 			g.amount = math.Min(g.amount, m.Amount)
 		}
 	}
@@ -89,10 +89,10 @@
 		n = &lending{}
 		a.lent[m.From] = n
 	}
-	if m.Life < n.life || m.Life == n.life && m.Seq <= n.seq {
+	if m.Life < n.incarnation || m.Life == n.incarnation && m.Seq <= n.seq {
 		return nil // late or duplicate
 	}
-	n.life, n.seq = m.Life, m.Seq
+	n.incarnation, n.seq = m.Life, m.Seq
 	if n.dropGrants(m.Life, m.Using) {
 		l.record(Move{Kind: Returned, Key: m.Key, Router: m.From, Life: m.Life, Seq: m.Using, Amount: n.amount(m.Life, m.Using)})
 	}
--- a/fleet/counts/counts.go
+++ b/fleet/counts/counts.go
@@ -122,7 +122,7 @@
 // Own returns this router's work at a worker.
 func (b *Board) Own(worker string) Work { return b.own.Work[worker] }
 
-// Peers calls tell, in order of the workers' names, with an estimate of the other routers' total
+// Peers calls report, in order of the workers' names, with an estimate of the other routers' total
 // work at each worker where any router has work.
 func (b *Board) Peers(now Time, report func(worker string, w Work)) {
 	maps.DeleteFunc(b.states, func(_ string, s *state) bool { return now-s.at > Time(forgetAfter*b.fresh) })
--- a/fleet/outlier/outlier_test.go
+++ b/fleet/outlier/outlier_test.go
@@ -42,10 +42,10 @@
 func TestWhoMayTakeAWorkerOut(t *testing.T) {
 	now := Time(time.Hour)
 	for _, tc := range []struct {
-		name  string
-		zones []string // of r0, the router under test, and the others
-		words []Judgement
-		out   bool
+		name       string
+		zones      []string // of r0, the router under test, and the others
+		judgements []Judgement
+		out        bool
 	}{
 		{"no router", []string{"a", "a", "a"}, nil, false},
 		{"one router alone", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1)}, false},
@@ -75,7 +75,7 @@
 		}(), false},
 	} {
 		c := detector(t, config("r0", tc.zones...))
-		c.Receive(tc.words, now)
+		c.Receive(tc.judgements, now)
 		_, out := c.Parts(pool(10), now)["w00"]
 		require.Equal(t, tc.out, out, tc.name)
 	}
@@ -157,11 +157,11 @@
 			workers[i].Zone = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "words") {
-			j := say(fmt.Sprintf("r%d", rapid.IntRange(1, 3).Draw(t, "origin")), workers[rapid.IntRange(0, len(workers)-1).Draw(t, "worker")].Name,
+			judgement := say(fmt.Sprintf("r%d", rapid.IntRange(1, 3).Draw(t, "origin")), workers[rapid.IntRange(0, len(workers)-1).Draw(t, "worker")].Name,
 				rapid.Uint64Max(100).Draw(t, "seq"))
-			c.Receive([]Judgement{j}, now)
+			c.Receive([]Judgement{judgement}, now)
 			if rapid.Bool().Draw(t, "own") {
-				c.Observe(j.Worker, 1, Errors, now)
+				c.Observe(judgement.Worker, 1, Errors, now)
 			}
 			c.Judge(now)
 			out := map[string]int{}
@@ -200,7 +200,7 @@
 			zones[i] = string(rune('a' + i%2))
 		}
 		detectors := make([]*Detector, n)
-		alone, told := make([]Time, n), make([]Time, n)
+		aloneAt, sharedAt := make([]Time, n), make([]Time, n)
 		for i := range n {
 			detectors[i] = detector(t, config(fmt.Sprintf("r%d", i), zones...))
 		}
@@ -212,14 +212,14 @@
 					w := rng.IntN(20)
 					c.Observe(fmt.Sprintf("w%02d", w), 1, map[bool]Fault{true: Errors}[w == 0], now)
 				}
-				if e := c.evidence["w00"]; alone[i] == 0 && e != nil && e.bad[Errors] >= c.cfg.Least {
-					alone[i] = now - begin
+				if e := c.evidence["w00"]; aloneAt[i] == 0 && e != nil && e.bad[Errors] >= c.cfg.Least {
+					aloneAt[i] = now - begin
 				}
-				if told[i] == 0 {
+				if sharedAt[i] == 0 {
 					left++
 					c.Judge(now)
 					if p, ok := c.Parts(pool(20), now)["w00"]; ok && p == 0 {
-						told[i] = now - begin
+						sharedAt[i] = now - begin
 					}
 				}
 				if (now/Time(tick))%5 == 0 { // twice per second to two others
@@ -228,7 +228,7 @@
 					}
 				}
 			}
-			if left == 0 && !slices.Contains(alone, 0) {
+			if left == 0 && !slices.Contains(aloneAt, 0) {
 				break
 			}
 		}
@@ -243,9 +243,9 @@
 			return time.Duration(worst)
 		}
 		t.Logf("%3d routers of 4 attempts a second over 20 workers: all stop after %v; each alone has counted as many failures after %v (%v: not by then)",
-			n, last(told), last(alone), most)
-		require.Less(t, last(told), 30*time.Second)
-		require.Greater(t, last(alone), 2*last(told))
+			n, last(sharedAt), last(aloneAt), most)
+		require.Less(t, last(sharedAt), 30*time.Second)
+		require.Greater(t, last(aloneAt), 2*last(sharedAt))
 	}
 }
 
--- a/fleet/straggler/fence.go
+++ b/fleet/straggler/fence.go
@@ -26,15 +26,15 @@
 	return &Fence{window: window, grace: grace, until: now + Time(window)}
 }
 
-// Look records a check for the newest versions that was begun at the time asked. lacks is the
-// number of versions by which the router lags, and told is whether an answer was received that was
+// Look records a check for the newest versions that was begun at the time asked. lag is the number
+// of versions by which the router lags, and answered is whether an answer was received that was
 // given after that time. The check that detects a suspension may have been begun before it, so it
 // does not open the fence.
-func (f *Fence) Look(lacks uint64, told bool, asked, now Time) {
+func (f *Fence) Look(lag uint64, answered bool, asked, now Time) {
 	switch {
 	case now > f.until && !f.closed:
 		f.closed, f.resumedAt = true, now
-	case f.closed && (told && lacks == 0 && asked >= f.resumedAt || now-f.resumedAt >= Time(f.grace)):
+	case f.closed && (answered && lag == 0 && asked >= f.resumedAt || now-f.resumedAt >= Time(f.grace)):
 		f.closed = false
 	}
 	f.until = asked + Time(f.window)
--- a/fleet/straggler/straggler_test.go
+++ b/fleet/straggler/straggler_test.go
@@ -368,12 +368,12 @@
 func TestFence(t *testing.T) {
 	const window, ms = time.Second, time.Millisecond
 	at := func(d time.Duration) Time { return Time(time.Hour + d) }
-	type look struct {
-		asked, now time.Duration // after a suspension of a minute
-		lacks      uint64
-		told, open bool
+	type check struct {
+		asked, now     time.Duration // after a suspension of a minute
+		lag            uint64
+		answered, open bool
 	}
-	for name, looks := range map[string][]look{
+	for name, checks := range map[string][]check{
 		"no version missing":        {{0, 10 * ms, 0, true, false}, {100 * ms, 110 * ms, 0, true, true}},
 		"asked for before the stop": {{-time.Minute, 10 * ms, 0, true, false}, {5 * ms, 20 * ms, 0, true, false}, {100 * ms, 110 * ms, 0, true, true}},
 		"no answer":                 {{0, 10 * ms, 0, false, false}, {time.Second, time.Second, 0, false, false}, {4200 * ms, 4200 * ms, 0, false, true}},
@@ -385,11 +385,11 @@
 		f.Look(9, true, at(window), at(window)) // a lag alone does not close the fence
 		require.True(t, f.May(at(2*window)), name)
 		require.False(t, f.May(at(2*window+1)), name)
-		woke := at(time.Minute)
-		require.False(t, f.May(woke), name)
-		for _, l := range looks {
-			f.Look(l.lacks, l.told, woke+Time(l.asked), woke+Time(l.now))
-			require.Equal(t, l.open, f.May(woke+Time(l.now)), "%s, %v after", name, l.now)
+		resumed := at(time.Minute)
+		require.False(t, f.May(resumed), name)
+		for _, l := range checks {
+			f.Look(l.lag, l.answered, resumed+Time(l.asked), resumed+Time(l.now))
+			require.Equal(t, l.open, f.May(resumed+Time(l.now)), "%s, %v after", name, l.now)
 		}
 	}
 }
--- a/fleet/traffic/step.go
+++ b/fleet/traffic/step.go
@@ -15,7 +15,7 @@
 	Back   float64
 	Band   float64 // smaller differences are ignored
 	Burst  int     // maps that may be made at once
-	PerMin float64 // and per minute after that
+	PerMin float64 // maps per minute after that
 	// Part of Burst that is kept for steps away from zones that may no longer be used.
 	Reserve int
 }
--- a/fleet/traffic/traffic.go
+++ b/fleet/traffic/traffic.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// same reports whether two maps have equal contents, whoever made them and why.
+// same reports whether two maps have equal contents, regardless of By and Why.
 func (m *Map) same(o *Map) bool {
 	equal := func(a, b [][]float64) bool { return slices.EqualFunc(a, b, slices.Equal) }
 	return slices.Equal(m.Zones, o.Zones) && slices.Equal(m.Level, o.Level) && equal(m.Read, o.Read) && equal(m.Write, o.Write)
@@ -193,8 +193,8 @@
 	return shares
 }
 
-// defaultShares returns the shares without a map: the own zone, and a spill over the other reachable ones;
-// if its own zone is unreachable, everything goes to the others.
+// defaultShares returns the shares without a map: the own zone, and a spill over the other
+// reachable ones; if its own zone is unreachable, everything goes to the others.
 func (k *Keeper) defaultShares(zones []string, seen func(string) bool) []float64 {
 	out := make([]float64, len(zones))
 	others, own := 0, -1
--- a/fleet/traffic/traffic_test.go
+++ b/fleet/traffic/traffic_test.go
@@ -51,7 +51,7 @@
 	require.NoError(t, k.Take(&five, 0))
 	require.ErrorIs(t, k.Take(&other, Time(second)), ErrOther)
 	again := five
-	again.By = "another decider, the same words"
+	again.By = "another decider, the same contents"
 	require.NoError(t, k.Take(&again, Time(2*second)))
 	_, age := k.Map(Time(3 * second))
 	require.Equal(t, second, age, "renewed")
@@ -109,7 +109,7 @@
 	asked    float64
 }
 
-const look = 250 * time.Millisecond
+const tick = 250 * time.Millisecond
 
 func newWorld(t require.TestingT, load, takes []float64) *world {
 	w := &world{t: t, load: load, actual: append([]float64(nil), takes...), cutLinks: map[[2]int]bool{}, at: Time(time.Hour)}
@@ -140,7 +140,7 @@
 
 func (w *world) run(d time.Duration) {
 	n := len(w.names)
-	for end := w.at + Time(d); w.at < end; w.at += Time(look) {
+	for end := w.at + Time(d); w.at < end; w.at += Time(tick) {
 		in := w.in()
 		view := zone.View{Capacities: map[string]zone.Capacity{}}
 		for e := range n {
--- a/fleet/version/version_test.go
+++ b/fleet/version/version_test.go
@@ -14,14 +14,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		k := New(nil)
 		named := map[uint64]Vector{}
-		most := Vector{}
+		acknowledged := Vector{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			part := rapid.SampledFrom(parts).Draw(t, "part")
 			before := k.Held()
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				k.Acknowledge(part)
-				most[part] = max(most[part], k.Held()[part])
+				acknowledged[part] = max(acknowledged[part], k.Held()[part])
 			case 1:
 				acked := k.Acked()
 				k = New(acked) // restarted with the acknowledged versions
@@ -33,7 +33,7 @@
 				changed, err := k.Take(part, v)
 				if err != nil {
 					require.ErrorIs(t, err, ErrOlder)
-					require.True(t, v < before[part] || v < most[part])
+					require.True(t, v < before[part] || v < acknowledged[part])
 					require.Equal(t, before, k.Held())
 				} else {
 					require.Equal(t, v, k.Held()[part])
@@ -42,7 +42,7 @@
 			}
 			older, _ := k.Held().Compare(before)
 			require.False(t, older)
-			for part, v := range most {
+			for part, v := range acknowledged {
 				require.GreaterOrEqual(t, k.Acked()[part], v)
 			}
 			if was, ok := named[k.Number()]; ok {
