--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -330,7 +330,7 @@
 	a.mu.Unlock()
 	out := []BudgetLine{}
 	for _, v := range views {
-		line := BudgetLine{Key: v.Key, Limit: v.Limit, Share: v.Share, Floor: v.Floor, Rate: v.Rate, IfCut: v.IfCut, Demand: v.Demand,
+		line := BudgetLine{Key: v.Key, Limit: v.Limit, Share: v.Share, Floor: v.Floor, Rate: v.Rate, IfCut: v.IsolatedRate, Demand: v.Demand,
 			Lent: map[string]float64{}, Borrowed: map[string]float64{}, Unsure: v.Unsure, Fenced: v.Fenced}
 		for _, l := range v.Lent {
 			line.Lent[l.Router] = l.Amount
--- a/fleet/agent/config.go
+++ b/fleet/agent/config.go
@@ -96,7 +96,7 @@
 	n, s := len(c.Zones), &c.Shift
 	z := node.ZoneConfig{Safe: s.Safe, Capacity: map[string]solver.Zone{}, Terms: traffic.Terms{Fresh: s.Fresh.Duration, Fade: s.Fade.Duration, Spill: s.Spill},
 		Pace: traffic.Pace{Every: s.Every.Duration, Up: s.Up, Back: s.Back, Band: mapBand, Burst: mapBurst, PerMin: s.PerMin, Reserve: mapReserve},
-		Judge: zone.Config{Least: s.MinAttempts, Failing: s.Failing, Lost: s.Lost, Strain: s.Safe, Confirm: s.Confirm.Duration, Hold: s.Hold.Duration,
+		Judge: zone.Config{MinAttempts: s.MinAttempts, Failing: s.Failing, Lost: s.Lost, Strain: s.Safe, Confirm: s.Confirm.Duration, Hold: s.Hold.Duration,
 			Return: s.Return.Duration, Trial: s.Trial}}
 	at := map[string]int{}
 	for i, l := range c.Zones {
--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -146,7 +146,7 @@
 	switch r {
 	case attempts.TooCold:
 		return router.WorkerDenied
-	case attempts.Repeats:
+	case attempts.NoRepeats:
 		return router.RepeatDenied
 	}
 	return router.AttemptAllowed
--- a/fleet/agent/zones.go
+++ b/fleet/agent/zones.go
@@ -62,7 +62,7 @@
 // sent records in which zone a request is read.
 func (s *zoneTraffic) sent(worker string, kinds []logic.Kind, now time.Duration) {
 	if p, ok := s.places[worker]; ok && (p.kind >= len(kinds) || kinds[p.kind].Role != logic.RoleWrite) {
-		s.balance.Sent(p.index, p.index+1, traffic.Time(now))
+		s.balance.RecordSent(p.index, p.index+1, traffic.Time(now))
 	}
 }
 
@@ -123,7 +123,7 @@
 				}
 			}
 		}
-		figures[i] = f.zones.balance.Figures(shares, usable, own, traffic.Time(a.now()))
+		figures[i] = f.zones.balance.Factors(shares, usable, own, traffic.Time(a.now()))
 		for j, name := range f.cfg.Zones {
 			if !slices.Contains(names, name) {
 				figures[i][j] = 0 // not in the map: the default cost of distance applies
--- a/fleet/attempts/attempts.go
+++ b/fleet/attempts/attempts.go
@@ -36,9 +36,9 @@
 
 // Worker is an entry of the list of workers.
 type Worker struct {
-	Name  string
-	Since int64 // wall clock of its latest start in nanoseconds; 0: long ago
-	Gone  bool
+	Name    string
+	Since   int64 // wall clock of its latest start in nanoseconds; 0: long ago
+	Removed bool
 }
 
 // Rules determines the budgets of one front.
@@ -59,9 +59,9 @@
 	return &Rules{cfg: cfg, known: map[string]int64{}, cold: map[string]cold{}}
 }
 
-// Listed updates the workers from a whole list or from changes to it, received at now, which is
+// UpdateWorkers updates the workers from a whole list or from changes to it, received at now, which is
 // wall by the wall clock. It reports whether the budgets have changed.
-func (r *Rules) Listed(workers []Worker, whole bool, wall int64, now Time) bool {
+func (r *Rules) UpdateWorkers(workers []Worker, whole bool, wall int64, now Time) bool {
 	if r.cfg.ColdPerSecond <= 0 || r.cfg.WarmWithin <= 0 {
 		return false
 	}
@@ -69,7 +69,7 @@
 	if whole {
 		listed := make(map[string]bool, len(workers))
 		for _, w := range workers {
-			listed[w.Name] = !w.Gone
+			listed[w.Name] = !w.Removed
 		}
 		for name := range r.known {
 			if !listed[name] {
@@ -80,7 +80,7 @@
 	for _, w := range workers {
 		since, ok := r.known[w.Name]
 		switch {
-		case w.Gone:
+		case w.Removed:
 			changed = r.drop(w.Name) || changed
 			continue
 		case ok && since == w.Since:
@@ -118,20 +118,20 @@
 	return len(r.cold) != n
 }
 
-// Prefix is the common prefix of the names of all budgets of this front's cold workers.
-func (r *Rules) Prefix() string { return "cold/" + r.cfg.Front + "/" }
+// ColdPrefix is the common prefix of the names of all budgets of this front's cold workers.
+func (r *Rules) ColdPrefix() string { return "cold/" + r.cfg.Front + "/" }
 
-// Repeats is the name of the budget for repeated attempts.
-func (r *Rules) Repeats() string { return "repeats/" + r.cfg.Front }
+// RepeatsKey is the name of the budget for repeated attempts.
+func (r *Rules) RepeatsKey() string { return "repeats/" + r.cfg.Front }
 
 func (r *Rules) key(name string, since int64) string {
-	return fmt.Sprintf("%s%s@%d", r.Prefix(), name, since)
+	return fmt.Sprintf("%s%s@%d", r.ColdPrefix(), name, since)
 }
 
-// Cold returns the limits of the cold workers' budgets by name, and reports whether any has expired
+// ColdLimits returns the limits of the cold workers' budgets by name, and reports whether any has expired
 // since the last call. Each start of a worker has a budget of its own: loans for the previous start
 // can't be used for it.
-func (r *Rules) Cold(now Time) (limits map[string]float64, changed bool) {
+func (r *Rules) ColdLimits(now Time) (limits map[string]float64, changed bool) {
 	changed = r.expire(now)
 	limits = make(map[string]float64, len(r.cold))
 	for name, c := range r.cold {
@@ -145,9 +145,9 @@
 
 // The reasons for a refusal.
 const (
-	None    Refusal = iota
-	TooCold         // not to this worker now, but another may get it
-	Repeats         // no repeat may be sent to any worker now
+	None      Refusal = iota
+	TooCold           // not to this worker now, but another may get it
+	NoRepeats         // no repeat may be sent to any worker now
 )
 
 // Spend spends an attempt from the budgets that apply to it. It calls spend, which reports whether
@@ -157,8 +157,8 @@
 	if c, ok := r.cold[worker]; ok && now < c.until && !spend(r.key(worker, c.since)) {
 		return TooCold
 	}
-	if repeat && r.cfg.RepeatsPerSecond > 0 && !spend(r.Repeats()) {
-		return Repeats
+	if repeat && r.cfg.RepeatsPerSecond > 0 && !spend(r.RepeatsKey()) {
+		return NoRepeats
 	}
 	return None
 }
--- a/fleet/attempts/attempts_test.go
+++ b/fleet/attempts/attempts_test.go
@@ -47,11 +47,11 @@
 			r := rules()
 			learntAt := time.Duration(0)
 			if c.later {
-				r.Listed([]Worker{old}, true, 2*hour, 0)
+				r.UpdateWorkers([]Worker{old}, true, 2*hour, 0)
 				learntAt = time.Second
-				r.Listed([]Worker{{Name: "w", Since: c.since}}, false, c.wall, at(learntAt))
+				r.UpdateWorkers([]Worker{{Name: "w", Since: c.since}}, false, c.wall, at(learntAt))
 			} else {
-				r.Listed([]Worker{old, {Name: "w", Since: c.since}}, true, c.wall, 0)
+				r.UpdateWorkers([]Worker{old, {Name: "w", Since: c.since}}, true, c.wall, 0)
 			}
 			cold := func(d time.Duration) bool {
 				return r.Spend("w", false, at(learntAt+d), func(string) bool { return false }) == TooCold
@@ -60,9 +60,9 @@
 			if c.coldAt > 0 {
 				require.True(t, cold(c.coldAt))
 				require.False(t, cold(c.warmAt))
-				limits, _ := r.Cold(at(learntAt))
+				limits, _ := r.ColdLimits(at(learntAt))
 				require.Equal(t, map[string]float64{fmt.Sprintf("cold/p/w@%d", c.since): 2}, limits)
-				limits, changed := r.Cold(at(learntAt + c.warmAt))
+				limits, changed := r.ColdLimits(at(learntAt + c.warmAt))
 				require.Empty(t, limits)
 				require.True(t, changed)
 			}
@@ -74,36 +74,36 @@
 // nothing.
 func TestBudgetsFollowTheList(t *testing.T) {
 	r := rules()
-	require.False(t, r.Listed([]Worker{{Name: "a", Since: 1}, {Name: "b", Since: 1}}, true, hour, 0))
-	require.True(t, r.Listed([]Worker{{Name: "a", Since: hour}}, false, hour, at(time.Second)))
-	require.False(t, r.Listed([]Worker{{Name: "a", Since: hour}, {Name: "b", Since: 1}}, true, hour, at(5*time.Second)))
-	require.True(t, r.Listed([]Worker{{Name: "a", Since: hour + 1}}, false, hour, at(6*time.Second)), "restarted while cold")
-	limits, changed := r.Cold(at(6 * time.Second))
+	require.False(t, r.UpdateWorkers([]Worker{{Name: "a", Since: 1}, {Name: "b", Since: 1}}, true, hour, 0))
+	require.True(t, r.UpdateWorkers([]Worker{{Name: "a", Since: hour}}, false, hour, at(time.Second)))
+	require.False(t, r.UpdateWorkers([]Worker{{Name: "a", Since: hour}, {Name: "b", Since: 1}}, true, hour, at(5*time.Second)))
+	require.True(t, r.UpdateWorkers([]Worker{{Name: "a", Since: hour + 1}}, false, hour, at(6*time.Second)), "restarted while cold")
+	limits, changed := r.ColdLimits(at(6 * time.Second))
 	require.False(t, changed)
 	require.Equal(t, map[string]float64{fmt.Sprintf("cold/p/a@%d", hour+1): 2}, limits)
-	require.True(t, r.Listed([]Worker{{Name: "b", Since: 1}}, true, hour, at(7*time.Second)), "not listed any more")
-	limits, _ = r.Cold(at(7 * time.Second))
+	require.True(t, r.UpdateWorkers([]Worker{{Name: "b", Since: 1}}, true, hour, at(7*time.Second)), "not listed any more")
+	limits, _ = r.ColdLimits(at(7 * time.Second))
 	require.Empty(t, limits)
-	require.True(t, r.Listed([]Worker{{Name: "a", Since: hour + 1}}, false, hour, at(8*time.Second)))
-	require.True(t, r.Listed([]Worker{{Name: "a", Gone: true}}, false, hour, at(8*time.Second)))
+	require.True(t, r.UpdateWorkers([]Worker{{Name: "a", Since: hour + 1}}, false, hour, at(8*time.Second)))
+	require.True(t, r.UpdateWorkers([]Worker{{Name: "a", Removed: true}}, false, hour, at(8*time.Second)))
 
 	many := make([]Worker, 3*maxCold)
 	for i := range many {
 		many[i] = Worker{Name: fmt.Sprint(i), Since: hour}
 	}
-	r.Listed(many, false, hour, at(9*time.Second))
-	limits, _ = r.Cold(at(9 * time.Second))
+	r.UpdateWorkers(many, false, hour, at(9*time.Second))
+	limits, _ = r.ColdLimits(at(9 * time.Second))
 	require.Len(t, limits, maxCold)
 
 	off := New(Config{Front: "p", WarmWithin: warm})
-	require.False(t, off.Listed(many, true, hour, 0))
+	require.False(t, off.UpdateWorkers(many, true, hour, 0))
 	require.Equal(t, None, off.Spend("1", true, 0, func(string) bool { return false }), "without limits no attempt is refused")
 }
 
 func TestWhatAnAttemptIsSpentFrom(t *testing.T) {
 	r := rules()
-	r.Listed(nil, true, hour, 0)
-	r.Listed([]Worker{{Name: "c", Since: hour}, {Name: "w"}}, false, hour, 0)
+	r.UpdateWorkers(nil, true, hour, 0)
+	r.UpdateWorkers([]Worker{{Name: "c", Since: hour}, {Name: "w"}}, false, hour, 0)
 	for _, c := range []struct {
 		worker string
 		repeat bool
@@ -113,11 +113,11 @@
 	}{
 		{"w", false, "", None, ""},
 		{"w", true, "", None, "repeats/p"},
-		{"w", true, "repeats/p", Repeats, ""},
+		{"w", true, "repeats/p", NoRepeats, ""},
 		{"c", false, "", None, "cold/p/c@3600000000000"},
 		{"c", true, "", None, "cold/p/c@3600000000000 repeats/p"},
 		{"c", true, "cold/p/c@3600000000000", TooCold, ""},
-		{"c", true, "repeats/p", Repeats, "cold/p/c@3600000000000"},
+		{"c", true, "repeats/p", NoRepeats, "cold/p/c@3600000000000"},
 		{"unknown", false, "", None, ""},
 	} {
 		var spent []string
@@ -157,7 +157,7 @@
 					require.NoError(t, err)
 					ledgers[name] = l
 					r := New(Config{Front: "p", ColdPerSecond: limit, WarmWithin: 14 * time.Second})
-					r.Listed([]Worker{{Name: "old"}}, true, hour, 0)
+					r.UpdateWorkers([]Worker{{Name: "old"}}, true, hour, 0)
 					all[name] = r
 				}
 				began := 10 * time.Second // all are past their first lease
@@ -166,8 +166,8 @@
 					for i, name := range names {
 						l, r := ledgers[name], all[name]
 						if learntAt := began + time.Duration(i%8)*step; now == learntAt {
-							r.Listed([]Worker{{Name: "c", Since: hour}}, false, hour+int64(i-n/2)*hour/10, at(now))
-							limits, _ := r.Cold(at(now))
+							r.UpdateWorkers([]Worker{{Name: "c", Since: hour}}, false, hour+int64(i-n/2)*hour/10, at(now))
+							limits, _ := r.ColdLimits(at(now))
 							for key, v := range limits {
 								l.SetLimit(key, v, budget.Time(now))
 							}
--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -138,9 +138,9 @@
 		return
 	}
 	for _, part := range slices.Sorted(maps.Keys(c.acked)) {
-		if a := c.acked[part]; vector[part] < a.Version && e.At > a.At+slack && a.Life == e.Life {
+		if a := c.acked[part]; vector[part] < a.Version && e.At > a.At+slack && a.Incarnation == e.Incarnation {
 			c.breach(RuleOlder, []Place{a.Place, e.Place}, "%d to %s under %s %d, %d was acknowledged", e.Count, e.Worker, part, vector[part], a.Version)
-		} else if vector[part] < a.Version && a.Life != e.Life {
+		} else if vector[part] < a.Version && a.Incarnation != e.Incarnation {
 			c.breach(RuleOlder, []Place{a.Place, e.Place}, "%d to %s under %s %d, %d was acknowledged before its start", e.Count, e.Worker, part,
 				vector[part], a.Version)
 		}
@@ -150,8 +150,8 @@
 // Step is an entry with its position in the order of all entries.
 type Step struct {
 	Entry
-	Order uint64
-	Who   string
+	Order       uint64
+	TrailRouter string
 }
 
 // Timeline puts the entries of all event logs into an order that contradicts none of them: the
@@ -173,7 +173,7 @@
 			at := uint64(0)
 			for j, e := range t.Entries {
 				at++
-				if e.Kind == Taken && e.Version > 0 && !strings.HasPrefix(e.Part, version.Here) {
+				if e.Kind == Taken && e.Version > 0 && !strings.HasPrefix(e.Part, version.LocalPrefix) {
 					at = max(at, first[key{e.Part, e.Version - 1}]+1)
 				}
 				if orders[i][j] != at {
@@ -185,7 +185,7 @@
 		for i, t := range trails {
 			for j, e := range t.Entries {
 				k := key{e.Part, e.Version}
-				if was, ok := next[k]; e.Kind == Taken && !strings.HasPrefix(e.Part, version.Here) && (!ok || orders[i][j] < was) {
+				if was, ok := next[k]; e.Kind == Taken && !strings.HasPrefix(e.Part, version.LocalPrefix) && (!ok || orders[i][j] < was) {
 					next[k] = orders[i][j]
 				}
 			}
@@ -205,7 +205,7 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Step) int {
-		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Who, b.Who), cmp.Compare(a.Seq, b.Seq))
+		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.TrailRouter, b.TrailRouter), cmp.Compare(a.Seq, b.Seq))
 	})
 	return out
 }
@@ -224,9 +224,9 @@
 	Sends                        uint64 // attempts sent under this version
 }
 
-// Who returns the routers that took, acknowledged or refused a version of a part, and the number of
+// Holders returns the routers that took, acknowledged or refused a version of a part, and the number of
 // attempts they sent while it was in effect.
-func Who(trails []Trail, part string, v uint64) []Holder {
+func Holders(trails []Trail, part string, v uint64) []Holder {
 	var out []Holder
 	for i := range trails {
 		h := Holder{Router: trails[i].Router}
@@ -272,7 +272,7 @@
 			if e.Kind == Started {
 				clear(held[i])
 			}
-			if e.Kind == Taken && !strings.HasPrefix(e.Part, version.Here) {
+			if e.Kind == Taken && !strings.HasPrefix(e.Part, version.LocalPrefix) {
 				held[i][e.Part] = e.Version
 				latest[e.Part] = max(latest[e.Part], e.Version)
 			}
@@ -291,32 +291,32 @@
 type Point struct {
 	Order  uint64
 	Router string
-	Behind uint64 // versions, for the part with the largest lag
+	Lag    uint64 // versions, for the part with the largest lag
 	Sends  uint64 // attempts recorded there
 }
 
-// Behind returns, along the timeline, each router's lag behind the newest version that any router
+// LagPoints returns, along the timeline, each router's lag behind the newest version that any router
 // had taken by then, at each of its takings and sends. Records are ordered by versions, so a
 // version that a router could not have known of yet may count as well.
-func Behind(trails []Trail) []Point {
+func LagPoints(trails []Trail) []Point {
 	newest, held := version.Vector{}, map[string]version.Vector{}
 	var out []Point
 	for _, s := range Timeline(trails) {
-		if held[s.Who] == nil || s.Kind == Started {
-			held[s.Who] = version.Vector{}
+		if held[s.TrailRouter] == nil || s.Kind == Started {
+			held[s.TrailRouter] = version.Vector{}
 		}
-		if s.Kind == Taken && !strings.HasPrefix(s.Part, version.Here) {
-			held[s.Who][s.Part] = s.Version
+		if s.Kind == Taken && !strings.HasPrefix(s.Part, version.LocalPrefix) {
+			held[s.TrailRouter][s.Part] = s.Version
 			newest[s.Part] = max(newest[s.Part], s.Version)
 		}
 		if s.Kind != Taken && s.Kind != Sent {
 			continue
 		}
-		p := Point{Order: s.Order, Router: s.Who, Sends: s.Count}
+		p := Point{Order: s.Order, Router: s.TrailRouter, Sends: s.Count}
 		for part, v := range newest {
 			// Parts that this router never takes do not concern it.
-			if own, ok := held[s.Who][part]; ok && v > own {
-				p.Behind = max(p.Behind, v-own)
+			if own, ok := held[s.TrailRouter][part]; ok && v > own {
+				p.Lag = max(p.Lag, v-own)
 			}
 		}
 		out = append(out, p)
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -20,7 +20,7 @@
 
 func (t *Trail) add(incarnation uint64, records ...Record) {
 	for i, r := range append([]Record{{Kind: Started, Router: t.Router}}, records...) {
-		r.Life, r.Seq = incarnation, uint64(i+1)
+		r.Incarnation, r.Seq = incarnation, uint64(i+1)
 		t.Entries = append(t.Entries, Entry{r, Place{t.Router, int64(len(t.Entries))}})
 	}
 }
@@ -107,8 +107,8 @@
 		steps := Timeline(trails)
 		last, first := map[string]uint64{}, map[uint64]uint64{}
 		for _, s := range steps {
-			require.Greater(t, s.Seq, last[s.Who], "the order of its own event log")
-			last[s.Who] = s.Seq
+			require.Greater(t, s.Seq, last[s.TrailRouter], "the order of its own event log")
+			last[s.TrailRouter] = s.Seq
 			if s.Kind != Taken {
 				continue
 			}
@@ -132,7 +132,7 @@
 		taken("config", 2, 3, 40*ms), sent("w", 3, 0, 0))
 	b := of("b", 1, Record{Kind: Refused, Part: "config", Version: 1, Text: "no"})
 	c := of("c", 1)
-	holders := Who([]Trail{a, b, c}, "config", 1)
+	holders := Holders([]Trail{a, b, c}, "config", 1)
 	require.Len(t, holders, 2)
 	require.Equal(t, uint64(6), holders[0].Sends, "under both numbers that hold it")
 	require.NotNil(t, holders[0].Acknowledged)
@@ -149,8 +149,8 @@
 	b := of("b", 1, taken("config", 1, 1, 10*ms), sent("w", 1, 500*ms, 0), sent("w", 1, 600*ms, 0), sent("w", 1, 700*ms, 0))
 	c := of("c", 1, sent("w", 0, 10*ms, 0))
 	maxLag, sends := map[string]uint64{}, map[string]uint64{}
-	for _, p := range Behind([]Trail{a, b, c}) {
-		maxLag[p.Router] = max(maxLag[p.Router], p.Behind)
+	for _, p := range LagPoints([]Trail{a, b, c}) {
+		maxLag[p.Router] = max(maxLag[p.Router], p.Lag)
 		sends[p.Router] += p.Sends
 	}
 	require.Equal(t, map[string]uint64{"a": 0, "b": 2, "c": 0}, maxLag, "c has no such part")
--- a/fleet/audit/loans_test.go
+++ b/fleet/audit/loans_test.go
@@ -29,7 +29,7 @@
 	}
 	start := func(i int, incarnation uint64, now budget.Time) {
 		l, err := budget.New(budget.Config{Self: names[i], Routers: names, Incarnation: incarnation, Lease: lease, Drift: 0.01, Floor: 0.1,
-			Burst: lease, Tell: true}, now)
+			Burst: lease, RecordMoves: true}, now)
 		require.NoError(t, err)
 		l.SetLimit("k", 300, now)
 		ledgers[i], trails[i].Router = l, names[i]
@@ -74,7 +74,7 @@
 			i := int(m.m.To[0] - 'a')
 			post(s, ledgers[i].Receive(m.m, now))
 			for _, move := range ledgers[i].Moves() {
-				note(i, audit.Record{Kind: kinds[move.Kind], At: time.Duration(now), Part: move.Key, Peer: move.Router, Epoch: move.Life,
+				note(i, audit.Record{Kind: kinds[move.Kind], At: time.Duration(now), Part: move.Key, Peer: move.Router, Epoch: move.Incarnation,
 					Number: move.Seq, Version: move.Using, Amount: move.Amount, Share: move.Share, Window: move.Left})
 			}
 		}
@@ -106,7 +106,7 @@
 func TestGrantsGivenUpByAnAskThatGotNothingAreTold(t *testing.T) {
 	const lease, limit = time.Second, 300
 	owner, err := budget.New(budget.Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Lease: lease, Drift: 0.01, Floor: 0.1,
-		Burst: lease, Tell: true}, 0)
+		Burst: lease, RecordMoves: true}, 0)
 	require.NoError(t, err)
 	now := budget.Time(lease)
 	owner.SetLimit("k", limit, now)
@@ -119,13 +119,13 @@
 	epoch := borrower.Tick(now)[0].Epoch
 	trail := audit.Trail{Router: "a", Entries: []audit.Entry{{Record: audit.Record{Kind: audit.Started, Seq: 1}}}}
 	ask := func(from string, number, using uint64, amount float64) float64 {
-		answer := owner.Receive(budget.Message{Kind: budget.Ask, From: from, To: "a", Epoch: epoch, Life: 1, Key: "k", Seq: number, Using: using,
+		answer := owner.Receive(budget.Message{Kind: budget.Ask, From: from, To: "a", Epoch: epoch, Incarnation: 1, Key: "k", Seq: number, Using: using,
 			Amount: amount}, now)
 		require.Len(t, answer, 1)
 		for _, move := range owner.Moves() {
 			kind := map[budget.MoveKind]audit.Kind{budget.Lent: audit.Lent, budget.Returned: audit.Returned}[move.Kind]
 			trail.Entries = append(trail.Entries, audit.Entry{Record: audit.Record{Kind: kind, Seq: uint64(len(trail.Entries) + 1), At: time.Duration(now),
-				Part: move.Key, Peer: move.Router, Epoch: move.Life, Number: move.Seq, Version: move.Using, Amount: move.Amount, Share: move.Share,
+				Part: move.Key, Peer: move.Router, Epoch: move.Incarnation, Number: move.Seq, Version: move.Using, Amount: move.Amount, Share: move.Share,
 				Window: move.Left}})
 		}
 		return answer[0].Amount
--- a/fleet/audit/record.go
+++ b/fleet/audit/record.go
@@ -48,23 +48,23 @@
 // Record is one event at a router. Times are on its own monotonic clock, which restarts with the
 // process.
 type Record struct {
-	Seq     uint64        `cbor:"1,keyasint"` // from 1, consecutive over the router's records
-	Kind    Kind          `cbor:"2,keyasint"`
-	Router  string        `cbor:"3,keyasint,omitempty"`
-	Life    uint64        `cbor:"4,keyasint,omitempty"`
-	At      time.Duration `cbor:"5,keyasint"`
-	Wall    int64         `cbor:"6,keyasint,omitempty"` // Unix milliseconds, for display only
-	Part    string        `cbor:"7,keyasint,omitempty"`
-	Version uint64        `cbor:"8,keyasint,omitempty"`
-	Number  uint64        `cbor:"9,keyasint,omitempty"`
-	Worker  string        `cbor:"10,keyasint,omitempty"`
-	Since   int64         `cbor:"11,keyasint,omitempty"` // the worker's incarnation
-	Request string        `cbor:"12,keyasint,omitempty"`
-	Count   uint64        `cbor:"13,keyasint,omitempty"`
-	Until   time.Duration `cbor:"14,keyasint,omitempty"`
-	Window  time.Duration `cbor:"15,keyasint,omitempty"`
-	Text    string        `cbor:"16,keyasint,omitempty"`
-	Peer    string        `cbor:"17,keyasint,omitempty"` // the router at the other end of a loan
+	Seq         uint64        `cbor:"1,keyasint"` // from 1, consecutive over the router's records
+	Kind        Kind          `cbor:"2,keyasint"`
+	Router      string        `cbor:"3,keyasint,omitempty"`
+	Incarnation uint64        `cbor:"4,keyasint,omitempty"`
+	At          time.Duration `cbor:"5,keyasint"`
+	Wall        int64         `cbor:"6,keyasint,omitempty"` // Unix milliseconds, for display only
+	Part        string        `cbor:"7,keyasint,omitempty"`
+	Version     uint64        `cbor:"8,keyasint,omitempty"`
+	Number      uint64        `cbor:"9,keyasint,omitempty"`
+	Worker      string        `cbor:"10,keyasint,omitempty"`
+	Since       int64         `cbor:"11,keyasint,omitempty"` // the worker's incarnation
+	Request     string        `cbor:"12,keyasint,omitempty"`
+	Count       uint64        `cbor:"13,keyasint,omitempty"`
+	Until       time.Duration `cbor:"14,keyasint,omitempty"`
+	Window      time.Duration `cbor:"15,keyasint,omitempty"`
+	Text        string        `cbor:"16,keyasint,omitempty"`
+	Peer        string        `cbor:"17,keyasint,omitempty"` // the router at the other end of a loan
 	// The incarnation under which the borrower asked.
 	Epoch  uint64  `cbor:"18,keyasint,omitempty"`
 	Amount float64 `cbor:"19,keyasint,omitempty"` // per second
--- a/fleet/budget/borrower.go
+++ b/fleet/budget/borrower.go
@@ -78,7 +78,7 @@
 }
 
 func (l *Ledger) message(kind Kind, to, key string, seq uint64, amount float64) Message {
-	return Message{Kind: kind, From: l.cfg.Self, To: to, Epoch: l.epoch(l.budgets[key]), Life: l.cfg.Incarnation, Key: key, Seq: seq,
+	return Message{Kind: kind, From: l.cfg.Self, To: to, Epoch: l.epoch(l.budgets[key]), Incarnation: l.cfg.Incarnation, Key: key, Seq: seq,
 		Amount: amount}
 }
 
@@ -108,7 +108,7 @@
 // acceptGrant puts a grant into use. Its lease is counted from the time of the ask.
 func (l *Ledger) acceptGrant(a *account, m Message, now Time) {
 	h := a.held[m.From]
-	if h == nil || m.Life != l.cfg.Incarnation || m.Seq <= h.seq {
+	if h == nil || m.Incarnation != l.cfg.Incarnation || m.Seq <= h.seq {
 		return
 	}
 	i := slices.IndexFunc(h.asks, func(k ask) bool { return k.seq == m.Seq })
@@ -120,7 +120,7 @@
 	h.seq, h.amount = m.Seq, m.Amount
 	h.until = k.sentAt + Time(float64(l.cfg.Lease)*(1-l.cfg.Drift)/(1+l.cfg.Drift))
 	if m.Amount > 0 && h.until > now {
-		l.record(Move{Kind: Borrowed, Key: m.Key, Router: m.From, Life: m.Life, Seq: m.Seq, Amount: m.Amount, Left: time.Duration(h.until - now)})
+		l.record(Move{Kind: Borrowed, Key: m.Key, Router: m.From, Incarnation: m.Incarnation, Seq: m.Seq, Amount: m.Amount, Left: time.Duration(h.until - now)})
 	}
 	if m.Amount < 0.95*k.amount {
 		h.shortUntil = k.sentAt + Time(shortBackoff*float64(l.cfg.Lease))
--- a/fleet/budget/budget.go
+++ b/fleet/budget/budget.go
@@ -60,8 +60,8 @@
 	Drift float64       // maximum relative difference in speed between two clocks, 0 to 0.2
 	Floor float64       // fraction of each share that is never lent, greater than 0 and up to 1
 	// The amount that accrues at the held rate in this time may be spent at once.
-	Burst time.Duration
-	Tell  bool // record loans for Moves; the caller must then call Moves after each call
+	Burst       time.Duration
+	RecordMoves bool // record loans for Moves; the caller must then call Moves after each call
 }
 
 // ErrConfig is wrapped by the errors for an invalid Config.
--- a/fleet/budget/budget_test.go
+++ b/fleet/budget/budget_test.go
@@ -336,7 +336,7 @@
 	owner.SetLimit(key, 30, 0)
 	now := Time(cfg.Lease)
 	ask := func(incarnation, seq uint64, amount float64) float64 {
-		m := Message{Kind: Ask, From: "b", To: "a", Epoch: owner.epoch(owner.budgets[key]), Life: incarnation, Key: key, Seq: seq, Amount: amount}
+		m := Message{Kind: Ask, From: "b", To: "a", Epoch: owner.epoch(owner.budgets[key]), Incarnation: incarnation, Key: key, Seq: seq, Amount: amount}
 		answer := owner.Receive(m, now)
 		require.Len(t, answer, 1)
 		return answer[0].Amount
@@ -384,7 +384,7 @@
 	require.NoError(t, err)
 	l.SetLimit(key, 10, now)
 	now += Time(2 * time.Second)
-	ask := Message{Kind: Ask, From: "b", To: "a", Epoch: l.epoch(l.budgets[key]), Life: 1, Key: key, Seq: 1, Amount: 3}
+	ask := Message{Kind: Ask, From: "b", To: "a", Epoch: l.epoch(l.budgets[key]), Incarnation: 1, Key: key, Seq: 1, Amount: 3}
 	for name, spoil := range map[string]func(*Message){
 		"another epoch": func(m *Message) { m.Epoch++ }, "another limit": func(m *Message) { m.Epoch = l.epoch(&account{limit: 11}) }, "an unknown router": func(m *Message) { m.From = "c" },
 		"itself": func(m *Message) { m.From = "a" }, "for another": func(m *Message) { m.To = "b" },
--- a/fleet/budget/ledger.go
+++ b/fleet/budget/ledger.go
@@ -187,14 +187,14 @@
 		l.acceptGrant(a, m, now)
 	case Return:
 		a.lent[m.From].reduce(m)
-		l.record(Move{Kind: Returned, Key: m.Key, Router: m.From, Life: m.Life, Seq: m.Seq, Amount: m.Amount})
+		l.record(Move{Kind: Returned, Key: m.Key, Router: m.From, Incarnation: m.Incarnation, Seq: m.Seq, Amount: m.Amount})
 	}
 	l.settle(a, now)
 	return nil
 }
 
 func (l *Ledger) record(m Move) {
-	if l.cfg.Tell {
+	if l.cfg.RecordMoves {
 		l.moves = append(l.moves, m)
 	}
 }
--- a/fleet/budget/owner.go
+++ b/fleet/budget/owner.go
@@ -74,9 +74,9 @@
 	if n == nil {
 		return
 	}
-	n.dropGrants(m.Life, m.Seq)
+	n.dropGrants(m.Incarnation, m.Seq)
 	for i := range n.grants {
-		if g := &n.grants[i]; g.incarnation == m.Life && g.seq == m.Seq {
+		if g := &n.grants[i]; g.incarnation == m.Incarnation && g.seq == m.Seq {
 			g.amount = math.Min(g.amount, m.Amount)
 		}
 	}
@@ -89,16 +89,16 @@
 		n = &lending{}
 		a.lent[m.From] = n
 	}
-	if m.Life < n.incarnation || m.Life == n.incarnation && m.Seq <= n.seq {
+	if m.Incarnation < n.incarnation || m.Incarnation == n.incarnation && m.Seq <= n.seq {
 		return nil // late or duplicate
 	}
-	n.incarnation, n.seq = m.Life, m.Seq
-	if n.dropGrants(m.Life, m.Using) {
-		l.record(Move{Kind: Returned, Key: m.Key, Router: m.From, Life: m.Life, Seq: m.Using, Amount: n.amount(m.Life, m.Using)})
+	n.incarnation, n.seq = m.Incarnation, m.Seq
+	if n.dropGrants(m.Incarnation, m.Using) {
+		l.record(Move{Kind: Returned, Key: m.Key, Router: m.From, Incarnation: m.Incarnation, Seq: m.Using, Amount: n.amount(m.Incarnation, m.Using)})
 	}
 	share := l.share(a)
 	// Includes loans to earlier processes of the borrower, which may only be stopped.
-	others := n.total(now) - n.totalTo(m.Life, now)
+	others := n.total(now) - n.totalTo(m.Incarnation, now)
 	for name, other := range a.lent {
 		if name != m.From {
 			others += other.total(now)
@@ -113,10 +113,10 @@
 		amount = 0
 	}
 	if amount > 0 {
-		l.record(Move{Kind: Lent, Key: m.Key, Router: m.From, Life: m.Life, Seq: m.Seq, Using: m.Using, Amount: amount, Share: share, Left: l.cfg.Lease})
-		n.grants = append(n.grants, grant{m.Life, m.Seq, amount, now + Time(l.cfg.Lease)})
+		l.record(Move{Kind: Lent, Key: m.Key, Router: m.From, Incarnation: m.Incarnation, Seq: m.Seq, Using: m.Using, Amount: amount, Share: share, Left: l.cfg.Lease})
+		n.grants = append(n.grants, grant{m.Incarnation, m.Seq, amount, now + Time(l.cfg.Lease)})
 		a.level = math.Min(a.level, l.maxLevel(a, now))
 	}
-	return []Message{{Kind: Grant, From: l.cfg.Self, To: m.From, Epoch: m.Epoch, Life: m.Life, Key: m.Key, Seq: m.Seq,
+	return []Message{{Kind: Grant, From: l.cfg.Self, To: m.From, Epoch: m.Epoch, Incarnation: m.Incarnation, Key: m.Key, Seq: m.Seq,
 		Amount: amount}}
 }
--- a/fleet/budget/view.go
+++ b/fleet/budget/view.go
@@ -19,7 +19,7 @@
 	Limit, Share, Floor float64
 	Rate                float64 // rate that may be spent now
 	// Rate that may be spent once all leases have expired without messages from other routers.
-	IfCut          float64
+	IsolatedRate   float64
 	Demand         float64
 	Lent, Borrowed []Loan
 	Unsure         bool // recently started: loans by an earlier process may still be in use
@@ -37,9 +37,9 @@
 		l.settle(a, now)
 		share := l.share(a)
 		v := View{Key: key, Limit: a.limit, Share: share, Floor: share * l.cfg.Floor, Rate: l.ownRate(a, now) + l.borrowedRate(a, now),
-			IfCut: share, Demand: a.demand, Unsure: l.unsure(now), Fenced: l.fenced}
+			IsolatedRate: share, Demand: a.demand, Unsure: l.unsure(now), Fenced: l.fenced}
 		if l.fenced {
-			v.Rate, v.IfCut = 0, 0
+			v.Rate, v.IsolatedRate = 0, 0
 		}
 		for _, name := range slices.Sorted(maps.Keys(a.lent)) {
 			if amount := a.lent[name].total(now); amount > 0 {
--- a/fleet/counts/counts.go
+++ b/fleet/counts/counts.go
@@ -44,10 +44,10 @@
 
 // State is all open work of one router.
 type State struct {
-	Router  string          `cbor:"1,keyasint"`
-	Life    uint64          `cbor:"2,keyasint"` // its incarnation
-	Version uint64          `cbor:"3,keyasint"`
-	Work    map[string]Work `cbor:"5,keyasint"` // by worker
+	Router      string          `cbor:"1,keyasint"`
+	Incarnation uint64          `cbor:"2,keyasint"` // its incarnation
+	Version     uint64          `cbor:"3,keyasint"`
+	Work        map[string]Work `cbor:"5,keyasint"` // by worker
 }
 
 // Board holds one router's own work and the latest states of the others.
@@ -68,7 +68,7 @@
 // New returns the board of one of the given routers. The weight of a state decays with the time
 // constant fresh. The incarnation increases with each start.
 func New(self string, routers []string, incarnation uint64, fresh time.Duration) *Board {
-	b := &Board{self: self, fresh: fresh, own: State{Router: self, Life: incarnation, Work: map[string]Work{}},
+	b := &Board{self: self, fresh: fresh, own: State{Router: self, Incarnation: incarnation, Work: map[string]Work{}},
 		states: map[string]*state{}, known: map[string]bool{}}
 	for _, r := range routers {
 		b.known[r] = r != self
@@ -77,8 +77,10 @@
 	return b
 }
 
-// SetLife sets a newer incarnation for this process.
-func (b *Board) SetLife(incarnation uint64) { b.own.Life = max(b.own.Life, incarnation) }
+// SetIncarnation sets a newer incarnation for this process.
+func (b *Board) SetIncarnation(incarnation uint64) {
+	b.own.Incarnation = max(b.own.Incarnation, incarnation)
+}
 
 // Add records own work at a worker: sent, or completed if negative.
 func (b *Board) Add(worker string, more Work) {
@@ -93,8 +95,8 @@
 	}
 }
 
-// Tell returns the own state with a new version.
-func (b *Board) Tell() State {
+// NextState returns the own state with a new version.
+func (b *Board) NextState() State {
 	b.own.Version++
 	s := b.own
 	s.Work = maps.Clone(b.own.Work)
@@ -108,7 +110,7 @@
 		return
 	}
 	was := b.states[s.Router]
-	if was != nil && (s.Life < was.Life || s.Life == was.Life && s.Version <= was.Version) {
+	if was != nil && (s.Incarnation < was.Incarnation || s.Incarnation == was.Incarnation && s.Version <= was.Version) {
 		return
 	}
 	for _, w := range s.Work {
@@ -149,8 +151,8 @@
 	return math.Exp(-float64(max(now-s.at, 0)) / float64(b.fresh))
 }
 
-// Heard returns the sum of the weights of the other routers' states.
-func (b *Board) Heard(now Time) float64 {
+// PeerWeight returns the sum of the weights of the other routers' states.
+func (b *Board) PeerWeight(now Time) float64 {
 	totalWeight := 0.0
 	for _, s := range b.states {
 		totalWeight += b.weight(s, now)
--- a/fleet/counts/counts_test.go
+++ b/fleet/counts/counts_test.go
@@ -34,11 +34,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var states []State
 		for range rapid.IntRange(0, 12).Draw(t, "states") {
-			states = append(states, State{Router: rapid.SampledFrom(names(4)).Draw(t, "router"), Life: rapid.Uint64Range(1, 2).Draw(t, "life"),
+			states = append(states, State{Router: rapid.SampledFrom(names(4)).Draw(t, "router"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "life"),
 				Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Work: map[string]Work{}})
 			s := &states[len(states)-1]
 			// One version has one content.
-			s.Work["w"] = Work{Unread: float64(s.Life*10 + s.Version)}
+			s.Work["w"] = Work{Unread: float64(s.Incarnation*10 + s.Version)}
 		}
 		now := Time(time.Hour)
 		a, b := New("r000", names(4), 1, time.Second), New("r000", names(4), 1, time.Second)
@@ -76,7 +76,7 @@
 		sent, worst := 0, 0.0
 		for round := range 50 {
 			for _, b := range boards {
-				s := b.Tell()
+				s := b.NextState()
 				for range 2 {
 					sent++
 					boards[rng.IntN(n)].Receive(s, now)
@@ -100,14 +100,14 @@
 	now := Time(time.Hour)
 	b := New("r000", names(3), 1, time.Second)
 	require.Empty(t, peers(b, now), "no state is known")
-	b.Receive(State{Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 900}}}, now)
+	b.Receive(State{Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: 900}}}, now)
 	require.InDelta(t, 1350, peers(b, now)["w"], 1, "the third counts as the mean of the two")
-	b.Receive(State{Router: "r002", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 100}}}, now)
+	b.Receive(State{Router: "r002", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: 100}}}, now)
 	require.InDelta(t, 1000, peers(b, now)["w"], 1)
 	now += Time(3 * time.Second)
-	b.Receive(State{Router: "r002", Life: 1, Version: 2, Work: map[string]Work{"w": {Unread: 100}}}, now)
+	b.Receive(State{Router: "r002", Incarnation: 1, Version: 2, Work: map[string]Work{"w": {Unread: 100}}}, now)
 	require.Less(t, peers(b, now)["w"], 320.0, "a silent router counts as the mean of the others")
-	b.Receive(State{Router: "r001", Life: 2, Version: 1, Work: map[string]Work{}}, now)
+	b.Receive(State{Router: "r001", Incarnation: 2, Version: 1, Work: map[string]Work{}}, now)
 	require.InDelta(t, 100, peers(b, now)["w"], 1, "restarted, with no open work")
 	now += Time(11 * time.Second)
 	require.Empty(t, peers(b, now))
@@ -120,12 +120,12 @@
 func TestStatesGoByTheNewerLife(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := New("r000", names(2), 1, time.Second), New("r001", names(2), 1, time.Second)
-	a.Receive(State{Router: "r001", Life: 9, Version: 50}, now)
+	a.Receive(State{Router: "r001", Incarnation: 9, Version: 50}, now)
 	b.Add("w", Work{Unread: 100})
-	a.Receive(b.Tell(), now)
+	a.Receive(b.NextState(), now)
 	require.Empty(t, peers(a, now), "of an older incarnation")
-	b.SetLife(10)
-	a.Receive(b.Tell(), now)
+	b.SetIncarnation(10)
+	a.Receive(b.NextState(), now)
 	require.InDelta(t, 100, peers(a, now)["w"], 1)
 }
 
@@ -138,11 +138,11 @@
 	}
 	for name, s := range map[string]State{
 		"an unknown router": {Router: "x", Work: map[string]Work{"w": {Unread: 1}}}, "itself": {Router: "r000", Work: map[string]Work{"w": {Unread: 1}}},
-		"negative":      {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: -1}}},
-		"not a number":  {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: math.NaN()}}},
-		"held":          {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Held: math.Inf(1)}}},
-		"out of bounds": {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 1e300}}},
-		"too many":      {Router: "r001", Life: 1, Version: 1, Work: many},
+		"negative":      {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: -1}}},
+		"not a number":  {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: math.NaN()}}},
+		"held":          {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Held: math.Inf(1)}}},
+		"out of bounds": {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: 1e300}}},
+		"too many":      {Router: "r001", Incarnation: 1, Version: 1, Work: many},
 	} {
 		b.Receive(s, now)
 		require.Empty(t, peers(b, now), name)
@@ -150,5 +150,5 @@
 	b.Add("w", Work{Unread: math.NaN()})
 	b.Add("w", Work{Unread: 10})
 	b.Add("w", Work{Unread: -30})
-	require.Empty(t, b.Tell().Work)
+	require.Empty(t, b.NextState().Work)
 }
--- a/fleet/eventlog/eventlog.go
+++ b/fleet/eventlog/eventlog.go
@@ -104,7 +104,7 @@
 // startWriting starts the writing goroutine and notes the start.
 func (w *Writer) startWriting() {
 	go w.run()
-	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Life: w.cfg.Incarnation, Wall: w.start.UnixMilli()})
+	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Incarnation: w.cfg.Incarnation, Wall: w.start.UnixMilli()})
 }
 
 // Now returns the time since the log was opened.
@@ -170,7 +170,7 @@
 		return
 	}
 	w.seq++
-	r.Life, r.Seq = w.cfg.Incarnation, w.seq
+	r.Incarnation, r.Seq = w.cfg.Incarnation, w.seq
 	select {
 	case w.queue <- r:
 	default:
--- a/fleet/eventlog/eventlog_test.go
+++ b/fleet/eventlog/eventlog_test.go
@@ -55,7 +55,7 @@
 	for i, e := range tr.Entries[:7] {
 		kinds = append(kinds, e.Kind)
 		require.Equal(t, uint64(i+1), e.Seq)
-		require.Equal(t, uint64(1), e.Life)
+		require.Equal(t, uint64(1), e.Incarnation)
 		require.GreaterOrEqual(t, max(e.At, e.Until), last)
 		last = e.At
 	}
--- a/fleet/link/link_test.go
+++ b/fleet/link/link_test.go
@@ -25,7 +25,7 @@
 func example() Envelope {
 	return Envelope{Version: Version, Need: Version, Fleet: "f", From: "a", To: "b",
 		Members: &members.Message{From: "a", To: "b", Heartbeats: []members.Heartbeat{{Name: "a", Incarnation: 7, Count: 9}, {Name: "c", Suspect: true}}},
-		Budget:  []budget.Message{{Kind: budget.Ask, From: "a", To: "b", Epoch: 1, Life: 2, Key: "k", Seq: 3, Amount: 4.5, Using: 2}}}
+		Budget:  []budget.Message{{Kind: budget.Ask, From: "a", To: "b", Epoch: 1, Incarnation: 2, Key: "k", Seq: 3, Amount: 4.5, Using: 2}}}
 }
 
 func TestFrameRoundTrip(t *testing.T) {
@@ -41,7 +41,7 @@
 // reported as such.
 func TestWorkOfLargeFleetFitsAMessage(t *testing.T) {
 	e := example()
-	e.Counts = &counts.State{Router: "a", Life: 1, Version: 2, Work: map[string]counts.Work{}}
+	e.Counts = &counts.State{Router: "a", Incarnation: 1, Version: 2, Work: map[string]counts.Work{}}
 	for i := range 4096 {
 		e.Counts.Work[fmt.Sprintf("worker-%s-%08x", strings.Repeat("n", 48), i)] = counts.Work{Unread: 1e6 / 3, Held: 1e5 / 7}
 	}
--- a/fleet/node/front.go
+++ b/fleet/node/front.go
@@ -41,7 +41,7 @@
 	f := &Front{cfg: cfg, node: n, kinds: map[string]int{}, freshShare: 1, rules: attempts.New(attempts.Config{Front: cfg.Name,
 		RepeatsPerSecond: n.cfg.RepeatsPerSecond, ColdPerSecond: n.cfg.ColdPerSecond, WarmWithin: cfg.Settings.WarmWithin})}
 	if n.cfg.RepeatsPerSecond > 0 {
-		n.SetLimits(f.rules.Repeats(), map[string]float64{f.rules.Repeats(): n.cfg.RepeatsPerSecond}, now)
+		n.SetLimits(f.rules.RepeatsKey(), map[string]float64{f.rules.RepeatsKey(): n.cfg.RepeatsPerSecond}, now)
 	}
 	n.fronts = append(n.fronts, f)
 	return f
@@ -55,15 +55,15 @@
 	}
 	list := make([]attempts.Worker, len(lines))
 	for i, l := range lines {
-		list[i] = attempts.Worker{Name: l.Name, Since: l.Since, Gone: l.Removed}
+		list[i] = attempts.Worker{Name: l.Name, Since: l.Since, Removed: l.Removed}
 		f.kinds[l.Name] = l.Kind
 		if l.Removed {
 			delete(f.kinds, l.Name)
 		}
 	}
-	if f.rules.Listed(list, whole, wall, attempts.Time(now)) {
-		limits, _ := f.rules.Cold(attempts.Time(now))
-		f.node.SetLimits(f.rules.Prefix(), limits, now)
+	if f.rules.UpdateWorkers(list, whole, wall, attempts.Time(now)) {
+		limits, _ := f.rules.ColdLimits(attempts.Time(now))
+		f.node.SetLimits(f.rules.ColdPrefix(), limits, now)
 	}
 }
 
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -138,7 +138,7 @@
 	n.names = slices.Sorted(maps.Keys(cfg.Zones))
 	var err error
 	if n.ledger, err = budget.New(budget.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Incarnation, Epoch: cfg.settingsHash(n.names),
-		Lease: cfg.Lease, Drift: cfg.Drift, Floor: cfg.Floor, Burst: cfg.Burst, Tell: cfg.RecordMoves}, budget.Time(now)); err != nil {
+		Lease: cfg.Lease, Drift: cfg.Drift, Floor: cfg.Floor, Burst: cfg.Burst, RecordMoves: cfg.RecordMoves}, budget.Time(now)); err != nil {
 		return nil, err
 	}
 	if n.members, err = members.New(members.Config{Self: cfg.Self, Routers: n.names, Incarnation: cfg.Incarnation, Period: cfg.Period,
@@ -146,7 +146,7 @@
 		SuspectAfter: members.SuspicionTimeout(len(n.names), cfg.Period, cfg.Fanout, cfg.Digest)}, rng, members.Time(now)); err != nil {
 		return nil, err
 	}
-	if n.outliers, err = outlier.New(outlier.Config{Self: cfg.Self, Zones: cfg.Zones, Quorum: cfg.Quorum, MostOut: cfg.MaxOut, Least: cfg.MinFailures,
+	if n.outliers, err = outlier.New(outlier.Config{Self: cfg.Self, Zones: cfg.Zones, Quorum: cfg.Quorum, MaxOut: cfg.MaxOut, MinFailures: cfg.MinFailures,
 		Hold: cfg.Hold, Return: cfg.Return}, cfg.Incarnation); err != nil {
 		return nil, err
 	}
@@ -216,12 +216,12 @@
 			e.ZoneReport = n.zones.report(now)
 		}
 		if len(n.fronts) > 0 {
-			e.Judgements = n.outliers.Tell(outlier.Time(now))
+			e.Judgements = n.outliers.Judgements(outlier.Time(now))
 		}
 	}
 	if len(n.fronts) > 0 && n.cfg.CountsPeriod > 0 && now-n.countsSentAt >= n.cfg.CountsPeriod && !n.fenced {
 		n.countsSentAt = now
-		state := n.work.Tell()
+		state := n.work.NextState()
 		left := n.cfg.Fanout
 		for _, i := range n.rng.Perm(len(n.names)) {
 			if left > 0 && n.names[i] != n.cfg.Self {
@@ -238,8 +238,8 @@
 	n.detectChanges(now)
 	n.updateZones(now)
 	for _, f := range n.fronts {
-		if limits, changed := f.rules.Cold(attempts.Time(now)); changed {
-			n.SetLimits(f.rules.Prefix(), limits, now)
+		if limits, changed := f.rules.ColdLimits(attempts.Time(now)); changed {
+			n.SetLimits(f.rules.ColdPrefix(), limits, now)
 		}
 	}
 	return out
--- a/fleet/node/node_test.go
+++ b/fleet/node/node_test.go
@@ -276,7 +276,7 @@
 				f := newFleet(b, 1, workers, func(c *Config) { *c = testConfig("r-0", n) })
 				node := f.nodes["r-0"]
 				for i := 1; i < n; i++ {
-					s := counts.State{Router: fmt.Sprintf("r-%d", i), Life: 1, Version: 1, Work: map[string]counts.Work{}}
+					s := counts.State{Router: fmt.Sprintf("r-%d", i), Incarnation: 1, Version: 1, Work: map[string]counts.Work{}}
 					for j := range 20 {
 						s.Work[fmt.Sprintf("w-%d", (i*7+j)%workers)] = counts.Work{Unread: 100, Held: 50}
 					}
--- a/fleet/node/notices.go
+++ b/fleet/node/notices.go
@@ -23,8 +23,8 @@
 	}
 	life := n.members.Incarnation()
 	n.ledger.SetIncarnation(life)
-	n.outliers.SetLife(life)
-	n.work.SetLife(life)
+	n.outliers.SetIncarnation(life)
+	n.work.SetIncarnation(life)
 	if deaf := n.members.Isolated(members.Time(now)); deaf != n.isolated {
 		n.isolated = deaf
 		kind := IsolationEnded
--- a/fleet/node/workers.go
+++ b/fleet/node/workers.go
@@ -58,8 +58,8 @@
 		}
 	}
 	n.outliers.Judge(outlier.Time(now))
-	parts = n.outliers.Parts(workers, outlier.Time(now))
-	n.outliers.Keep(func(name string) bool { return known[name] })
+	parts = n.outliers.TrafficShares(workers, outlier.Time(now))
+	n.outliers.RetainListed(func(name string) bool { return known[name] })
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
 		if was, ok := n.parts[name]; parts[name] == 0 && (!ok || was > 0) {
 			n.notices = append(n.notices, Notice{Kind: WorkerOut, Name: name})
@@ -71,7 +71,7 @@
 		}
 	}
 	n.parts = parts
-	if n.cfg.CountsPeriod > 0 && now-n.loadsReportedAt >= n.cfg.CountsPeriod && len(n.names) > 1 && (n.loadsReportedAt > 0 || n.work.Heard(counts.Time(now)) > 0) {
+	if n.cfg.CountsPeriod > 0 && now-n.loadsReportedAt >= n.cfg.CountsPeriod && len(n.names) > 1 && (n.loadsReportedAt > 0 || n.work.PeerWeight(counts.Time(now)) > 0) {
 		n.loadsReportedAt = now
 		loads = n.peerLoads(lists, now)
 	}
--- a/fleet/node/zone_plan.go
+++ b/fleet/node/zone_plan.go
@@ -49,7 +49,7 @@
 type zoneReports struct {
 	load         []float64 // requests per second that enter at each zone
 	serving      []float64 // share of each zone's workers that serve; 1 without reports
-	observations []zone.Sight
+	observations []zone.Observation
 }
 
 // aggregate sums the reports. Only some of the other routers have reported recently, so the
@@ -68,7 +68,7 @@
 		loadReports[entry]++
 		for i, of := range all {
 			if attempts := report.Attempts[of]; attempts > 0 {
-				reports.observations = append(reports.observations, zone.Sight{From: from, Of: of, Tried: attempts, Bad: math.Min(report.Failures[of], attempts)})
+				reports.observations = append(reports.observations, zone.Observation{From: from, Of: of, Attempts: attempts, Failures: math.Min(report.Failures[of], attempts)})
 			}
 			if serving, ok := report.Serving[of]; ok {
 				reports.serving[i] += math.Min(serving, 1)
@@ -103,7 +103,7 @@
 
 // view returns the input for judging the zones while current is the map in force.
 func (z *zones) view(reports zoneReports, current *traffic.Map) zone.View {
-	view := zone.View{Capacities: map[string]zone.Capacity{}, Out: map[string]bool{}, Sights: reports.observations}
+	view := zone.View{Capacities: map[string]zone.Capacity{}, Out: map[string]bool{}, Observations: reports.observations}
 	for i, name := range z.cfg.Judge.Zones {
 		load := 0.0
 		for entry := range reports.load {
@@ -127,7 +127,7 @@
 		capacity := z.cfg.Capacity[v.Zone]
 		serving := reports.serving[i]
 		site.Zones = append(site.Zones, solver.Zone{Read: capacity.Read * serving * v.Level, Write: capacity.Write * serving * v.Level})
-		site.Demand = append(site.Demand, solver.Demand{Entry: i, Load: reports.load[i], Worth: 1})
+		site.Demand = append(site.Demand, solver.Demand{Entry: i, Load: reports.load[i], Value: 1})
 		for _, from := range v.Cut {
 			site.Seen[slices.Index(all, from)][i] = false
 		}
@@ -140,7 +140,7 @@
 	aim := traffic.Aim{Load: reports.load}
 	for i, v := range z.states {
 		aim.Level = append(aim.Level, v.Level)
-		aim.Bears = append(aim.Bears, math.Max(0, site.Zones[i].Read-view.Capacities[v.Zone].Load))
+		aim.Headroom = append(aim.Headroom, math.Max(0, site.Zones[i].Read-view.Capacities[v.Zone].Load))
 		if v.State != zone.Healthy && v.State != zone.Strained {
 			aim.Why += fmt.Sprintf("%s %s: %s; ", v.Zone, v.State, v.Why)
 		}
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -75,7 +75,7 @@
 	at          Time
 	peerReports map[string]peerZoneReport
 	judgedAt    Time
-	states      []zone.Verdict
+	states      []zone.Decision
 	plan        *solver.Plan // the latest solution: what the map moves towards
 	site        solver.Site  // the input of plan
 }
@@ -223,7 +223,7 @@
 // counts as reached.
 func (z *zones) reaches(name string) bool {
 	attempts := z.ownReport.Attempts[name]
-	return attempts < z.cfg.Judge.Least || z.ownReport.Failures[name] < z.cfg.Judge.Lost*attempts
+	return attempts < z.cfg.Judge.MinAttempts || z.ownReport.Failures[name] < z.cfg.Judge.Lost*attempts
 }
 
 // ZoneRouting says where this router's traffic goes, by zone.
@@ -254,7 +254,7 @@
 
 // ZoneView is the state of the zones for the console.
 type ZoneView struct {
-	States  []zone.Verdict
+	States  []zone.Decision
 	Map     *traffic.Map
 	Age     time.Duration
 	Best    *solver.Plan // the plan that the map moves towards
--- a/fleet/node/zones_test.go
+++ b/fleet/node/zones_test.go
@@ -21,7 +21,7 @@
 
 func zoneConfig() ZoneConfig {
 	c := ZoneConfig{Safe: 0.8, Capacity: map[string]solver.Zone{}, Terms: traffic.Terms{Fresh: 5 * time.Second, Fade: 20 * time.Second, Spill: 0.2},
-		Judge: zone.Config{Zones: zoneNames, Least: 3, Failing: 0.2, Lost: 0.8, Strain: 0.8, Confirm: time.Second, Hold: 20 * time.Second, Return: 10 * time.Second, Trial: 0.05},
+		Judge: zone.Config{Zones: zoneNames, MinAttempts: 3, Failing: 0.2, Lost: 0.8, Strain: 0.8, Confirm: time.Second, Hold: 20 * time.Second, Return: 10 * time.Second, Trial: 0.05},
 		Pace:  traffic.Pace{Every: time.Second, Up: 0.2, Back: 0.05, Band: 0.02, Burst: 12, PerMin: 20, Reserve: 4}}
 	for i, name := range zoneNames {
 		c.Capacity[name] = solver.Zone{Read: 100, Write: 100}
--- a/fleet/outlier/outlier.go
+++ b/fleet/outlier/outlier.go
@@ -61,14 +61,14 @@
 
 // Config lists the routers and sets the limits for taking workers out.
 type Config struct {
-	Self    string
-	Zones   map[string]string // zone of each router, including Self; "" is also a zone
-	Quorum  int               // routers that must agree, including this one
-	MostOut float64           // fraction of a group of workers that may be out, 0 to 0.5
+	Self   string
+	Zones  map[string]string // zone of each router, including Self; "" is also a zone
+	Quorum int               // routers that must agree, including this one
+	MaxOut float64           // fraction of a group of workers that may be out, 0 to 0.5
 	// Failures counted by all judging routers together that take a worker out.
-	Least  float64
-	Hold   time.Duration // validity of a judgement unless it is renewed
-	Return time.Duration // time until a returning worker has all of its traffic again
+	MinFailures float64
+	Hold        time.Duration // validity of a judgement unless it is renewed
+	Return      time.Duration // time until a returning worker has all of its traffic again
 }
 
 // ErrConfig is wrapped by the errors for an invalid Config.
@@ -81,10 +81,10 @@
 		return fmt.Errorf("%w: self is %q, not among the routers", ErrConfig, c.Self)
 	case c.Quorum < 1:
 		return fmt.Errorf("%w: quorum is %d, must be at least 1", ErrConfig, c.Quorum)
-	case !(c.MostOut >= 0 && c.MostOut <= 0.5):
-		return fmt.Errorf("%w: most_out is %v, must be from 0 to 0.5", ErrConfig, c.MostOut)
-	case !(c.Least > 0):
-		return fmt.Errorf("%w: least is %v, must be greater than 0", ErrConfig, c.Least)
+	case !(c.MaxOut >= 0 && c.MaxOut <= 0.5):
+		return fmt.Errorf("%w: most_out is %v, must be from 0 to 0.5", ErrConfig, c.MaxOut)
+	case !(c.MinFailures > 0):
+		return fmt.Errorf("%w: least is %v, must be greater than 0", ErrConfig, c.MinFailures)
 	case c.Hold <= 0 || c.Return < 0:
 		return fmt.Errorf("%w: hold is %v and return %v, want hold > 0 and return >= 0", ErrConfig, c.Hold, c.Return)
 	}
@@ -93,10 +93,10 @@
 
 // Judgement is one router's judgement of one worker.
 type Judgement struct {
-	Worker string `cbor:"1,keyasint"`
-	Since  int64  `cbor:"2,keyasint"` // the worker's incarnation
-	Origin string `cbor:"3,keyasint"` // the router that judges
-	Life   uint64 `cbor:"4,keyasint"` // incarnation of Origin
+	Worker      string `cbor:"1,keyasint"`
+	Since       int64  `cbor:"2,keyasint"` // the worker's incarnation
+	Origin      string `cbor:"3,keyasint"` // the router that judges
+	Incarnation uint64 `cbor:"4,keyasint"` // incarnation of Origin
 	// Judgements with a higher number replace earlier ones of the same origin.
 	Seq    uint64  `cbor:"5,keyasint"`
 	Fault  Fault   `cbor:"6,keyasint"` // None withdraws the judgement
@@ -149,9 +149,9 @@
 		returning: map[string]Time{}, out: map[string]bool{}}, nil
 }
 
-// SetLife sets a newer incarnation for this process. Its judgements carry it from the next one on,
+// SetIncarnation sets a newer incarnation for this process. Its judgements carry it from the next one on,
 // and earlier ones are made again.
-func (d *Detector) SetLife(incarnation uint64) {
+func (d *Detector) SetIncarnation(incarnation uint64) {
 	if incarnation <= d.incarnation {
 		return
 	}
@@ -201,8 +201,8 @@
 	}
 }
 
-// Keep drops the state of workers that are not listed any more.
-func (d *Detector) Keep(listed func(worker string) bool) {
+// RetainListed drops the state of workers that are not listed any more.
+func (d *Detector) RetainListed(listed func(worker string) bool) {
 	maps.DeleteFunc(d.evidence, func(name string, _ *evidence) bool { return !listed(name) })
 	maps.DeleteFunc(d.judgements, func(name string, _ map[string]*timedJudgement) bool { return !listed(name) })
 	maps.DeleteFunc(d.returning, func(name string, _ Time) bool { return !listed(name) })
@@ -223,7 +223,7 @@
 		}
 	}
 	// If most workers appear faulty, the fault is at this router.
-	ownFault := judged > 2 && float64(failing) > d.cfg.MostOut*float64(judged)
+	ownFault := judged > 2 && float64(failing) > d.cfg.MaxOut*float64(judged)
 	for _, name := range slices.Sorted(maps.Keys(d.evidence)) {
 		e := d.evidence[name]
 		b, mainFault := e.failures()
@@ -274,9 +274,9 @@
 	}
 }
 
-// Tell returns the judgements for a message to another router: the own ones, then others' in
+// Judgements returns the judgements for a message to another router: the own ones, then others' in
 // rotation.
-func (d *Detector) Tell(now Time) []Judgement {
+func (d *Detector) Judgements(now Time) []Judgement {
 	var own, others []Judgement
 	for _, name := range slices.Sorted(maps.Keys(d.judgements)) {
 		for _, origin := range slices.Sorted(maps.Keys(d.judgements[name])) {
@@ -315,7 +315,7 @@
 			continue
 		}
 		was := d.judgements[j.Worker][j.Origin]
-		if was != nil && (j.Life < was.Life || j.Life == was.Life && j.Seq <= was.Seq) {
+		if was != nil && (j.Incarnation < was.Incarnation || j.Incarnation == was.Incarnation && j.Seq <= was.Seq) {
 			continue
 		}
 		d.store(&timedJudgement{j, now + Time(min(left, maxHold))})
@@ -350,9 +350,9 @@
 	return len(zones) < 2 || len(agreeing) > 1
 }
 
-// Parts returns the fraction of its traffic for each worker that does not get all of it: 0 for
+// TrafficShares returns the fraction of its traffic for each worker that does not get all of it: 0 for
 // workers that are out, more for those that return.
-func (d *Detector) Parts(workers []Worker, now Time) map[string]float64 {
+func (d *Detector) TrafficShares(workers []Worker, now Time) map[string]float64 {
 	unreliable := d.unreliable(workers, now)
 	type candidate struct {
 		Worker
@@ -364,7 +364,7 @@
 	for _, w := range workers {
 		kinds[w.Kind]++
 		zones[w.Zone]++
-		if by, bad := d.agreed(w, unreliable, now); d.hasQuorum(by) && bad >= d.cfg.Least {
+		if by, bad := d.agreed(w, unreliable, now); d.hasQuorum(by) && bad >= d.cfg.MinFailures {
 			list = append(list, candidate{w, len(by), bad})
 		}
 	}
@@ -405,7 +405,7 @@
 }
 
 // maxOut is how many workers of a group may be out.
-func (d *Detector) maxOut(group int) int { return int(d.cfg.MostOut * float64(group)) }
+func (d *Detector) maxOut(group int) int { return int(d.cfg.MaxOut * float64(group)) }
 
 // unreliable returns the routers that judge more workers than may ever be out.
 func (d *Detector) unreliable(workers []Worker, now Time) map[string]bool {
--- a/fleet/outlier/outlier_test.go
+++ b/fleet/outlier/outlier_test.go
@@ -13,7 +13,7 @@
 )
 
 func config(self string, zones ...string) Config {
-	c := Config{Self: self, Zones: map[string]string{}, Quorum: 2, MostOut: 0.3, Least: 3, Hold: 3 * time.Second, Return: 4 * time.Second}
+	c := Config{Self: self, Zones: map[string]string{}, Quorum: 2, MaxOut: 0.3, MinFailures: 3, Hold: 3 * time.Second, Return: 4 * time.Second}
 	for i, z := range zones {
 		c.Zones[fmt.Sprintf("r%d", i)] = z
 	}
@@ -36,7 +36,7 @@
 
 // say makes another router's judgement of a worker.
 func say(origin, worker string, seq uint64) Judgement {
-	return Judgement{Worker: worker, Since: 1, Origin: origin, Life: 1, Seq: seq, Fault: Errors, Bad: 2, LeftMs: 3000}
+	return Judgement{Worker: worker, Since: 1, Origin: origin, Incarnation: 1, Seq: seq, Fault: Errors, Bad: 2, LeftMs: 3000}
 }
 
 func TestWhoMayTakeAWorkerOut(t *testing.T) {
@@ -54,19 +54,19 @@
 		{"two of two zones", []string{"b", "a", "b"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, true},
 		{"one of them twice", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r1", "w00", 2)}, false},
 		{"one withdraws it", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1),
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 2, LeftMs: 3000}}, false},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 2, LeftMs: 3000}}, false},
 		{"the withdrawal arrives late", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 9),
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 2, LeftMs: 3000}}, true},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 2, LeftMs: 3000}}, true},
 		{"an unknown router", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r7", "w00", 1)}, false},
 		{"an earlier incarnation", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
-			{Worker: "w00", Since: 0, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
+			{Worker: "w00", Since: 0, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
 		{"invalid values", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: 99, Bad: 2, LeftMs: 3000},
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: math.NaN(), LeftMs: 3000},
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 1 << 31},
-			{Worker: "w00", Since: 1, Origin: "r0", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
-		{"too few failures together", []string{"a", "a", "a"}, []Judgement{{Worker: "w00", Since: 1, Origin: "r1", Life: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000},
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000}}, false},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: 99, Bad: 2, LeftMs: 3000},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: math.NaN(), LeftMs: 3000},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 1 << 31},
+			{Worker: "w00", Since: 1, Origin: "r0", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
+		{"too few failures together", []string{"a", "a", "a"}, []Judgement{{Worker: "w00", Since: 1, Origin: "r1", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000}}, false},
 		{"a router that judges all workers", []string{"a", "a", "a"}, func() (out []Judgement) {
 			for i := range 10 {
 				out = append(out, say("r2", fmt.Sprintf("w%02d", i), uint64(i+1)))
@@ -76,7 +76,7 @@
 	} {
 		c := detector(t, config("r0", tc.zones...))
 		c.Receive(tc.judgements, now)
-		_, out := c.Parts(pool(10), now)["w00"]
+		_, out := c.TrafficShares(pool(10), now)["w00"]
 		require.Equal(t, tc.out, out, tc.name)
 	}
 }
@@ -93,19 +93,19 @@
 	}
 	a.Judge(now)
 	b.Judge(now)
-	require.NotContains(t, a.Parts(pool(10), now), "w03", "one router alone takes no worker out")
-	a.Receive(b.Tell(now), now)
-	require.Equal(t, map[string]float64{"w03": 0}, a.Parts(pool(10), now))
+	require.NotContains(t, a.TrafficShares(pool(10), now), "w03", "one router alone takes no worker out")
+	a.Receive(b.Judgements(now), now)
+	require.Equal(t, map[string]float64{"w03": 0}, a.TrafficShares(pool(10), now))
 	k := a.Case("w03", now)
 	require.True(t, k.Out)
 	require.Len(t, k.By, 2)
 	again := pool(10)
 	again[3].Since = 2
-	require.NotContains(t, detector(t, config("r0", "x", "x")).Parts(again, now), "w03")
+	require.NotContains(t, detector(t, config("r0", "x", "x")).TrafficShares(again, now), "w03")
 	now += Time(3 * time.Second)
 	var steps []float64
 	for range 6 {
-		p, ok := a.Parts(pool(10), now)["w03"]
+		p, ok := a.TrafficShares(pool(10), now)["w03"]
 		if !ok {
 			p = 1
 		}
@@ -121,16 +121,16 @@
 	now := Time(time.Hour)
 	a, b := detector(t, config("r0", "x", "x")), detector(t, config("r1", "x", "x"))
 	// From its predecessor.
-	a.Receive([]Judgement{{Worker: "w03", Since: 1, Origin: "r1", Life: 9, Seq: 50, LeftMs: 3000}}, now)
+	a.Receive([]Judgement{{Worker: "w03", Since: 1, Origin: "r1", Incarnation: 9, Seq: 50, LeftMs: 3000}}, now)
 	for i := range 40 {
 		b.Observe(fmt.Sprintf("w%02d", i%10), 1, map[bool]Fault{true: Errors}[i%10 == 3], now)
 	}
 	b.Judge(now)
-	a.Receive(b.Tell(now), now)
+	a.Receive(b.Judgements(now), now)
 	require.Equal(t, None, a.Case("w03", now).By[0].Fault, "of an older incarnation")
-	b.SetLife(10)
+	b.SetIncarnation(10)
 	b.Judge(now)
-	a.Receive(b.Tell(now), now)
+	a.Receive(b.Judgements(now), now)
 	require.Equal(t, Errors, a.Case("w03", now).By[0].Fault)
 }
 
@@ -142,7 +142,7 @@
 		c.Observe(fmt.Sprintf("w%02d", i%10), 1, map[bool]Fault{true: Connect}[i%10 < 6], now)
 	}
 	c.Judge(now)
-	require.Empty(t, c.Tell(now))
+	require.Empty(t, c.Judgements(now))
 }
 
 // For any judgements, no more than the stated share of a kind or a zone is out, and no worker is
@@ -165,7 +165,7 @@
 			}
 			c.Judge(now)
 			out := map[string]int{}
-			for name, part := range c.Parts(workers, now) {
+			for name, part := range c.TrafficShares(workers, now) {
 				for _, w := range workers {
 					if w.Name == name && part == 0 {
 						out["kind "+w.Kind]++
@@ -212,19 +212,19 @@
 					w := rng.IntN(20)
 					c.Observe(fmt.Sprintf("w%02d", w), 1, map[bool]Fault{true: Errors}[w == 0], now)
 				}
-				if e := c.evidence["w00"]; aloneAt[i] == 0 && e != nil && e.bad[Errors] >= c.cfg.Least {
+				if e := c.evidence["w00"]; aloneAt[i] == 0 && e != nil && e.bad[Errors] >= c.cfg.MinFailures {
 					aloneAt[i] = now - begin
 				}
 				if sharedAt[i] == 0 {
 					left++
 					c.Judge(now)
-					if p, ok := c.Parts(pool(20), now)["w00"]; ok && p == 0 {
+					if p, ok := c.TrafficShares(pool(20), now)["w00"]; ok && p == 0 {
 						sharedAt[i] = now - begin
 					}
 				}
 				if (now/Time(tick))%5 == 0 { // twice per second to two others
 					for range 2 {
-						detectors[rng.IntN(n)].Receive(c.Tell(now), now)
+						detectors[rng.IntN(n)].Receive(c.Judgements(now), now)
 					}
 				}
 			}
@@ -252,7 +252,7 @@
 func TestFaultyConfig(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		`self is "x"`: func(c *Config) { c.Self = "x" }, "quorum is 0": func(c *Config) { c.Quorum = 0 },
-		"most_out is 0.9": func(c *Config) { c.MostOut = 0.9 }, "least is 0": func(c *Config) { c.Least = 0 },
+		"most_out is 0.9": func(c *Config) { c.MaxOut = 0.9 }, "least is 0": func(c *Config) { c.MinFailures = 0 },
 		"hold is 0s": func(c *Config) { c.Hold = 0 },
 	} {
 		c := config("r0", "a")
--- a/fleet/solver/network.go
+++ b/fleet/solver/network.go
@@ -58,7 +58,7 @@
 		net.entering[d.Entry] += units
 		net.add(source, net.demand+i, units, 0)
 		net.add(net.demand+i, net.entry+d.Entry, units, 0)
-		net.shed = append(net.shed, net.add(net.demand+i, net.sink, units, shedCost+int(d.Worth*worthCost)))
+		net.shed = append(net.shed, net.add(net.demand+i, net.sink, units, shedCost+int(d.Value*worthCost)))
 	}
 }
 
--- a/fleet/solver/solver.go
+++ b/fleet/solver/solver.go
@@ -46,7 +46,7 @@
 type Demand struct {
 	Entry int
 	Load  float64
-	Worth float64 // value per unit, 0 to 1: the lowest value is shed first
+	Value float64 // value per unit, 0 to 1: the lowest value is shed first
 }
 
 // Plan states where the traffic of each entry goes.
@@ -99,8 +99,8 @@
 		}
 	}
 	for i, d := range s.Demand {
-		if d.Entry < 0 || d.Entry >= n || !(d.Load >= 0) || math.IsInf(d.Load, 0) || !(d.Worth >= 0 && d.Worth <= 1) {
-			return bad("invalid demand %d: %v at %d of value %v", i, d.Load, d.Entry, d.Worth)
+		if d.Entry < 0 || d.Entry >= n || !(d.Load >= 0) || math.IsInf(d.Load, 0) || !(d.Value >= 0 && d.Value <= 1) {
+			return bad("invalid demand %d: %v at %d of value %v", i, d.Load, d.Entry, d.Value)
 		}
 	}
 	if len(s.Far) != n || s.Room != nil && len(s.Room) != n || s.Seen != nil && len(s.Seen) != n {
--- a/fleet/solver/solver_test.go
+++ b/fleet/solver/solver_test.go
@@ -28,7 +28,7 @@
 		s.Zones = append(s.Zones, Zone{read[z], write[z]})
 	}
 	for e, l := range loads {
-		s.Demand = append(s.Demand, Demand{Entry: e, Load: l, Worth: 1})
+		s.Demand = append(s.Demand, Demand{Entry: e, Load: l, Value: 1})
 	}
 	return s
 }
@@ -109,7 +109,7 @@
 	through := make([]float64, n)
 	entry := make([]float64, n)
 	for i, d := range s.Demand {
-		shed += p.Shed[i] * d.Load * (1 + d.Worth)
+		shed += p.Shed[i] * d.Load * (1 + d.Value)
 		entry[d.Entry] += d.Load
 	}
 	for a := range n {
@@ -177,7 +177,7 @@
 		}
 		d := s.Demand[i]
 		if pair == n*n { // the rest is shed
-			x := float64(left) * load[i] * (1 + d.Worth)
+			x := float64(left) * load[i] * (1 + d.Value)
 			shed += x
 			place(i, 0, 0)
 			shed -= x
--- a/fleet/straggler/fence.go
+++ b/fleet/straggler/fence.go
@@ -26,11 +26,11 @@
 	return &Fence{window: window, grace: grace, until: now + Time(window)}
 }
 
-// Look records a check for the newest versions that was begun at the time asked. lag is the number
+// Update records a check for the newest versions that was begun at the time asked. lag is the number
 // of versions by which the router lags, and answered is whether an answer was received that was
 // given after that time. The check that detects a suspension may have been begun before it, so it
 // does not open the fence.
-func (f *Fence) Look(lag uint64, answered bool, asked, now Time) {
+func (f *Fence) Update(lag uint64, answered bool, asked, now Time) {
 	switch {
 	case now > f.until && !f.closed:
 		f.closed, f.resumedAt = true, now
@@ -40,5 +40,5 @@
 	f.until = asked + Time(f.window)
 }
 
-// May reports whether new requests may be sent.
-func (f *Fence) May(now Time) bool { return !f.closed && now <= f.until }
+// Open reports whether new requests may be sent.
+func (f *Fence) Open(now Time) bool { return !f.closed && now <= f.until }
--- a/fleet/straggler/straggler.go
+++ b/fleet/straggler/straggler.go
@@ -53,9 +53,9 @@
 	Versions uint64        // lag, in versions over all parts, from which a router counts as lagging
 	Grace    time.Duration // time to catch up
 	// Maximum age of the last confirmation of the newest versions; 0: unlimited.
-	MostAge  time.Duration
-	MostShut float64 // fraction of the routers that may be shut out, 0 to 0.5
-	Rate     float64 // routers per second, over the fleet, that may ask to catch up
+	MaxAge  time.Duration
+	MaxShut float64 // fraction of the routers that may be shut out, 0 to 0.5
+	Rate    float64 // routers per second, over the fleet, that may ask to catch up
 	// How long a router must be up to date before it is readmitted; doubled each time it was shut
 	// out again recently.
 	Steady time.Duration
@@ -79,31 +79,31 @@
 		return fmt.Errorf("%w: rank is %d, must be from 0 to %d", ErrConfig, c.Rank, c.Routers-1)
 	case c.Versions < 1:
 		return fmt.Errorf("%w: versions is %d, must be at least 1", ErrConfig, c.Versions)
-	case c.Grace <= 0 || c.MostAge < 0 || c.Steady < 0:
-		return fmt.Errorf("%w: grace is %v, most_age %v and steady %v, want grace > 0, most_age >= 0 and steady >= 0", ErrConfig, c.Grace, c.MostAge, c.Steady)
-	case !(c.MostShut >= 0 && c.MostShut <= 0.5):
-		return fmt.Errorf("%w: most_shut is %v, must be from 0 to 0.5", ErrConfig, c.MostShut)
+	case c.Grace <= 0 || c.MaxAge < 0 || c.Steady < 0:
+		return fmt.Errorf("%w: grace is %v, most_age %v and steady %v, want grace > 0, most_age >= 0 and steady >= 0", ErrConfig, c.Grace, c.MaxAge, c.Steady)
+	case !(c.MaxShut >= 0 && c.MaxShut <= 0.5):
+		return fmt.Errorf("%w: most_shut is %v, must be from 0 to 0.5", ErrConfig, c.MaxShut)
 	case !(c.Rate > 0):
 		return fmt.Errorf("%w: rate is %v, must be greater than 0", ErrConfig, c.Rate)
 	}
 	return nil
 }
 
-// Most is how many routers may be shut out at a time.
-func (c *Config) Most() int { return int(c.MostShut * float64(c.Routers)) }
+// MaxShutOut is how many routers may be shut out at a time.
+func (c *Config) MaxShutOut() int { return int(c.MaxShut * float64(c.Routers)) }
 
 // Slots is how many of them need a slot from the store; the rest are determined by rank.
-func (c *Config) Slots() int { return (c.Most() + 1) / 2 }
+func (c *Config) Slots() int { return (c.MaxShutOut() + 1) / 2 }
 
 // ranked reports whether this router may shut itself out without a slot.
-func (c *Config) ranked() bool { return c.Rank < c.Most()-c.Slots() }
+func (c *Config) ranked() bool { return c.Rank < c.MaxShutOut()-c.Slots() }
 
 // View is what a router knows.
 type View struct {
-	Held   version.Vector // versions that it acts on
-	Newest version.Vector // the newest versions it has been informed of
-	Heard  Time           // when Newest was last confirmed by another router or the store
-	Slot   bool           // the store has assigned it a slot that it still holds
+	Held        version.Vector // versions that it acts on
+	Newest      version.Vector // the newest versions it has been informed of
+	ConfirmedAt Time           // when Newest was last confirmed by another router or the store
+	Slot        bool           // the store has assigned it a slot that it still holds
 }
 
 // ActionKind is the type of an Action.
@@ -111,12 +111,12 @@
 
 // The kinds of Action.
 const (
-	BringUp  ActionKind = iota + 1 // request the missing versions
-	AskSlot                        // request a slot from the store; idempotent
-	GiveSlot                       // return the slot
+	CatchUp     ActionKind = iota + 1 // request the missing versions
+	RequestSlot                       // request a slot from the store; idempotent
+	ReturnSlot                        // return the slot
 	// Accept no new requests and return what is borrowed, for the reason Why.
 	Shut
-	LetIn // accept new requests again, under a new epoch
+	Readmit // accept new requests again, under a new epoch
 )
 
 // Action is something that the caller must do.
@@ -154,24 +154,24 @@
 func (m *Machine) State() State { return m.state }
 
 // Age is the time since the newest versions were last confirmed.
-func Age(v View, now Time) time.Duration { return time.Duration(max(now-v.Heard, 0)) }
+func Age(v View, now Time) time.Duration { return time.Duration(max(now-v.ConfirmedAt, 0)) }
 
 // Step processes the current view and returns the actions to take. Call it several times per Grace
 // and whenever the view changes.
 func (m *Machine) Step(v View, now Time) []Action {
-	lag := v.Held.Behind(v.Newest)
+	lag := v.Held.Lag(v.Newest)
 	lagging := lag >= m.cfg.Versions
-	if m.state != Current && m.target != nil && v.Held.Behind(m.target) == 0 {
+	if m.state != Current && m.target != nil && v.Held.Lag(m.target) == 0 {
 		// It makes progress: under a steady stream of new versions no router ever holds the newest.
 		m.since, m.target = now, maps.Clone(v.Newest)
 	}
-	old := m.cfg.MostAge > 0 && Age(v, now) > m.cfg.MostAge
+	old := m.cfg.MaxAge > 0 && Age(v, now) > m.cfg.MaxAge
 	if m.state == ShutOut {
 		return m.stepShutOut(lag > 0 && now-m.since >= Time(m.cfg.Grace/catchUpsPerGrace), old, v, now)
 	}
 	var out []Action
 	if v.Slot { // requested before it caught up and assigned afterwards
-		out = append(out, Action{Kind: GiveSlot})
+		out = append(out, Action{Kind: ReturnSlot})
 	}
 	if old && m.cfg.ranked() {
 		return append(out, m.shutOut(now, true, fmt.Sprintf("no word of what is newest for %v", Age(v, now).Round(time.Millisecond)))...)
@@ -192,7 +192,7 @@
 	if now >= m.catchUpAt {
 		m.state = CatchingUp
 		m.catchUpAt = now + Time(m.cfg.Grace/catchUpsPerGrace)
-		out = append(out, Action{Kind: BringUp})
+		out = append(out, Action{Kind: CatchUp})
 	}
 	if now-m.since < Time(m.cfg.Grace) || m.cfg.Slots() == 0 {
 		return out
@@ -203,7 +203,7 @@
 	}
 	if now-m.slotAskedAt >= Time(m.cfg.Grace/slotRequestsPerGrace) {
 		m.slotAskedAt = now
-		out = append(out, Action{Kind: AskSlot})
+		out = append(out, Action{Kind: RequestSlot})
 	}
 	return out
 }
@@ -233,7 +233,7 @@
 		m.steadySince = -1
 		if now >= m.catchUpAt {
 			m.catchUpAt = now + Time(m.cfg.Grace/catchUpsPerGrace)
-			return []Action{{Kind: BringUp}}
+			return []Action{{Kind: CatchUp}}
 		}
 		return nil
 	}
@@ -248,9 +248,9 @@
 
 func (m *Machine) readmit(v View, now Time) []Action {
 	m.state, m.since = Current, now
-	out := []Action{{Kind: LetIn}}
+	out := []Action{{Kind: Readmit}}
 	if v.Slot {
-		out = append(out, Action{Kind: GiveSlot})
+		out = append(out, Action{Kind: ReturnSlot})
 	}
 	return out
 }
--- a/fleet/straggler/straggler_test.go
+++ b/fleet/straggler/straggler_test.go
@@ -22,7 +22,7 @@
 )
 
 func config(n, rank int) Config {
-	return Config{Routers: n, Rank: rank, Versions: 1, Grace: grace, MostAge: 30 * time.Second, MostShut: 0.25, Rate: 20, Steady: time.Second}
+	return Config{Routers: n, Rank: rank, Versions: 1, Grace: grace, MaxAge: 30 * time.Second, MaxShut: 0.25, Rate: 20, Steady: time.Second}
 }
 
 // world simulates routers with a store that hands out slots. The store's answers may be lost.
@@ -50,7 +50,7 @@
 		m, err := New(cfg, rand.New(rand.NewPCG(uint64(i), uint64(n))))
 		require.NoError(t, err)
 		w.machines = append(w.machines, m)
-		w.views = append(w.views, View{Held: version.Vector{"c": 1}, Newest: version.Vector{"c": 1}, Heard: w.now})
+		w.views = append(w.views, View{Held: version.Vector{"c": 1}, Newest: version.Vector{"c": 1}, ConfirmedAt: w.now})
 	}
 	return w
 }
@@ -59,29 +59,29 @@
 func (w *world) step(i int, lose bool) {
 	v := &w.views[i]
 	if !w.cut[i] {
-		v.Newest, v.Heard = version.Vector{"c": w.newest}, w.now
+		v.Newest, v.ConfirmedAt = version.Vector{"c": w.newest}, w.now
 		v.Slot = w.slots[i]
 	}
 	for _, a := range w.machines[i].Step(*v, w.now) {
 		switch a.Kind {
-		case BringUp:
+		case CatchUp:
 			w.asks = append(w.asks, w.now)
 			if !w.cut[i] && !w.stuck[i] {
 				v.Held = version.Vector{"c": w.newest}
 			}
-		case AskSlot:
+		case RequestSlot:
 			if !w.cut[i] && (len(w.slots) < w.cfg.Slots() || w.slots[i]) {
 				w.slots[i] = true
 				v.Slot = !lose
 			}
-		case GiveSlot:
+		case ReturnSlot:
 			if !w.cut[i] {
 				delete(w.slots, i)
 				v.Slot = false
 			}
 		case Shut:
 			w.shut[i] = true
-		case LetIn:
+		case Readmit:
 			w.shut[i] = false
 		}
 	}
@@ -101,7 +101,7 @@
 		for i := range w.machines {
 			w.step(i, false)
 		}
-		require.LessOrEqual(t, w.out(), w.cfg.Most(), "at %v", time.Duration(w.now))
+		require.LessOrEqual(t, w.out(), w.cfg.MaxShutOut(), "at %v", time.Duration(w.now))
 	}
 }
 
@@ -168,7 +168,7 @@
 		w.run(t, 29*time.Second)
 		require.Zero(t, w.out(), "the age is not reached")
 		w.run(t, time.Minute)
-		require.Equal(t, w.cfg.Most()-w.cfg.Slots(), w.out(), "%d routers", n)
+		require.Equal(t, w.cfg.MaxShutOut()-w.cfg.Slots(), w.out(), "%d routers", n)
 		for i := range n {
 			w.cut[i] = false
 		}
@@ -179,7 +179,7 @@
 
 // A router that begins to lag again and again is readmitted later each time.
 func TestFlappingIsLetInLater(t *testing.T) {
-	w := newWorld(t, 8, func(c *Config) { c.MostAge = 0 })
+	w := newWorld(t, 8, func(c *Config) { c.MaxAge = 0 })
 	var away []time.Duration
 	for range 5 {
 		w.stuck[0] = true
@@ -230,7 +230,7 @@
 			default:
 				w.step(i, rapid.Bool().Draw(t, "lost"))
 			}
-			require.LessOrEqual(t, w.out(), w.cfg.Most())
+			require.LessOrEqual(t, w.out(), w.cfg.MaxShutOut())
 			require.LessOrEqual(t, len(w.slots), w.cfg.Slots())
 			for i, m := range w.machines {
 				require.Equal(t, m.State() == ShutOut, w.shut[i])
@@ -259,7 +259,7 @@
 	moves = append(moves, move{4, 0}, move{5, 0}, move{6, 0})
 	seen := map[string]bool{}
 	play := func(path []move) *world {
-		w := newWorld(t, n, func(c *Config) { c.MostShut = 0.5 })
+		w := newWorld(t, n, func(c *Config) { c.MaxShut = 0.5 })
 		for _, m := range path {
 			switch m.what {
 			case 0:
@@ -288,7 +288,7 @@
 		var next [][]move
 		for _, path := range paths {
 			w := play(path)
-			require.LessOrEqual(t, w.out(), w.cfg.Most(), "%v", path)
+			require.LessOrEqual(t, w.out(), w.cfg.MaxShutOut(), "%v", path)
 			require.LessOrEqual(t, len(w.slots), w.cfg.Slots(), "%v", path)
 			key := fmt.Sprint(w.now, w.newest, w.slots, w.cut, w.stuck, w.shut)
 			for i, m := range w.machines {
@@ -330,7 +330,7 @@
 
 func TestFaultyConfigs(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){"routers": func(c *Config) { c.Routers = 0 }, "rank": func(c *Config) { c.Rank = 8 },
-		"versions": func(c *Config) { c.Versions = 0 }, "grace": func(c *Config) { c.Grace = 0 }, "most_shut": func(c *Config) { c.MostShut = 0.6 },
+		"versions": func(c *Config) { c.Versions = 0 }, "grace": func(c *Config) { c.Grace = 0 }, "most_shut": func(c *Config) { c.MaxShut = 0.6 },
 		"rate": func(c *Config) { c.Rate = 0 }} {
 		cfg := config(8, 0)
 		spoil(&cfg)
@@ -382,14 +382,14 @@
 		"lagging until the grace ends": {{0, 10 * ms, 7, true, false}, {4200 * ms, 4200 * ms, 7, true, true}},
 	} {
 		f := NewFence(window, grace, at(0))
-		f.Look(9, true, at(window), at(window)) // a lag alone does not close the fence
-		require.True(t, f.May(at(2*window)), name)
-		require.False(t, f.May(at(2*window+1)), name)
+		f.Update(9, true, at(window), at(window)) // a lag alone does not close the fence
+		require.True(t, f.Open(at(2*window)), name)
+		require.False(t, f.Open(at(2*window+1)), name)
 		resumed := at(time.Minute)
-		require.False(t, f.May(resumed), name)
+		require.False(t, f.Open(resumed), name)
 		for _, l := range checks {
-			f.Look(l.lag, l.answered, resumed+Time(l.asked), resumed+Time(l.now))
-			require.Equal(t, l.open, f.May(resumed+Time(l.now)), "%s, %v after", name, l.now)
+			f.Update(l.lag, l.answered, resumed+Time(l.asked), resumed+Time(l.now))
+			require.Equal(t, l.open, f.Open(resumed+Time(l.now)), "%s, %v after", name, l.now)
 		}
 	}
 }
--- a/fleet/traffic/step.go
+++ b/fleet/traffic/step.go
@@ -46,14 +46,14 @@
 	Load        []float64 // of each entry, in one unit
 	// Load that a zone can gain in this step at its present warmth, a bound in addition to Up;
 	// negative: not bounded.
-	Bears []float64
+	Headroom []float64
 	// Part of each zone's capacity that may be used; at 0 the zone may not be used at all.
 	Level   []float64
 	Why, By string
 }
 
-// Most is the maximum number of maps made in a time, for any input.
-func (p *Pace) Most(in time.Duration) float64 { return float64(p.Burst) + p.PerMin*in.Minutes() + 1 }
+// MaxMaps is the maximum number of maps made in a time, for any input.
+func (p *Pace) MaxMaps(in time.Duration) float64 { return float64(p.Burst) + p.PerMin*in.Minutes() + 1 }
 
 // Step returns the next map between the current one and the aim, with the next epoch, or nil if
 // there is nothing to move yet. The current map must have the zones of the aim, in the same order.
@@ -124,8 +124,8 @@
 		part := 1.0
 		if more > 0 {
 			room := s.pace.Up * total
-			if aim.Bears[z] >= 0 {
-				room = math.Min(room, aim.Bears[z])
+			if aim.Headroom[z] >= 0 {
+				room = math.Min(room, aim.Headroom[z])
 			}
 			part = math.Min(1, room/more)
 		}
@@ -203,8 +203,8 @@
 	minSent              = 5.0  // recent requests below which the factors don't change
 )
 
-// Sent records a request that was sent to a zone, by its index.
-func (b *Balance) Sent(zone, zones int, at Time) {
+// RecordSent records a request that was sent to a zone, by its index.
+func (b *Balance) RecordSent(zone, zones int, at Time) {
 	b.grow(zones)
 	b.decay(at)
 	b.sent[zone]++
@@ -226,9 +226,9 @@
 	}
 }
 
-// Figures returns the cost factor of each zone, given the target shares and whether each zone may
+// Factors returns the cost factor of each zone, given the target shares and whether each zone may
 // be used. Call it a few times per second.
-func (b *Balance) Figures(shares []float64, may []bool, own int, at Time) []float64 {
+func (b *Balance) Factors(shares []float64, may []bool, own int, at Time) []float64 {
 	b.grow(len(shares))
 	b.decay(at)
 	all := 0.0
--- a/fleet/traffic/traffic_test.go
+++ b/fleet/traffic/traffic_test.go
@@ -102,7 +102,7 @@
 	pace     Pace
 	now      Map
 	at       Time
-	states   []zone.Verdict
+	states   []zone.Decision
 	maps     int
 	cutLinks map[[2]int]bool
 	served   float64
@@ -117,7 +117,7 @@
 		w.names = append(w.names, fmt.Sprint("z", i))
 	}
 	w.now = local(w.names...)
-	w.cfg = zone.Config{Zones: w.names, Least: 5, Failing: 0.2, Lost: 0.8, Strain: 0.85, Confirm: second, Hold: 5 * second, Return: 20 * second, Trial: 0.05}
+	w.cfg = zone.Config{Zones: w.names, MinAttempts: 5, Failing: 0.2, Lost: 0.8, Strain: 0.85, Confirm: second, Hold: 5 * second, Return: 20 * second, Trial: 0.05}
 	w.pace = Pace{Every: second, Up: 0.2, Back: 0.05, Band: 0.02, Burst: 12, PerMin: 20, Reserve: 4}
 	var err error
 	w.monitor, err = zone.New(w.cfg, zone.Time(w.at))
@@ -155,11 +155,11 @@
 					w.served += sent * math.Min(1, w.actual[z]/in[z])
 				}
 				if sent > 0 {
-					view.Sights = append(view.Sights, zone.Sight{From: w.names[e], Of: w.names[z], Tried: sent, Bad: sent * bad})
+					view.Observations = append(view.Observations, zone.Observation{From: w.names[e], Of: w.names[z], Attempts: sent, Failures: sent * bad})
 				}
 				// Routers always send a little traffic to each other's zones, since sessions stay
 				// at their workers.
-				view.Sights = append(view.Sights, zone.Sight{From: w.names[e], Of: w.names[z], Tried: 6, Bad: 6 * bad})
+				view.Observations = append(view.Observations, zone.Observation{From: w.names[e], Of: w.names[z], Attempts: 6, Failures: 6 * bad})
 			}
 			w.asked += w.load[e] * (1 - sum(w.now.Read[e])) // shed
 		}
@@ -168,12 +168,12 @@
 		}
 		w.states = w.monitor.Judge(view, zone.Time(w.at))
 		site := solver.Site{Far: make([][]float64, n), Seen: make([][]bool, n), Safe: 0.8}
-		aim := Aim{Load: w.load, Why: "virtual", By: "r", Bears: make([]float64, n), Level: make([]float64, n)}
+		aim := Aim{Load: w.load, Why: "virtual", By: "r", Headroom: make([]float64, n), Level: make([]float64, n)}
 		for z, v := range w.states {
 			capacity := v.Level * math.Max(w.actual[z], 1)
 			site.Zones = append(site.Zones, solver.Zone{Read: capacity, Write: capacity})
-			site.Demand = append(site.Demand, solver.Demand{Entry: z, Load: w.load[z], Worth: 1})
-			aim.Level[z], aim.Bears[z] = v.Level, math.Max(capacity-in[z], 0)
+			site.Demand = append(site.Demand, solver.Demand{Entry: z, Load: w.load[z], Value: 1})
+			aim.Level[z], aim.Headroom[z] = v.Level, math.Max(capacity-in[z], 0)
 			site.Far[z], site.Seen[z] = make([]float64, n), make([]bool, n)
 			for o := range n {
 				site.Seen[z][o] = true
@@ -202,7 +202,7 @@
 			w.maps++
 			after := w.in()
 			for z := range n {
-				require.LessOrEqual(w.t, after[z], math.Max(in[z], in[z]+aim.Bears[z])+1e-6*(1+in[z]), "zone %d can bear no more", z)
+				require.LessOrEqual(w.t, after[z], math.Max(in[z], in[z]+aim.Headroom[z])+1e-6*(1+in[z]), "zone %d can bear no more", z)
 				if aim.Level[z] == 0 {
 					require.Zero(w.t, after[z], "nothing goes to a zone that may not be used")
 				}
@@ -308,7 +308,7 @@
 			}
 			began, made := w.at, w.maps
 			w.run(time.Duration(1+rng.IntN(40)) * second / 2)
-			require.LessOrEqual(t, float64(w.maps-made), w.pace.Most(time.Duration(w.at-began)))
+			require.LessOrEqual(t, float64(w.maps-made), w.pace.MaxMaps(time.Duration(w.at-began)))
 		}
 		for z := range n {
 			w.actual[z], w.load[z] = takes[z], takes[z]*0.5
@@ -360,7 +360,7 @@
 		var b Balance
 		at, sent := Time(0), []float64{0, 0, 0}
 		shares, may := []float64{1 - share, share, 0}, []bool{true, true, false}
-		figures := b.Figures(shares, may, 0, at)
+		figures := b.Factors(shares, may, 0, at)
 		for i := range 6000 {
 			at += Time(10 * time.Millisecond)
 			// The cheapest server, with noise as large as the factors.
@@ -370,18 +370,18 @@
 					best, z = c, k
 				}
 			}
-			b.Sent(z, 3, at)
+			b.RecordSent(z, 3, at)
 			if i > 2000 {
 				sent[z]++
 			}
 			if i%10 == 0 {
-				figures = b.Figures(shares, may, 0, at)
+				figures = b.Factors(shares, may, 0, at)
 			}
 		}
 		t.Logf("share %.2f: %.3f sent", share, sent[1]/(sent[0]+sent[1]))
 		require.InDelta(t, share, sent[1]/(sent[0]+sent[1]), 0.06)
 		require.Zero(t, sent[2])
 		require.Equal(t, 1.0, figures[0])
-		require.Equal(t, maxFactor, b.Figures(shares, []bool{true, true, true}, 0, at)[2], "no share, but it may be used")
+		require.Equal(t, maxFactor, b.Factors(shares, []bool{true, true, true}, 0, at)[2], "no share, but it may be used")
 	}
 }
--- a/fleet/version/version.go
+++ b/fleet/version/version.go
@@ -21,23 +21,23 @@
 // maxKept is the number of vectors that are kept by their numbers.
 const maxKept = 1024
 
-// Here is the prefix of the parts whose versions this router counts by itself. They order its own
+// LocalPrefix is the prefix of the parts whose versions this router counts by itself. They order its own
 // records and can't be compared with those of another router.
-const Here = "here/"
+const LocalPrefix = "here/"
 
 // Shared returns the parts of v that can be compared between routers.
 func (v Vector) Shared() Vector {
 	out := Vector{}
 	for part, n := range v {
-		if !strings.HasPrefix(part, Here) {
+		if !strings.HasPrefix(part, LocalPrefix) {
 			out[part] = n
 		}
 	}
 	return out
 }
 
-// Known returns the parts of v that o has as well.
-func (v Vector) Known(o Vector) Vector {
+// Restrict returns the parts of v that o has as well.
+func (v Vector) Restrict(o Vector) Vector {
 	out := Vector{}
 	for part, n := range v {
 		if _, ok := o[part]; ok {
@@ -61,8 +61,8 @@
 	return older, newer
 }
 
-// Behind returns the number of versions by which v lags behind o, over all parts.
-func (v Vector) Behind(o Vector) (sum uint64) {
+// Lag returns the number of versions by which v lags behind o, over all parts.
+func (v Vector) Lag(o Vector) (sum uint64) {
 	for part, n := range o {
 		if n > v[part] {
 			sum += n - v[part]
@@ -107,8 +107,8 @@
 	return true, nil
 }
 
-// Leave removes a part from what the router acts on.
-func (t *Tracker) Leave(part string) { delete(t.held, part) }
+// Remove removes a part from what the router acts on.
+func (t *Tracker) Remove(part string) { delete(t.held, part) }
 
 // Floor records that a version of a part was acknowledged before the start.
 func (t *Tracker) Floor(part string, acked uint64) { t.acked[part] = max(t.acked[part], acked) }
--- a/fleet/version/version_test.go
+++ b/fleet/version/version_test.go
@@ -69,8 +69,8 @@
 	a, b := Vector{"x": 3, "y": 1}, Vector{"x": 2, "z": 4}
 	older, newer := a.Compare(b)
 	require.True(t, older && newer)
-	require.Equal(t, uint64(4), a.Behind(b))
-	require.Equal(t, uint64(2), b.Behind(a))
+	require.Equal(t, uint64(4), a.Lag(b))
+	require.Equal(t, uint64(2), b.Lag(a))
 	k := New(nil)
 	for i := range uint64(maxKept + 10) {
 		_, err := k.Take("x", i+1)
--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -47,15 +47,15 @@
 
 // Config sets the thresholds and times. All fields must be the same at all deciders.
 type Config struct {
-	Zones   []string
-	Least   float64       // minimum attempts of an observation that counts
-	Failing float64       // failed part of the attempts from which a zone is failing
-	Lost    float64       // failed part of the attempts from which a zone is lost
-	Strain  float64       // part of its capacity from which a zone is strained
-	Confirm time.Duration // how long a zone must be worse before its state changes
-	Hold    time.Duration // how long a zone stays lost; doubled each time it was lost again soon
-	Return  time.Duration // time from the trial level to full capacity
-	Trial   float64       // part of its capacity with which a zone returns
+	Zones       []string
+	MinAttempts float64       // minimum attempts of an observation that counts
+	Failing     float64       // failed part of the attempts from which a zone is failing
+	Lost        float64       // failed part of the attempts from which a zone is lost
+	Strain      float64       // part of its capacity from which a zone is strained
+	Confirm     time.Duration // how long a zone must be worse before its state changes
+	Hold        time.Duration // how long a zone stays lost; doubled each time it was lost again soon
+	Return      time.Duration // time from the trial level to full capacity
+	Trial       float64       // part of its capacity with which a zone returns
 }
 
 // ErrConfig is wrapped by the errors for an invalid Config.
@@ -79,8 +79,8 @@
 		return fmt.Errorf("%w: zones is empty", ErrConfig)
 	case !(c.Failing > 0 && c.Failing < c.Lost && c.Lost <= 1):
 		return fmt.Errorf("%w: failing is %v and lost %v, want 0 < failing < lost <= 1", ErrConfig, c.Failing, c.Lost)
-	case !(c.Least > 0):
-		return fmt.Errorf("%w: least is %v, must be greater than 0", ErrConfig, c.Least)
+	case !(c.MinAttempts > 0):
+		return fmt.Errorf("%w: least is %v, must be greater than 0", ErrConfig, c.MinAttempts)
 	case !(c.Strain > 0 && c.Strain <= 1):
 		return fmt.Errorf("%w: strain is %v, must be greater than 0 and at most 1", ErrConfig, c.Strain)
 	case !(c.Trial > 0 && c.Trial <= 1):
@@ -91,11 +91,11 @@
 	return nil
 }
 
-// Sight is what the routers of one zone observed recently at another zone, or at their own.
-type Sight struct {
+// Observation is what the routers of one zone observed recently at another zone, or at their own.
+type Observation struct {
 	From, Of string
 	// Attempts, and those of them that could not connect, were reset or were answered by an error.
-	Tried, Bad float64
+	Attempts, Failures float64
 }
 
 // Capacity is the load and capacity of a zone, in one unit. Invalid values are ignored.
@@ -107,13 +107,13 @@
 
 // View is the input of Judge at one time.
 type View struct {
-	Sights     []Sight
-	Capacities map[string]Capacity
-	Out        map[string]bool // taken out by an operator
+	Observations []Observation
+	Capacities   map[string]Capacity
+	Out          map[string]bool // taken out by an operator
 }
 
-// Verdict is the state that the Monitor decided for a zone.
-type Verdict struct {
+// Decision is the state that the Monitor decided for a zone.
+type Decision struct {
 	Zone  string
 	State State
 	Level float64 // part of its capacity that may be used, 0 to 1
@@ -164,14 +164,14 @@
 	l.of = of
 	tried, bad := map[string]float64{}, map[string]float64{}
 	allTried, allBad := 0.0, 0.0
-	for _, s := range v.Sights {
-		if s.Of == of && s.Tried > 0 && s.Bad >= 0 && s.Bad <= s.Tried && m.zones[s.From] != nil {
-			tried[s.From] += s.Tried
-			bad[s.From] += s.Bad
+	for _, s := range v.Observations {
+		if s.Of == of && s.Attempts > 0 && s.Failures >= 0 && s.Failures <= s.Attempts && m.zones[s.From] != nil {
+			tried[s.From] += s.Attempts
+			bad[s.From] += s.Failures
 		}
 	}
 	for _, from := range slices.Sorted(maps.Keys(tried)) {
-		if tried[from] < m.cfg.Least {
+		if tried[from] < m.cfg.MinAttempts {
 			continue
 		}
 		allTried, allBad = allTried+tried[from], allBad+bad[from]
@@ -215,12 +215,12 @@
 
 // Judge updates and returns the state of each zone, in the order of Config.Zones. Call it several
 // times per Confirm.
-func (m *Monitor) Judge(v View, now Time) []Verdict {
-	out := make([]Verdict, 0, len(m.cfg.Zones))
+func (m *Monitor) Judge(v View, now Time) []Decision {
+	out := make([]Decision, 0, len(m.cfg.Zones))
 	for _, name := range m.cfg.Zones {
 		r, l := m.zones[name], m.observations(v, name)
 		m.step(r, &l, v.Capacities[name], v.Out[name], now)
-		verdict := Verdict{Zone: name, State: r.state, Level: r.level, Since: r.since, Why: r.why}
+		verdict := Decision{Zone: name, State: r.state, Level: r.level, Since: r.since, Why: r.why}
 		if r.state != Lost { // a lost zone is unreachable from all zones
 			verdict.Cut = l.cut()
 		}
--- a/fleet/zone/zone_test.go
+++ b/fleet/zone/zone_test.go
@@ -15,7 +15,7 @@
 )
 
 func config(zones ...string) Config {
-	return Config{Zones: zones, Least: 5, Failing: 0.2, Lost: 0.8, Strain: 0.85, Confirm: second, Hold: 5 * second, Return: 10 * second, Trial: 0.05}
+	return Config{Zones: zones, MinAttempts: 5, Failing: 0.2, Lost: 0.8, Strain: 0.85, Confirm: second, Hold: 5 * second, Return: 10 * second, Trial: 0.05}
 }
 
 // world simulates the observations of routers: bad[from][of] is the part that fails.
@@ -26,11 +26,11 @@
 	now Time
 	bad map[[2]string]float64
 	v   View
-	got map[string]Verdict
+	got map[string]Decision
 }
 
 func newWorld(t require.TestingT, cfg Config) *world {
-	w := &world{t: t, cfg: cfg, now: Time(time.Hour), bad: map[[2]string]float64{}, got: map[string]Verdict{}}
+	w := &world{t: t, cfg: cfg, now: Time(time.Hour), bad: map[[2]string]float64{}, got: map[string]Decision{}}
 	w.v = View{Capacities: map[string]Capacity{}, Out: map[string]bool{}}
 	for _, z := range cfg.Zones {
 		w.v.Capacities[z] = Capacity{Load: 50, Now: 100, Listed: true}
@@ -51,12 +51,12 @@
 
 func (w *world) run(d time.Duration) {
 	for end := w.now + Time(d); w.now < end; w.now += Time(tick) {
-		w.v.Sights = nil
+		w.v.Observations = nil
 		for _, from := range w.cfg.Zones {
 			for _, of := range w.cfg.Zones {
 				// A zone without traffic is not observed.
 				if w.got[of].Level > 0 || len(w.got) == 0 {
-					w.v.Sights = append(w.v.Sights, Sight{from, of, 20, 20 * w.bad[[2]string{from, of}]})
+					w.v.Observations = append(w.v.Observations, Observation{from, of, 20, 20 * w.bad[[2]string{from, of}]})
 				}
 			}
 		}
@@ -125,7 +125,7 @@
 	w = newWorld(t, config("a", "b", "c"))
 	for range 100 {
 		w.now += Time(tick)
-		for _, v := range w.c.Judge(View{Sights: []Sight{{"a", "b", 20, 20}, {"a", "c", 20, 20}, {"a", "a", 20, 0}}}, w.now) {
+		for _, v := range w.c.Judge(View{Observations: []Observation{{"a", "b", 20, 20}, {"a", "c", 20, 20}, {"a", "a", 20, 0}}}, w.now) {
 			require.Equal(t, Healthy, v.State)
 		}
 	}
@@ -133,7 +133,7 @@
 	w = newWorld(t, config("a", "b"))
 	for range 20 {
 		w.now += Time(tick)
-		w.c.Judge(View{Sights: []Sight{{"b", "b", 20, 20}}, Capacities: w.v.Capacities}, w.now)
+		w.c.Judge(View{Observations: []Observation{{"b", "b", 20, 20}}, Capacities: w.v.Capacities}, w.now)
 	}
 	require.Equal(t, Lost, w.c.Judge(View{}, w.now)[1].State)
 	// With two zones, a loss of the other one is indistinguishable from a cut link.
@@ -173,7 +173,7 @@
 
 func TestFaultyConfigs(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){"zones": func(c *Config) { c.Zones = append(c.Zones, "a") }, "zones is": func(c *Config) { c.Zones = nil },
-		"failing": func(c *Config) { c.Failing = 0.9 }, "least": func(c *Config) { c.Least = 0 }, "strain": func(c *Config) { c.Strain = 0 },
+		"failing": func(c *Config) { c.Failing = 0.9 }, "least": func(c *Config) { c.MinAttempts = 0 }, "strain": func(c *Config) { c.Strain = 0 },
 		"trial": func(c *Config) { c.Trial = 2 }, "hold": func(c *Config) { c.Hold = 0 }} {
 		cfg := config("a", "b")
 		spoil(&cfg)
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -98,7 +98,7 @@
 		case audit.Returned:
 			of, detail = s.Part, fmt.Sprintf("%s uses %g a second at most", s.Peer, s.Amount)
 		}
-		fmt.Fprintf(t, "%d\t%s\t%.3f s\t%s\t%s\t%d\t%s\t%s\n", s.Order, s.Who, s.At.Seconds(), s.Kind, of, s.Number, detail, s.Place)
+		fmt.Fprintf(t, "%d\t%s\t%.3f s\t%s\t%s\t%d\t%s\t%s\n", s.Order, s.TrailRouter, s.At.Seconds(), s.Kind, of, s.Number, detail, s.Place)
 	}
 	return t.Flush()
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		return fmt.Errorf("audit who: version %q is not a number", own[1])
 	}
-	holders := audit.Who(trails, own[0], v)
+	holders := audit.Holders(trails, own[0], v)
 	if len(holders) == 0 {
 		return fmt.Errorf("audit who: no trail tells of version %d of %s", v, own[0])
 	}
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -98,7 +98,7 @@
 	}
 	d.cordon = cordon.New(taker, cordon.Path(os.TempDir(), cfg.Name), d.log)
 	go d.cordon.Follow(ctx)
-	d.cordon.OnChange(func(v uint64) { d.acts.follow(version.Here+"workers/by-hand", v) })
+	d.cordon.OnChange(func(v uint64) { d.acts.follow(version.LocalPrefix+"workers/by-hand", v) })
 	taker = d.cordon
 	d.watch = platform.NewWatch(cfg, taker, d.log)
 	d.watch.OnError, d.watch.OnList = failed, d.tookList
--- a/internal/daemon/sources.go
+++ b/internal/daemon/sources.go
@@ -19,7 +19,7 @@
 	f.OnReport = func(source string, v uint64, own bool) {
 		part := "workers/" + front + "/" + source
 		if !own {
-			part = version.Here + part
+			part = version.LocalPrefix + part
 		}
 		d.acts.follow(part, v)
 	}
--- a/internal/daemon/straggler.go
+++ b/internal/daemon/straggler.go
@@ -42,7 +42,7 @@
 func (f *fence) look(lacks uint64, told bool, began time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fence.Look(lacks, told, straggler.Time(began.Sub(f.start)), straggler.Time(time.Since(f.start)))
+	f.fence.Update(lacks, told, straggler.Time(began.Sub(f.start)), straggler.Time(time.Since(f.start)))
 }
 
 // check is what a core asks before it sends; nil: it need not.
@@ -53,7 +53,7 @@
 	return func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.fence.May(straggler.Time(time.Since(f.start)))
+		return f.fence.Open(straggler.Time(time.Since(f.start)))
 	}
 }
 
@@ -77,8 +77,8 @@
 		return nil
 	}
 	s := &straggling{d: d, start: time.Now(), every: max(c.Grace.Duration/looks, leastLook),
-		cfg: straggler.Config{Routers: len(cfg.Routers), Rank: cfg.Rank(), Versions: 1, Grace: c.Grace.Duration, MostAge: c.MaxAge.Duration,
-			MostShut: c.MaxShut, Rate: c.Rate, Steady: c.Steady.Duration}}
+		cfg: straggler.Config{Routers: len(cfg.Routers), Rank: cfg.Rank(), Versions: 1, Grace: c.Grace.Duration, MaxAge: c.MaxAge.Duration,
+			MaxShut: c.MaxShut, Rate: c.Rate, Steady: c.Steady.Duration}}
 	var err error
 	if s.machine, err = straggler.New(s.cfg, rand.New(rand.NewPCG(uint64(s.start.UnixNano()), uint64(s.cfg.Rank)))); err != nil {
 		return fmt.Errorf("%s: %w", d.files.Fleet, err)
@@ -117,19 +117,19 @@
 	}
 	newest, ago, told := s.d.fleet.Newest()
 	if told && ago < s.cfg.Grace {
-		s.view.Newest, s.view.Heard = newest.Known(s.view.Held), max(s.view.Heard, at-straggler.Time(ago))
+		s.view.Newest, s.view.ConfirmedAt = newest.Restrict(s.view.Held), max(s.view.ConfirmedAt, at-straggler.Time(ago))
 	} else if s.view.Newest == nil {
 		s.view.Newest = version.Vector{}
 	}
 	if s.d.follow != nil && s.d.records.CatchUp(ctx, modelapi.ConfigName) == nil {
 		sure = true
-		s.stored, s.view.Heard = s.d.records.Latest(modelapi.ConfigName).Version, at
+		s.stored, s.view.ConfirmedAt = s.d.records.Latest(modelapi.ConfigName).Version, at
 	}
 	if s.d.follow != nil { // what the store has told stays true while it can't be asked
 		s.view.Newest[configPart] = max(s.view.Newest[configPart], s.stored)
 	}
 	s.sure = sure
-	s.d.fence.look(s.view.Held.Behind(s.view.Newest), sure, began)
+	s.d.fence.look(s.view.Held.Lag(s.view.Newest), sure, began)
 }
 
 func (s *straggling) slotPath(i int) string { return path.Join(shutPath, fmt.Sprintf("slot-%d", i)) }
@@ -206,11 +206,11 @@
 func (s *straggling) act(ctx context.Context, a straggler.Action) {
 	log := s.d.log.WithField("newest", s.view.Newest).WithField("held", s.view.Held)
 	switch a.Kind {
-	case straggler.BringUp:
+	case straggler.CatchUp:
 		s.bringUp()
-	case straggler.AskSlot:
+	case straggler.RequestSlot:
 		s.ask(ctx)
-	case straggler.GiveSlot:
+	case straggler.ReturnSlot:
 		if s.drop(ctx, s.slot) {
 			s.slot, s.view.Slot = "", false
 		}
@@ -218,7 +218,7 @@
 		log.WithField("why", a.Why).Error("shut out: this router takes nothing new until it has caught up")
 		s.shut(true)
 		s.d.acts.shut(audit.ShutOut, a.Why)
-	case straggler.LetIn:
+	case straggler.Readmit:
 		log.Warn("let in again")
 		s.d.acts.shut(audit.Readmitted, "")
 		s.d.fleet.Renew()
--- a/internal/daemon/trail.go
+++ b/internal/daemon/trail.go
@@ -57,7 +57,7 @@
 	}
 	kinds := map[budget.MoveKind]audit.Kind{budget.Lent: audit.Lent, budget.Returned: audit.Returned, budget.Borrowed: audit.Borrowed}
 	return func(m budget.Move) {
-		a.trail.Note(audit.Record{Kind: kinds[m.Kind], Part: m.Key, Peer: m.Router, Epoch: m.Life, Number: m.Seq, Version: m.Using,
+		a.trail.Note(audit.Record{Kind: kinds[m.Kind], Part: m.Key, Peer: m.Router, Epoch: m.Incarnation, Number: m.Seq, Version: m.Using,
 			Amount: m.Amount, Share: m.Share, Window: m.Left})
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	if changed {
 		a.note(audit.Record{Kind: audit.Taken, Part: part, Version: v, Number: a.versions.Number()})
-		if a.tell != nil && !strings.HasPrefix(part, version.Here) {
+		if a.tell != nil && !strings.HasPrefix(part, version.LocalPrefix) {
 			a.tell(a.versions.Held().Shared())
 		}
 	}
@@ -98,7 +98,7 @@
 func (a *acts) count(part, text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	part = version.Here + part
+	part = version.LocalPrefix + part
 	v := a.versions.Held()[part] + 1
 	text = text[:min(len(text), mostText)]
 	if _, err := a.versions.Take(part, v); err == nil {
@@ -110,7 +110,7 @@
 func (a *acts) leave(part string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.versions.Leave(part)
+	a.versions.Remove(part)
 }
 
 // tellOthers has f told of what can be compared with other routers' versions, now and at each change.
--- a/internal/plots/lag.go
+++ b/internal/plots/lag.go
@@ -21,8 +21,8 @@
 // (.svg, .png, .pdf); it fails where the file can't be written or its ending is none of those.
 func Lag(trails []audit.Trail, file string) error {
 	lines := map[string]plotter.XYs{}
-	for _, p := range audit.Behind(trails) {
-		lines[p.Router] = append(lines[p.Router], plotter.XY{X: float64(p.Order), Y: float64(p.Behind)})
+	for _, p := range audit.LagPoints(trails) {
+		lines[p.Router] = append(lines[p.Router], plotter.XY{X: float64(p.Order), Y: float64(p.Lag)})
 	}
 	picture := plot.New()
 	picture.Title.Text, picture.X.Label.Text, picture.Y.Label.Text = "versions behind the newest", "order of records", "versions"
--- a/lab/virtual/exchange.go
+++ b/lab/virtual/exchange.go
@@ -118,7 +118,7 @@
 			ex.sends++
 			r.report(ex, at, logic.Full, 0)
 			return
-		case attempts.Repeats:
+		case attempts.NoRepeats:
 			r.report(ex, at, logic.NotSent, 0)
 			return
 		}
@@ -134,7 +134,7 @@
 	}
 	spec := w.cfg.Site.Servers[server]
 	if reads := w.cfg.Site.Kinds[spec.Kind].Role != logic.RoleWrite; reads {
-		r.balance.Sent(spec.Zone, spec.Zone+1, traffic.Time(w.now))
+		r.balance.RecordSent(spec.Zone, spec.Zone+1, traffic.Time(w.now))
 		ex.readIn = spec.Zone
 		if s := w.second(ex.arrived); ex.reads == 0 && ex.sends == 0 && spec.Zone == r.zone {
 			s.Near++
--- a/lab/virtual/router.go
+++ b/lab/virtual/router.go
@@ -132,7 +132,7 @@
 		up[zone] /= n
 	}
 	r.node.SetZoneServing(up)
-	r.decide.SetZones(r.balance.Figures(way.Shares, way.Usable, way.Own, traffic.Time(r.w.now)))
+	r.decide.SetZones(r.balance.Factors(way.Shares, way.Usable, way.Own, traffic.Time(r.w.now)))
 	return parts
 }
 
--- a/lab/virtual/virtual_test.go
+++ b/lab/virtual/virtual_test.go
@@ -241,7 +241,7 @@
 	cfg.Fleet = terms()
 	cfg.Fleet.MaxOut = 0 // what goes out by agreement on single workers is another matter
 	zones := node.ZoneConfig{Safe: 0.8, Capacity: map[string]solver.Zone{}, Terms: traffic.Terms{Fresh: 5 * time.Second, Fade: 20 * time.Second, Spill: 0.2},
-		Judge: zone.Config{Zones: []string{"a", "b", "c"}, Least: 3, Failing: 0.2, Lost: 0.8, Strain: 0.8, Confirm: time.Second, Hold: 5 * time.Second,
+		Judge: zone.Config{Zones: []string{"a", "b", "c"}, MinAttempts: 3, Failing: 0.2, Lost: 0.8, Strain: 0.8, Confirm: time.Second, Hold: 5 * time.Second,
 			Return: 5 * time.Second, Trial: 0.1},
 		Pace: traffic.Pace{Every: time.Second, Up: 0.5, Back: 0.2, Band: 0.02, Burst: 12, PerMin: 20, Reserve: 4}}
 	for i, name := range zones.Judge.Zones {
--- a/test/lab_test.go
+++ b/test/lab_test.go
@@ -248,7 +248,7 @@
 		for seq := uint64(1); t.Context().Err() == nil; seq++ {
 			var all []outlier.Judgement
 			for _, s := range demo.Site().Servers {
-				all = append(all, outlier.Judgement{Worker: s.Name, Origin: l.layout.Routers[liar].Name, Life: 1, Seq: seq, Fault: outlier.Errors,
+				all = append(all, outlier.Judgement{Worker: s.Name, Origin: l.layout.Routers[liar].Name, Incarnation: 1, Seq: seq, Fault: outlier.Errors,
 					Bad: 500, LeftMs: 2000})
 			}
 			for _, p := range peers {
