--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -22,16 +22,16 @@
 
 // auditCommand reads trails of many routers.
 func auditCommand() *cli.Command {
-	sub := func(name, usage, args string, own int, do func(w io.Writer, own []string, trails []audit.Trail) error) *cli.Command {
+	sub := func(name, usage, args string, ownArgs int, do func(w io.Writer, ownArgs []string, trails []audit.Trail) error) *cli.Command {
 		return &cli.Command{Name: name, Usage: usage, ArgsUsage: args + "DIR...", Action: func(_ context.Context, c *cli.Command) error {
-			if c.Args().Len() <= own {
+			if c.Args().Len() <= ownArgs {
 				return fmt.Errorf("audit %s takes %sDIR..., one directory for each router", name, args)
 			}
-			trails, err := eventlog.ReadAll(c.Args().Slice()[own:])
+			trails, err := eventlog.ReadAll(c.Args().Slice()[ownArgs:])
 			if err != nil {
 				return fmt.Errorf("audit %s: %w", name, err)
 			}
-			return do(c.Root().Writer, c.Args().Slice()[:own], trails)
+			return do(c.Root().Writer, c.Args().Slice()[:ownArgs], trails)
 		}}
 	}
 	return &cli.Command{Name: "audit", Usage: "tell from routers' trails who acted on which version, and whether they kept what they had said",
@@ -57,27 +57,27 @@
 			sub("timeline", "all records in an order that contradicts no router", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
 				return printSteps(w, audit.Timeline(trails), func(audit.Step) bool { return true })
 			}),
-			sub("worker", "what concerns one worker", "NAME ", 1, func(w io.Writer, own []string, trails []audit.Trail) error {
-				return printSteps(w, audit.Timeline(trails), func(s audit.Step) bool { return s.Worker == own[0] })
+			sub("worker", "what concerns one worker", "NAME ", 1, func(w io.Writer, ownArgs []string, trails []audit.Trail) error {
+				return printSteps(w, audit.Timeline(trails), func(s audit.Step) bool { return s.Worker == ownArgs[0] })
 			}),
-			sub("request", "what went wrong for one request", "NAME ", 1, func(w io.Writer, own []string, trails []audit.Trail) error {
-				return printSteps(w, audit.Timeline(trails), func(s audit.Step) bool { return s.Request == own[0] })
+			sub("request", "what went wrong for one request", "NAME ", 1, func(w io.Writer, ownArgs []string, trails []audit.Trail) error {
+				return printSteps(w, audit.Timeline(trails), func(s audit.Step) bool { return s.Request == ownArgs[0] })
 			}),
 			sub("who", "which routers took, acknowledged or refused a version of a part, and what they sent under it", "PART VERSION ", 2, printWho),
 			sub("lag", "by how many versions each router lies behind the newest, now and at its sends", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
 				if err := printLags(w, trails); err != nil {
 					return err
 				}
-				return printBehind(w, trails)
+				return printLagSummary(w, trails)
 			}),
 		}}
 }
 
-func printSteps(w io.Writer, steps []audit.Step, pick func(audit.Step) bool) error {
+func printSteps(w io.Writer, steps []audit.Step, include func(audit.Step) bool) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "ORDER\tROUTER\tAT\tWHAT\tOF\tNUMBER\tDETAIL\tPLACE")
 	for _, s := range steps {
-		if !pick(s) {
+		if !include(s) {
 			continue
 		}
 		of, detail := s.Part, s.Text
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	// logQueue bounds the bytes of the log that are not written yet: some ten seconds of a router with much to say.
-	logQueue = 256 << 10
-	// flushWithin is how long the end of the program waits for its last lines to be written: less than is left between the last
+	// logQueueBytes bounds the bytes of the log that are not written yet: some ten seconds of a router with much to say.
+	logQueueBytes = 256 << 10
+	// logFlushTimeout is how long the end of the program waits for its last lines to be written: less than is left between the last
 	// step of a stop and the platform's kill.
-	flushWithin = 100 * time.Millisecond
+	logFlushTimeout = 100 * time.Millisecond
 )
 
 // Run runs the command line and returns the exit code.
 func Run(args []string) int {
 	log := logrus.New()
 	format := &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "15:04:05.000"}
-	out := logwriter.New(os.Stderr, logQueue, func(entries int) []byte {
+	out := logwriter.New(os.Stderr, logQueueBytes, func(entries int) []byte {
 		entry := log.WithField("entries", entries).WithTime(time.Now())
 		entry.Level, entry.Message = logrus.WarnLevel, "entries of the log are missing here: they found no room while it was not taken"
 		text, _ := format.Format(entry)
 		return text
 	})
-	defer out.Flush(flushWithin)
+	defer out.Flush(logFlushTimeout)
 	log.SetOutput(out)
 	log.SetFormatter(format)
 	if err := command(log).Run(context.Background(), args); err != nil {
@@ -118,51 +118,51 @@
 }
 
 // check reads all files and prints a line for each.
-func check(w io.Writer, o daemon.Files) error {
-	say := func(format string, args ...any) error {
+func check(w io.Writer, paths daemon.Files) error {
+	printLine := func(format string, args ...any) error {
 		_, err := fmt.Fprintf(w, format+"\n", args...)
 		return err
 	}
-	if o.Platform != "" {
-		c, err := platform.LoadConfig(o.Platform, os.Getenv)
+	if paths.Platform != "" {
+		c, err := platform.LoadConfig(paths.Platform, os.Getenv)
 		if err != nil {
 			return fmt.Errorf("platform: %w", err)
 		}
-		if err := say("platform: %s listens on %s, discovery at %s, %d classes, %d workers known", c.Name, c.Listen,
+		if err := printLine("platform: %s listens on %s, discovery at %s, %d classes, %d workers known", c.Name, c.Listen,
 			c.Discovery, len(c.Settings.Classes), len(c.Known.Instances)); err != nil {
 			return err
 		}
 		for _, line := range c.Describe() {
-			if err := say("  %s", line); err != nil {
+			if err := printLine("  %s", line); err != nil {
 				return err
 			}
 		}
-		for _, doubt := range daemon.Doubts(c) {
-			if err := say("  warning: %s", doubt); err != nil {
+		for _, doubt := range daemon.ConfigWarnings(c) {
+			if err := printLine("  warning: %s", doubt); err != nil {
 				return err
 			}
 		}
 	}
-	if o.ModelAPI != "" {
-		c, err := modelapi.LoadConfig(o.ModelAPI)
+	if paths.ModelAPI != "" {
+		c, err := modelapi.LoadConfig(paths.ModelAPI)
 		if err != nil {
 			return fmt.Errorf("model API: %w", err)
 		}
-		if err := say("model API: %s, %d accounts, %d backends", orOff(c.Listen), len(c.Accounts), len(c.Backends)); err != nil {
+		if err := printLine("model API: %s, %d accounts, %d backends", orOff(c.Listen), len(c.Accounts), len(c.Backends)); err != nil {
 			return err
 		}
 	}
-	if o.Store != "" {
-		c, err := store.LoadConfig(o.Store)
+	if paths.Store != "" {
+		c, err := store.LoadConfig(paths.Store)
 		if err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
-		if err := say("store: %s, %d replicas", orOff(c.ID), len(c.Peers)); err != nil {
+		if err := printLine("store: %s, %d replicas", orOff(c.ID), len(c.Peers)); err != nil {
 			return err
 		}
 	}
-	if o.Fleet != "" {
-		c, err := agent.LoadConfig(o.Fleet)
+	if paths.Fleet != "" {
+		c, err := agent.LoadConfig(paths.Fleet)
 		if err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
@@ -171,20 +171,20 @@
 			line = fmt.Sprintf("fleet: %s, %d routers, this is %s at %s, operators at %s; leases of %v over floors of %g", c.Fleet,
 				len(c.Routers), c.Self, c.Listen, orOff(c.Operator), c.Lease.Duration, c.Floor)
 		}
-		if err := say("%s", line); err != nil {
+		if err := printLine("%s", line); err != nil {
 			return err
 		}
 	}
-	if o.Sources != "" {
-		c, err := sources.LoadConfig(o.Sources)
+	if paths.Sources != "" {
+		c, err := sources.LoadConfig(paths.Sources)
 		if err != nil {
 			return fmt.Errorf("sources: %w", err)
 		}
 		if len(c.Sources) == 0 {
-			return say("sources: off")
+			return printLine("sources: off")
 		}
 		for _, s := range c.Sources {
-			if err := say("source %s: %s, for %s", s.Name, s.Kind, strings.Join(s.Fronts, " and ")); err != nil {
+			if err := printLine("source %s: %s, for %s", s.Name, s.Kind, strings.Join(s.Fronts, " and ")); err != nil {
 				return err
 			}
 		}
--- a/internal/cli/collect.go
+++ b/internal/cli/collect.go
@@ -16,15 +16,15 @@
 	"lichenshelf/fleet/eventlog"
 )
 
-// defaultCollect is how long one router's trail may take to come.
-const defaultCollect = time.Minute
+// defaultCollectTimeout is how long one router's trail may take to come.
+const defaultCollectTimeout = time.Minute
 
 // collectCommand copies the trails of running routers.
 func collectCommand() *cli.Command {
 	return &cli.Command{Name: "collect", Usage: "copy the trails of running routers below a directory, one for each; those that can't be had are named, the others are kept",
 		ArgsUsage: "DIR", Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "operator", Usage: "a router's operator `ADDRESS`, as its fleet.toml names it; may be repeated", Required: true},
-			&cli.DurationFlag{Name: "timeout", Usage: "`TIME` for each router", Value: defaultCollect},
+			&cli.DurationFlag{Name: "timeout", Usage: "`TIME` for each router", Value: defaultCollectTimeout},
 			&cli.Int64Flag{Name: "bytes", Usage: "most `BYTES` of one trail", Value: 1 << 30},
 		}, Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -25,9 +25,9 @@
 func configCommand() *cli.Command {
 	request := &cli.StringFlag{Name: "request", Usage: "a `NAME` for this request; one that is repeated under it counts once (drawn if not given)"}
 	by := &cli.StringFlag{Name: "by", Usage: "who publishes", Sources: cli.EnvVars("USER")}
-	sub := func(name, usage, args string, least, most int, flags []cli.Flag, do func(c *cli.Command, s *store.Client, w io.Writer) error) *cli.Command {
+	sub := func(name, usage, args string, minArgs, maxArgs int, flags []cli.Flag, do func(c *cli.Command, s *store.Client, w io.Writer) error) *cli.Command {
 		return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: flags, Action: func(_ context.Context, c *cli.Command) error {
-			if n := c.Args().Len(); n < least || n > most {
+			if n := c.Args().Len(); n < minArgs || n > maxArgs {
 				return fmt.Errorf("config %s takes %s", name, args)
 			}
 			client, err := storeClient(c)
@@ -61,7 +61,7 @@
 					if r.From > 0 {
 						note = fmt.Sprintf("version %d again", r.From)
 					}
-					fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\t%s\n", r.Version, at(r.TimeMs), r.By, r.Request, len(r.Text), note)
+					fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\t%s\n", r.Version, formatTime(r.TimeMs), r.By, r.Request, len(r.Text), note)
 				}
 				return t.Flush()
 			}),
@@ -71,7 +71,7 @@
 					if err != nil {
 						return err
 					}
-					r, err := s.Publish(c.String("name"), nil, named(c), c.String("by"), nil, to)
+					r, err := s.Publish(c.String("name"), nil, requestName(c), c.String("by"), nil, to)
 					if err != nil {
 						return err
 					}
@@ -82,15 +82,15 @@
 	}
 }
 
-// named is the request's name; one that is drawn is new.
-func named(c *cli.Command) string {
+// requestName is the request's name; one that is drawn is new.
+func requestName(c *cli.Command) string {
 	if name := c.String("request"); name != "" {
 		return name
 	}
 	return rand.Text()
 }
 
-func at(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
 func versionOf(text string) (uint64, error) {
 	v, err := strconv.ParseUint(text, 10, 64)
@@ -116,7 +116,7 @@
 		v := c.Uint64("expect")
 		expect = &v
 	}
-	name := named(c)
+	name := requestName(c)
 	r, err := s.Publish(c.String("name"), text, name, c.String("by"), expect, 0)
 	if errors.Is(err, store.ErrUnknown) {
 		return fmt.Errorf("%w; it can be repeated with --request %s", err, name)
@@ -128,8 +128,8 @@
 	return err
 }
 
-// pick returns a version that is kept; 0 is the latest.
-func pick(c *cli.Command, s *store.Client, version uint64) (store.Revision, error) {
+// findRevision returns a version that is kept; 0 is the latest.
+func findRevision(c *cli.Command, s *store.Client, version uint64) (store.Revision, error) {
 	list, err := s.Published(c.String("name"))
 	if err != nil {
 		return store.Revision{}, err
@@ -153,11 +153,11 @@
 			return err
 		}
 	}
-	r, err := pick(c, s, version)
+	r, err := findRevision(c, s, version)
 	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "# %s, version %d, %s\n%s\n", c.String("name"), r.Version, at(r.TimeMs), strings.TrimRight(r.Text, "\n")); err != nil {
+	if _, err := fmt.Fprintf(w, "# %s, version %d, %s\n%s\n", c.String("name"), r.Version, formatTime(r.TimeMs), strings.TrimRight(r.Text, "\n")); err != nil {
 		return err
 	}
 	parent := daemon.AckPath(c.String("name"), "")
@@ -183,7 +183,7 @@
 		if a.Refused > 0 {
 			refused = fmt.Sprintf("%d: %s", a.Refused, a.Fault)
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\n", name, a.Version, at(a.TimeMs), strings.Join(a.Restart, ", "), refused)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\n", name, a.Version, formatTime(a.TimeMs), strings.Join(a.Restart, ", "), refused)
 	}
 	return t.Flush()
 }
@@ -199,7 +199,7 @@
 			}
 		}
 		var err error
-		if pair[i], err = pick(c, s, version); err != nil {
+		if pair[i], err = findRevision(c, s, version); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-const mostPage = 4 << 20
+const maxPageBytes = 4 << 20
 
 func fetch(ctx context.Context, url string) ([]byte, error) { return operate(ctx, http.MethodGet, url) }
 
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostPage))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/lag.go
+++ b/internal/cli/lag.go
@@ -9,15 +9,15 @@
 	"lichenshelf/fleet/audit"
 )
 
-// mostBehind bounds the histogram; more versions than this count as this many.
-const mostBehind = 1_000_000
+// maxBehind bounds the histogram; more versions than this count as this many.
+const maxBehind = 1_000_000
 
-// printBehind tells how far behind sends were. lichenplot draws it.
-func printBehind(w io.Writer, trails []audit.Trail) error {
-	sends := hdrhistogram.New(0, mostBehind, 3)
+// printLagSummary tells how far behind sends were. lichenplot draws it.
+func printLagSummary(w io.Writer, trails []audit.Trail) error {
+	sends := hdrhistogram.New(0, maxBehind, 3)
 	for _, p := range audit.Behind(trails) {
 		if p.Sends > 0 {
-			if err := sends.RecordValues(int64(min(p.Behind, mostBehind)), int64(p.Sends)); err != nil {
+			if err := sends.RecordValues(int64(min(p.Behind, maxBehind)), int64(p.Sends)); err != nil {
 				return fmt.Errorf("audit lag: %w", err)
 			}
 		}
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -19,8 +19,8 @@
 	"lichenshelf/internal/daemon"
 )
 
-// gather is how long changes are gathered before they are shown.
-const gather = 100 * time.Millisecond
+// coalesceDelay is how long changes are gathered before they are shown.
+const coalesceDelay = 100 * time.Millisecond
 
 func membersCommand(log *logrus.Logger, common []cli.Flag) *cli.Command {
 	return &cli.Command{
@@ -41,7 +41,7 @@
 					return err
 				}
 			}
-			feed, err := daemon.Look(ctx, c.String("front"), files(c), log)
+			feed, err := daemon.StartSources(ctx, c.String("front"), files(c), log)
 			if err != nil {
 				return err
 			}
@@ -52,10 +52,10 @@
 
 // showMembers shows the set once all sources have spoken or failed, or the wait is over.
 func showMembers(ctx context.Context, w io.Writer, feed *sources.Feed, watch, asJSON bool, wait time.Duration) error {
-	over := time.After(wait)
+	deadline := time.After(wait)
 	for settled := false; ; {
 		from, workers, changed := feed.View()
-		if settled || allHeard(from) {
+		if settled || allReported(from) {
 			settled = true
 			v := newView(time.Now(), from, workers)
 			if err := v.print(w, asJSON); err != nil {
@@ -68,10 +68,10 @@
 		select {
 		case <-changed:
 			select {
-			case <-time.After(gather):
+			case <-time.After(coalesceDelay):
 			case <-ctx.Done():
 			}
-		case <-over:
+		case <-deadline:
 			settled = true
 		case <-ctx.Done():
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-func allHeard(from []membership.SourceView) bool {
+func allReported(from []membership.SourceView) bool {
 	for _, s := range from {
 		if !s.Spoken && !s.Stale {
 			return false
@@ -109,19 +109,19 @@
 }
 
 type workerView struct {
-	Name     string     `json:"name"`
-	Addr     string     `json:"addr,omitempty"`
-	State    string     `json:"state"` // serving, draining or out
-	Reason   string     `json:"reason"`
-	By       string     `json:"by,omitempty"`
-	Weight   float64    `json:"weight,omitempty"`
-	Cell     int        `json:"cell"`
-	SinceMs  int64      `json:"since_ms"`
-	Conflict []string   `json:"conflict,omitempty"` // the addresses that are listed
-	Words    []wordView `json:"words"`
+	Name     string       `json:"name"`
+	Addr     string       `json:"addr,omitempty"`
+	State    string       `json:"state"` // serving, draining or out
+	Reason   string       `json:"reason"`
+	By       string       `json:"by,omitempty"`
+	Weight   float64      `json:"weight,omitempty"`
+	Cell     int          `json:"cell"`
+	SinceMs  int64        `json:"since_ms"`
+	Conflict []string     `json:"conflict,omitempty"` // the addresses that are listed
+	Reports  []reportView `json:"words"`
 }
 
-type wordView struct {
+type reportView struct {
 	Source string `json:"source"`
 	Word   string `json:"word"`
 	Addr   string `json:"addr,omitempty"`
@@ -159,7 +159,7 @@
 			o.Addr, o.Weight, o.Cell, o.SinceMs = m.Member.Addr, m.Member.Weight, m.Member.Cell, m.Member.Since/1e6
 		}
 		for _, word := range m.Words {
-			o.Words = append(o.Words, wordView{Source: word.Source, Word: word.Entry.Word.String(), Addr: word.Entry.Addr,
+			o.Reports = append(o.Reports, reportView{Source: word.Source, Word: word.Entry.Word.String(), Addr: word.Entry.Addr,
 				AgeMs: now.Sub(word.At).Milliseconds(), Held: word.Held, Damped: word.Damped, Stale: word.Stale})
 		}
 		v.Workers = append(v.Workers, o)
@@ -191,7 +191,7 @@
 			why += ", listed at " + strings.Join(m.Conflict, " and ")
 		}
 		var words []string
-		for _, x := range m.Words {
+		for _, x := range m.Reports {
 			word := x.Source + ": " + x.Word
 			for _, mark := range []struct {
 				set  bool
--- a/internal/cli/register.go
+++ b/internal/cli/register.go
@@ -20,8 +20,8 @@
 	"lichenshelf/store"
 )
 
-// shortestSession leaves room for a few touches that come late.
-const shortestSession = 300 * time.Millisecond
+// minSessionTimeout leaves room for a few touches that come late.
+const minSessionTimeout = 300 * time.Millisecond
 
 // registerCommand keeps a backend registered for as long as it runs: it is meant
 // to be started beside the backend, and to end with it.
@@ -46,7 +46,7 @@
 			if _, err := storesource.Parse(c.String("name"), data, membership.Entry{}); err != nil {
 				return err
 			}
-			if c.Duration("timeout") < shortestSession {
+			if c.Duration("timeout") < minSessionTimeout {
 				return errors.New("the time-out is too short")
 			}
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -15,16 +15,16 @@
 	"lichenshelf/store"
 )
 
-// lookWait is how long one look of a watch takes; below the client's patience.
-const lookWait = 4 * time.Second
+// watchPollWait is how long one look of a watch takes; below the client's patience.
+const watchPollWait = 4 * time.Second
 
 // storeCommand looks into the store and changes it, for operators.
 func storeCommand() *cli.Command {
 	version := &cli.Int64Flag{Name: "version", Value: store.AnyVersion, Usage: "only if the node's data are at this `VERSION`"}
-	sub := func(name, usage, args string, least int, flags []cli.Flag, do func(context.Context, *cli.Command, *store.Client, io.Writer) error) *cli.Command {
+	sub := func(name, usage, args string, argCount int, flags []cli.Flag, do func(context.Context, *cli.Command, *store.Client, io.Writer) error) *cli.Command {
 		return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: flags,
 			Action: func(ctx context.Context, c *cli.Command) error {
-				if c.Args().Len() != least {
+				if c.Args().Len() != argCount {
 					return fmt.Errorf("store %s takes %s", name, args)
 				}
 				client, err := storeClient(c)
@@ -143,7 +143,7 @@
 				return nil
 			}
 			var next store.Node
-			if next, seen, err = s.Next(path, n.Stat.Version, n.Stat.Children, lookWait); err != nil {
+			if next, seen, err = s.Next(path, n.Stat.Version, n.Stat.Children, watchPollWait); err != nil {
 				break
 			}
 			if seen {
--- a/internal/cli/zone.go
+++ b/internal/cli/zone.go
@@ -80,14 +80,14 @@
 	header, rows := append([]string{"ENTERS"}, p.Map.Zones...), p.Map.Read
 	fmt.Fprintln(w, strings.Join(header, "\t")+"\tSHED")
 	for i, name := range p.Map.Zones {
-		fmt.Fprintf(w, "%s\t%s\n", name, parts(rows[i]))
+		fmt.Fprintf(w, "%s\t%s\n", name, formatShares(rows[i]))
 	}
-	fmt.Fprintf(w, "this router\t%s\n", parts(p.Shares))
+	fmt.Fprintf(w, "this router\t%s\n", formatShares(p.Shares))
 	return nil
 }
 
-// parts are shares in hundredths, and what is missing to all.
-func parts(shares []float64) string {
+// formatShares are shares in hundredths, and what is missing to all.
+func formatShares(shares []float64) string {
 	var out []string
 	left := 1.0
 	for _, s := range shares {
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -16,33 +16,36 @@
 )
 
 const (
-	acksPath = "/acks" // below it: a node for each configuration, below that one for each router
-	ackWait  = 5 * time.Second
-	ackAgain = time.Second
+	// acksPath is the parent of one node for each configuration, which is the parent of one for
+	// each router.
+	acksPath         = "/acks"
+	ackTimeout       = 5 * time.Second
+	ackRetryInterval = time.Second
 )
 
-// storeChecks are the configurations that may be published.
+// storeChecks holds the configurations that may be published, with their checks.
 var storeChecks = store.Checks{modelapi.ConfigName: modelapi.CheckText}
 
-// Ack is what a router says of the version that it goes by.
+// Ack is a router's acknowledgement of the configuration version that it uses.
 type Ack struct {
 	Router  string   `json:"router"`
 	Version uint64   `json:"version"`
-	Number  uint64   `json:"number"`            // of all that it acts on, as its trail names it
-	Restart []string `json:"restart,omitempty"` // keys that count from its next start on
-	Fault   string   `json:"fault,omitempty"`   // why a later version was not taken
-	Refused uint64   `json:"refused,omitempty"` // that version
+	Number  uint64   `json:"number"`            // identifies all versions it acts on, as in its event log
+	Restart []string `json:"restart,omitempty"` // keys that take effect at its next start
+	Fault   string   `json:"fault,omitempty"`   // why a later version was refused
+	Refused uint64   `json:"refused,omitempty"` // the refused version
 	TimeMs  int64    `json:"time_ms"`
 }
 
-// AckPath is where a router's word on a configuration stands.
+// AckPath returns the path of a router's acknowledgement of a configuration.
 func AckPath(config, router string) string { return path.Join(acksPath, config, router) }
 
-// records is what a router needs of the store: of its own replica, or of others' over their API.
-type records interface {
+// storeClient is the access of a router to the store: its own replica, or other replicas over their
+// API.
+type storeClient interface {
 	ID() string
 	Latest(config string) store.Revision
-	// CatchUp fails where it can't be told what is newest of a configuration.
+	// CatchUp fails if the newest version of a configuration cannot be determined.
 	CatchUp(ctx context.Context, config string) error
 	// Follow returns a channel that is closed at the next version of a configuration.
 	Follow(config string) (changed <-chan struct{}, stop func(), err error)
@@ -52,7 +55,7 @@
 	DeleteIfExists(ctx context.Context, path string) error
 }
 
-// ownReplica is the replica of this process as records.
+// ownReplica is the replica of this process as a storeClient.
 type ownReplica struct{ *store.Replica }
 
 func (r ownReplica) CatchUp(ctx context.Context, _ string) error { return r.Replica.CatchUp(ctx) }
@@ -65,67 +68,68 @@
 	return w.Changed(), w.Stop, nil
 }
 
-// published follows the model API's configuration in the store and applies it to the front
-// as it runs.
-type published struct {
-	d     *daemon
-	front *modelapi.Front
-	core  *router.Core
-	file  modelapi.Config // the file's, over which each version is laid
-	cfg   *modelapi.Config
-	path  string
-	kick  chan struct{}  // to try again what was refused
-	given chan node.Text // by another router
+// configFollower follows the model API's configuration in the store and applies each version to the
+// running front.
+type configFollower struct {
+	d          *daemon
+	front      *modelapi.Front
+	core       *router.Core
+	fileConfig modelapi.Config // from the file; each published version overrides it
+	cfg        *modelapi.Config
+	ackPath    string
+	retry      chan struct{}  // retries a refused version
+	received   chan node.Text // from another router
 
-	mu  sync.Mutex // held where what the goroutine that follows has said is changed
+	mu  sync.Mutex // guards ack, which the run goroutine changes and others read
 	ack Ack
 }
 
 const configPart = "config/" + modelapi.ConfigName
 
-// newPublished lays the configuration that the store holds over the file's, if it holds one,
-// and reads what this router has acknowledged before it was started: it does not go below
-// that, or it would act on what it has said to be over.
-func (d *daemon) newPublished(ctx context.Context, cfg *modelapi.Config) (*published, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeWait)
+// newConfigFollower overrides the file's configuration with the one in the store, if there is one,
+// and reads this router's last acknowledgement before the start. The router does not use a lower
+// version than it has acknowledged: that would contradict its acknowledgement.
+func (d *daemon) newConfigFollower(ctx context.Context, cfg *modelapi.Config) (*configFollower, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeStartTimeout)
 	defer cancel()
-	p := &published{d: d, file: *cfg, cfg: cfg, path: AckPath(modelapi.ConfigName, d.records.ID()), ack: Ack{Router: d.records.ID()}, kick: make(chan struct{}, 1), given: make(chan node.Text, 1)}
-	var before Ack
-	text, err := d.read(ctx, p.path)
+	p := &configFollower{d: d, fileConfig: *cfg, cfg: cfg, ackPath: AckPath(modelapi.ConfigName, d.storeClient.ID()), ack: Ack{Router: d.storeClient.ID()}, retry: make(chan struct{}, 1), received: make(chan node.Text, 1)}
+	var previous Ack
+	text, err := d.readNode(ctx, p.ackPath)
 	if err != nil {
 		return nil, err
 	}
 	if text != nil {
-		if err := json.Unmarshal(text, &before); err != nil {
-			d.log.WithError(err).WithField("node", p.path).Warn("own acknowledgement makes no sense, passed over")
+		if err := json.Unmarshal(text, &previous); err != nil {
+			d.log.WithError(err).WithField("node", p.ackPath).Warn("own acknowledgement is malformed, ignored")
 		}
 	}
-	latest := d.records.Latest(modelapi.ConfigName)
-	if latest.Version < before.Version { // published, and acknowledged by the process before this one, since it was asked for
-		if err := tell(ctx, func() error { return d.records.CatchUp(ctx, modelapi.ConfigName) }); err != nil {
+	latest := d.storeClient.Latest(modelapi.ConfigName)
+	// The previous process acknowledged a version that was published after the store was read.
+	if latest.Version < previous.Version {
+		if err := askStore(ctx, func() error { return d.storeClient.CatchUp(ctx, modelapi.ConfigName) }); err != nil {
 			return nil, err
 		}
-		latest = d.records.Latest(modelapi.ConfigName)
+		latest = d.storeClient.Latest(modelapi.ConfigName)
 	}
-	if latest.Version == 0 { // never published: somebody may have set the node by hand
-		text, err := d.read(ctx, modelapi.ConfigPath)
+	if latest.Version == 0 { // never published: the node may have been set by hand
+		text, err := d.readNode(ctx, modelapi.ConfigPath)
 		if err != nil {
 			return nil, err
 		}
 		latest.Text = string(text)
 	}
-	d.acts.resume(configPart, before.Version)
-	if p.ack.Number, err = d.acts.take(configPart, latest.Version); err != nil {
-		return nil, fmt.Errorf("the store's configuration %s: %w: its data may be older than this router", modelapi.ConfigName, err)
+	d.versionLog.setFloor(configPart, previous.Version)
+	if p.ack.Number, err = d.versionLog.activate(configPart, latest.Version); err != nil {
+		return nil, fmt.Errorf("configuration %s in the store: %w: the store's data may be older than this router", modelapi.ConfigName, err)
 	}
 	p.ack.Version = latest.Version
 	return p, cfg.Override(latest.Text)
 }
 
-// read reads a node, as often as it takes until ctx ends; nil if there is none.
-func (d *daemon) read(ctx context.Context, path string) (text []byte, err error) {
-	err = tell(ctx, func() error {
-		text, _, err = d.records.Get(path)
+// readNode reads a node, with retries until ctx ends. It returns nil if the node does not exist.
+func (d *daemon) readNode(ctx context.Context, path string) (text []byte, err error) {
+	err = askStore(ctx, func() error {
+		text, _, err = d.storeClient.Get(path)
 		if errors.Is(err, store.ErrNoNode) {
 			text, err = nil, nil
 		} else if err == nil && text == nil {
@@ -136,68 +140,69 @@
 	return text, err
 }
 
-// version is what this router goes by.
-func (p *published) version() uint64 {
+// version returns the version that this router uses.
+func (p *configFollower) version() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ack.Version
 }
 
-// again has what was refused tried once more.
-func (p *published) again() {
+// retryRefused makes the follower try a refused version again.
+func (p *configFollower) retryRefused() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.retry <- struct{}{}:
 	default:
 	}
 }
 
-// give hands in a text that another router gave. One that finds another waiting is dropped: it is asked for again.
-func (p *published) give(t node.Text) {
+// offer passes a text received from another router to the follower. If one is pending already, the
+// text is dropped, as it will be requested again.
+func (p *configFollower) offer(t node.Text) {
 	select {
-	case p.given <- t:
+	case p.received <- t:
 	default:
 	}
 }
 
-func (p *published) change(f func(*Ack)) {
+func (p *configFollower) updateAck(f func(*Ack)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.ack)
 }
 
-// follow applies what is published until ctx ends.
-func (p *published) follow(ctx context.Context) {
+// run applies published versions until ctx ends.
+func (p *configFollower) run(ctx context.Context) {
 	log := p.d.log.WithField("configuration", modelapi.ConfigName)
-	for told := p.ack.Version == 0; ctx.Err() == nil; {
-		changed, stop, err := p.d.records.Follow(modelapi.ConfigName)
+	for acknowledged := p.ack.Version == 0; ctx.Err() == nil; {
+		changed, stop, err := p.d.storeClient.Follow(modelapi.ConfigName)
 		if err != nil {
-			log.WithError(err).Error("published configurations can't be followed")
+			log.WithError(err).Error("cannot follow published configurations")
 			return
 		}
-		r := p.d.records.Latest(modelapi.ConfigName)
+		r := p.d.storeClient.Latest(modelapi.ConfigName)
 		if p.d.fleet != nil && r.Version > 0 {
 			p.d.fleet.SetText(node.Text{Part: configPart, Version: r.Version, Text: r.Text})
 		}
 		if r.Version > p.ack.Version && r.Version != p.ack.Refused {
-			p.take(r)
-			told = false
+			p.apply(r)
+			acknowledged = false
 		}
-		again := (<-chan time.Time)(nil)
-		if !told {
-			if told = p.acknowledge(ctx) == nil; !told {
-				again = time.After(ackAgain)
+		ackRetry := (<-chan time.Time)(nil)
+		if !acknowledged {
+			if acknowledged = p.acknowledge(ctx) == nil; !acknowledged {
+				ackRetry = time.After(ackRetryInterval)
 			}
 		}
 		select {
 		case <-changed:
-		case <-again:
-		case <-p.kick:
-			p.change(func(a *Ack) { a.Refused = 0 })
-		case t := <-p.given:
+		case <-ackRetry:
+		case <-p.retry:
+			p.updateAck(func(a *Ack) { a.Refused = 0 })
+		case t := <-p.received:
 			if t.Version > p.ack.Version && t.Version != p.ack.Refused {
-				log.WithField("version", t.Version).Warn("the store can't be asked: the published configuration comes from another router")
-				p.take(store.Revision{Version: t.Version, Text: t.Text})
-				told = false
+				log.WithField("version", t.Version).Warn("store not reachable, applying the published configuration received from another router")
+				p.apply(store.Revision{Version: t.Version, Text: t.Text})
+				acknowledged = false
 			}
 		case <-ctx.Done():
 		}
@@ -205,20 +210,21 @@
 	}
 }
 
-// take applies a version, or says why not; the one before stays then.
-func (p *published) take(r store.Revision) {
+// apply applies a version. If it is refused, the previous version stays in use and the reason is
+// recorded.
+func (p *configFollower) apply(r store.Revision) {
 	log := p.d.log.WithField("configuration", modelapi.ConfigName).WithField("version", r.Version)
-	next := p.file
+	next := p.fileConfig
 	if err := next.Override(r.Text); err != nil {
-		log.WithError(err).Error("published configuration not taken, the one before stays")
-		p.change(func(a *Ack) { a.Fault, a.Refused = err.Error(), r.Version })
-		p.d.acts.refuse(configPart, r.Version, err)
+		log.WithError(err).Error("published configuration not applied, the previous one stays in use")
+		p.updateAck(func(a *Ack) { a.Fault, a.Refused = err.Error(), r.Version })
+		p.d.versionLog.recordRefusal(configPart, r.Version, err)
 		return
 	}
-	number, err := p.d.acts.take(configPart, r.Version)
+	number, err := p.d.versionLog.activate(configPart, r.Version)
 	if err != nil {
-		log.WithError(err).Error("published configuration not taken, the one before stays")
-		p.change(func(a *Ack) { a.Fault, a.Refused = err.Error(), r.Version })
+		log.WithError(err).Error("published configuration not applied, the previous one stays in use")
+		p.updateAck(func(a *Ack) { a.Fault, a.Refused = err.Error(), r.Version })
 		return
 	}
 	var restart []string
@@ -229,40 +235,41 @@
 	settings := p.cfg.Settings()
 	p.core.Retune(settings.Classes, settings.MaxAttempts)
 	p.front.Take(p.cfg)
-	p.change(func(a *Ack) { *a = Ack{Router: a.Router, Version: r.Version, Number: number, Restart: restart} })
-	log.WithField("restart", restart).Info("published configuration taken")
+	p.updateAck(func(a *Ack) { *a = Ack{Router: a.Router, Version: r.Version, Number: number, Restart: restart} })
+	log.WithField("restart", restart).Info("published configuration applied")
 }
 
-// write puts the acknowledgement in the place of the one that is there, which is not of a later version: a call whose outcome
-// is not known may be applied long after, also one of a process before this one, and must not take back what was said since.
-func (p *published) write(ctx context.Context, text []byte) error {
-	old, stat, err := p.d.records.Get(p.path)
+// writeAck replaces the stored acknowledgement by compare-and-set, unless the stored one is for a
+// later version. A write with an unknown outcome, also one of a previous process, may be applied
+// much later and must not overwrite a newer acknowledgement.
+func (p *configFollower) writeAck(ctx context.Context, text []byte) error {
+	old, stat, err := p.d.storeClient.Get(p.ackPath)
 	if errors.Is(err, store.ErrNoNode) {
-		return p.d.records.CreateAll(ctx, p.path, text)
+		return p.d.storeClient.CreateAll(ctx, p.ackPath, text)
 	}
 	if err != nil {
 		return err
 	}
-	var said Ack
-	if json.Unmarshal(old, &said) == nil && said.Version > p.ack.Version {
-		return fmt.Errorf("%s acknowledges version %d there, this process goes by %d", p.ack.Router, said.Version, p.ack.Version)
+	var stored Ack
+	if json.Unmarshal(old, &stored) == nil && stored.Version > p.ack.Version {
+		return fmt.Errorf("router %s has acknowledged version %d, this process uses version %d", p.ack.Router, stored.Version, p.ack.Version)
 	}
-	return p.d.records.CompareAndSet(ctx, p.path, text, stat.Version)
+	return p.d.storeClient.CompareAndSet(ctx, p.ackPath, text, stat.Version)
 }
 
-// acknowledge tells the store what this router goes by.
-func (p *published) acknowledge(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, ackWait)
+// acknowledge writes the version that this router uses to the store.
+func (p *configFollower) acknowledge(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
-	p.change(func(a *Ack) { a.TimeMs = time.Now().UnixMilli() })
+	p.updateAck(func(a *Ack) { a.TimeMs = time.Now().UnixMilli() })
 	text, err := json.Marshal(p.ack)
 	if err == nil {
-		err = p.write(ctx, text)
+		err = p.writeAck(ctx, text)
 	}
 	if err != nil {
 		p.d.log.WithError(err).Warn("version not acknowledged yet")
 		return err
 	}
-	p.d.acts.acknowledge(configPart)
+	p.d.versionLog.recordAcknowledgement(configPart)
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs the router: it starts what its files switch on, follows
-// signals and ends in good order.
+// Package daemon runs the router: it starts the components that its files enable, handles signals
+// and shuts down gracefully.
 package daemon
 
 import (
@@ -27,66 +27,68 @@
 	"lichenshelf/store"
 )
 
-// Files are what the router was given to read; an empty path is not used.
+// Files holds the paths of the router's configuration files; an empty path is not used.
 type Files struct {
 	Platform, ModelAPI, Store, Sources, Fleet string
 }
 
-// daemon is what runs: fronts, each with a core of its own, and the store.
+// daemon holds the running components: fronts, each with its own core, and the store.
 type daemon struct {
-	log      *logrus.Logger
-	counters *metrics.Set
-	files    Files
-	fronts   []front
-	frontsMu sync.RWMutex // for who reads fronts beside the start
-	watch    *platform.Watch
-	sources  *sources.Config          // nil without a file
-	feeds    map[string]*sources.Feed // by front, those that take sources
-	ctx      context.Context          // ends with the program; what a reload starts runs until then
-	replica  *store.Replica
-	records  records // of the store; nil without one
-	api      *store.API
-	zk       *zkfront.Server // nil: off
-	cordon   *cordon.Cordon  // nil without the platform's front
-	platform *platform.Front
-	platCore *router.Core // the platform's
-	atStart  ending       // the platform's, by its file at the start
-	endings  *endings     // the platform's, by its file as read last and at the start
-	fleet    *agent.Agent // nil: this router shares nothing with others
-	fleetOf  int          // how many routers share, with a fleet
-	fleetCfg *agent.Config
-	fence    *fence // nil: this router may always send
-	follow   *published
-	shutters []shutter
-	acts     acts
-	failed   chan error
-	stopping atomic.Bool
-	listFrom atomic.Pointer[string] // the discovery whose list was taken last
+	log                   *logrus.Logger
+	counters              *metrics.Set
+	files                 Files
+	fronts                []front
+	frontsMu              sync.RWMutex // guards fronts against readers that run beside the start
+	watch                 *platform.Watch
+	sources               *sources.Config          // nil without a file
+	feeds                 map[string]*sources.Feed // by front, for fronts that take sources
+	ctx                   context.Context          // ends with the program; used by what a reload starts
+	replica               *store.Replica
+	storeClient           storeClient // nil without a store
+	api                   *store.API
+	zk                    *zkfront.Server // nil if off
+	cordon                *cordon.Cordon  // nil without the platform's front
+	platform              *platform.Front
+	platformCore          *router.Core   // of the platform's front
+	initialShutdownTiming shutdownTiming // of the platform's front, by its file at the start
+	// shutdownTiming is that of the platform's front, safe for its file as last read and at the
+	// start.
+	shutdownTiming  *currentShutdownTiming
+	fleet           *agent.Agent // nil if this router shares nothing with others
+	fleetSize       int          // number of routers in the fleet
+	fleetCfg        *agent.Config
+	fence           *fence // nil if this router may always send
+	configFollower  *configFollower
+	shuttableFronts []shuttableFront
+	versionLog      versionLog
+	failed          chan error
+	stopping        atomic.Bool
+	lastListAddr    atomic.Pointer[string] // address of the discovery whose list was used last
 }
 
-// shutter is a front that can be made to take nothing new.
-type shutter interface{ Shut(bool) }
+// shuttableFront is a front that can be told to refuse new requests.
+type shuttableFront interface{ Shut(bool) }
 
 type front struct {
-	core    *router.Core
-	server  *downstream.Server
-	endings *endings
-	log     logrus.FieldLogger
+	core           *router.Core
+	server         *downstream.Server
+	shutdownTiming *currentShutdownTiming
+	log            logrus.FieldLogger
 }
 
-// Serve runs until a SIGTERM has been seen through.
+// Serve runs the router until the shutdown that follows a SIGTERM has ended.
 func Serve(ctx context.Context, files Files, log *logrus.Logger) error {
 	d := &daemon{log: log, counters: &metrics.Set{}, files: files, feeds: map[string]*sources.Feed{}, failed: make(chan error, 4),
-		acts: acts{versions: version.New(nil), log: log}}
+		versionLog: versionLog{tracker: version.New(nil), log: log}}
 	defer d.printCounters()
-	defer d.acts.close()
-	d.freeFromLog()
+	defer d.versionLog.close()
+	d.isolateLog()
 	signals := listenForSignals()
 	defer signals.stop()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer d.closeStore()
-	// A start that waits for the store must not keep a SIGTERM waiting.
+	// A start that waits for the store must not delay a shutdown.
 	starting, started := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	err := d.start(ctx, starting)
 	ended := starting.Err() != nil
@@ -97,20 +99,21 @@
 	if err != nil {
 		return err
 	}
-	// Files may hang, and so may who reads the counters: neither keeps the end of the process waiting.
+	// Reading files may block, and so may the reader of the counters: neither may delay the
+	// shutdown.
 	go onEach(ctx, signals.reload, d.reload)
 	go onEach(ctx, signals.counters, d.printCounters)
 	go d.watchLateness(ctx)
 	select {
 	case err := <-d.failed:
 		return err
-	case <-signals.end:
+	case <-signals.terminate:
 		return d.stop(ctx)
 	}
 }
 
-// start starts what is on, to run until ctx ends; starting ends when the program is
-// told to stop meanwhile.
+// start starts the enabled components, to run until ctx ends. starting ends when the program
+// receives a stop signal during the start.
 func (d *daemon) start(ctx, starting context.Context) error {
 	d.ctx = ctx
 	if d.files.Sources != "" {
@@ -126,7 +129,7 @@
 	}
 	if d.files.Fleet != "" {
 		if err := d.startFleet(ctx, starting); err != nil {
-			return fmt.Errorf("start the fleet's part: %w", err)
+			return fmt.Errorf("start the fleet agent: %w", err)
 		}
 	}
 	if d.files.Platform != "" {
@@ -140,7 +143,7 @@
 		}
 	}
 	if d.fleetCfg != nil && len(d.fronts) > 0 {
-		if err := d.watchStraggling(ctx, d.fleetCfg); err != nil {
+		if err := d.startStragglerMonitor(ctx, d.fleetCfg); err != nil {
 			return err
 		}
 	}
@@ -151,37 +154,37 @@
 	return nil
 }
 
-func (d *daemon) core(ctx context.Context, decider logic.Decider, t router.Transport, p share, settings logic.Settings, open int) *router.Core {
-	core := router.New(router.Config{Decider: decider, Transport: t, Permit: p.permit(), Fence: d.fence.check(), Counters: d.counters,
+func (d *daemon) startCore(ctx context.Context, decider logic.Decider, t router.Transport, sharing frontSharing, settings logic.Settings, open int) *router.Core {
+	core := router.New(router.Config{Decider: decider, Transport: t, Permit: sharing.permit(), Fence: d.fence.sendCheck(), Counters: d.counters,
 		Settings: settings, MaxOpen: open, Log: d.log})
 	go core.Run(ctx)
 	return core
 }
 
-// stop finishes what is in hand, at all fronts at once.
+// stop finishes the open requests, at all fronts at once.
 func (d *daemon) stop(ctx context.Context) error {
 	began := time.Now()
 	d.stopping.Store(true)
 	if d.fleet != nil {
 		d.fleet.Leave()
 	}
-	ends := make(chan error, len(d.fronts))
+	results := make(chan error, len(d.fronts))
 	for _, f := range d.fronts {
-		d.log.WithField("open", f.core.Open()).Info("stopping: finishing what is in hand")
+		d.log.WithField("open", f.core.Open()).Info("stopping: finishing open requests")
 		go func() {
 			stopped := make(chan struct{})
-			go f.giveUp(began, stopped)
-			err := f.server.Stop(ctx, f.endings.take)
+			go f.cancelInSteps(began, stopped)
+			err := f.server.Stop(ctx, f.shutdownTiming.acceptFor)
 			close(stopped)
-			d.log.WithField("after_ms", time.Since(began).Milliseconds()).Info("stopping: no client is left")
+			d.log.WithField("after_ms", time.Since(began).Milliseconds()).Info("stopping: all client connections are closed")
 			unsettled := f.core.WaitForReleases(ctx)
 			d.log.WithFields(logrus.Fields{"after_ms": time.Since(began).Milliseconds(), "releases_out": unsettled}).Info("stopping: done")
-			ends <- err
+			results <- err
 		}()
 	}
 	var all error
 	for range d.fronts {
-		all = errors.Join(all, <-ends)
+		all = errors.Join(all, <-results)
 	}
 	return all
 }
--- a/internal/daemon/ending.go
+++ b/internal/daemon/ending.go
@@ -10,91 +10,100 @@
 )
 
 const (
-	movesPart = 6 // of the time until all is given up, the last, in which streams move
-	// dropAfter is how long after all was given up what keeps connections open is ended: half requests, and streams of which
-	// nothing has come for silentFor, some ten times the usual time between two events. A connection takes 0.2 s to be closed
-	// then, a release up to 0.1 s, and the kill comes 0.7 s after all was given up.
-	dropAfter = 300 * time.Millisecond
-	silentFor = 500 * time.Millisecond
+	// movePhaseDivisor divides the time until open requests are cancelled; streams move to other
+	// routers in the last such part of it.
+	movePhaseDivisor = 6
+	// dropDelay is the time from the cancellation of requests until what still keeps connections
+	// open is ended: partial requests, and streams from which nothing was received for
+	// silentStreamTimeout, some ten times the usual time between two events. Closing a connection
+	// then takes 0.2 s, a release up to 0.1 s, and the platform kills the process 0.7 s after the
+	// cancellation.
+	dropDelay           = 300 * time.Millisecond
+	silentStreamTimeout = 500 * time.Millisecond
 )
 
-// ending is how a front ends, in time after SIGTERM.
-type ending struct {
-	take  time.Duration // how long it takes clients that still come
-	leave time.Duration // when it gives up what is in hand; 0: it finishes all
+// shutdownTiming holds the times at which a front shuts down, counted from SIGTERM.
+type shutdownTiming struct {
+	acceptFor   time.Duration // how long new client connections are accepted
+	cancelAfter time.Duration // when open requests are cancelled; 0: all of them may finish
 }
 
-// platformEnding is how the platform's front ends by its configuration.
-func platformEnding(cfg *platform.Config) ending { return ending{cfg.TakeFor(), cfg.LeaveAfter()} }
+// platformShutdownTiming returns the shutdown timing set by the platform's configuration.
+func platformShutdownTiming(cfg *platform.Config) shutdownTiming {
+	return shutdownTiming{cfg.TakeFor(), cfg.LeaveAfter()}
+}
 
-// sooner is the ending that is safe where either of two may hold.
-func (e ending) sooner(than ending) ending {
-	return ending{min(e.take, than.take), min(e.leave, than.leave)}
+// earlier returns a timing that is safe if either of two may apply.
+func (e shutdownTiming) earlier(other shutdownTiming) shutdownTiming {
+	return shutdownTiming{min(e.acceptFor, other.acceptFor), min(e.cancelAfter, other.cancelAfter)}
 }
 
-// endings holds how a front ends, which a reload may change, also while it ends. It is safe for use from any goroutine.
-type endings struct {
-	mu    sync.Mutex
-	now   ending
-	moved chan struct{} // closed when now changes
+// currentShutdownTiming holds the shutdown timing of a front, which a reload may change even during
+// the shutdown. It is safe for concurrent use.
+type currentShutdownTiming struct {
+	mu      sync.Mutex
+	timing  shutdownTiming
+	changed chan struct{} // closed when timing changes
 }
 
-func newEndings(e ending) *endings { return &endings{now: e, moved: make(chan struct{})} }
+func newCurrentShutdownTiming(e shutdownTiming) *currentShutdownTiming {
+	return &currentShutdownTiming{timing: e, changed: make(chan struct{})}
+}
 
-func (e *endings) set(to ending) {
+func (e *currentShutdownTiming) set(to shutdownTiming) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.now != to {
-		e.now = to
-		close(e.moved)
-		e.moved = make(chan struct{})
+	if e.timing != to {
+		e.timing = to
+		close(e.changed)
+		e.changed = make(chan struct{})
 	}
 }
 
-// get returns the ending as it is, and a channel that is closed when it changes.
-func (e *endings) get() (ending, <-chan struct{}) {
+// get returns the current timing and a channel that is closed when it changes.
+func (e *currentShutdownTiming) get() (shutdownTiming, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.now, e.moved
+	return e.timing, e.changed
 }
 
-// take is how long the front takes clients that still come.
-func (e *endings) take() time.Duration {
+// acceptFor returns how long the front accepts new client connections.
+func (e *currentShutdownTiming) acceptFor() time.Duration {
 	now, _ := e.get()
-	return now.take
+	return now.acceptFor
 }
 
-// drop ends what keeps connections open and will not end by itself in time.
-func (f *front) drop(ending) {
+// dropStalled ends what keeps connections open and will not end by itself in time.
+func (f *front) dropStalled(shutdownTiming) {
 	f.server.DropUnread()
-	f.core.CancelSilent(silentFor)
+	f.core.CancelSilent(silentStreamTimeout)
 }
 
-// giveUp has the front give up what is in hand, step by step, in time for the platform's kill. It returns when that is done, or
-// done is closed.
-func (f *front) giveUp(began time.Time, done <-chan struct{}) {
+// cancelInSteps cancels the front's open requests step by step, in time before the platform kills
+// the process. It returns when the last step is done or done is closed.
+func (f *front) cancelInSteps(began time.Time, done <-chan struct{}) {
 	steps := []struct {
 		name string
-		due  func(ending) time.Duration
-		do   func(ending)
+		due  func(shutdownTiming) time.Duration
+		do   func(shutdownTiming)
 	}{
-		{"streams move", func(e ending) time.Duration { return e.leave - e.leave/movesPart }, func(e ending) { f.core.Close(e.leave / movesPart) }},
-		{"requests are answered", func(e ending) time.Duration { return e.leave }, func(ending) { f.core.Close(0) }},
-		{"half requests and silent streams are ended", func(e ending) time.Duration { return e.leave + dropAfter }, f.drop},
+		{"move streams", func(e shutdownTiming) time.Duration { return e.cancelAfter - e.cancelAfter/movePhaseDivisor }, func(e shutdownTiming) { f.core.Close(e.cancelAfter / movePhaseDivisor) }},
+		{"answer open requests", func(e shutdownTiming) time.Duration { return e.cancelAfter }, func(shutdownTiming) { f.core.Close(0) }},
+		{"end partial requests and silent streams", func(e shutdownTiming) time.Duration { return e.cancelAfter + dropDelay }, f.dropStalled},
 	}
 	for len(steps) > 0 {
-		end, moved := f.endings.get()
-		if end.leave <= 0 {
+		timing, changed := f.shutdownTiming.get()
+		if timing.cancelAfter <= 0 {
 			return
 		}
-		due := time.NewTimer(time.Until(began.Add(steps[0].due(end))))
+		due := time.NewTimer(time.Until(began.Add(steps[0].due(timing))))
 		select {
 		case <-due.C:
 			f.log.WithFields(logrus.Fields{"step": steps[0].name, "after_ms": time.Since(began).Milliseconds(), "open": f.core.Open(),
-				"connections": f.server.Connections()}).Info("stopping: giving up")
-			steps[0].do(end)
+				"connections": f.server.Connections()}).Info("stopping: cancelling open requests")
+			steps[0].do(timing)
 			steps = steps[1:]
-		case <-moved:
+		case <-changed:
 		case <-done:
 			due.Stop()
 			return
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -18,17 +18,17 @@
 	"lichenshelf/router"
 )
 
-// startFleet starts this router's part in its fleet, if the file names one.
+// startFleet starts this router's fleet agent if the file names a fleet.
 func (d *daemon) startFleet(ctx, starting context.Context) error {
 	cfg, err := agent.LoadConfig(d.files.Fleet)
 	if err != nil || cfg.Fleet == "" {
 		return err
 	}
 	life := uint64(time.Now().UnixNano())
-	if err := d.openTrail(cfg, life); err != nil {
+	if err := d.openEventLog(cfg, life); err != nil {
 		return err
 	}
-	a, err := agent.New(cfg, life, life, d.acts.loans(), d.counters, d.log)
+	a, err := agent.New(cfg, life, life, d.versionLog.loanRecorder(), d.counters, d.log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", d.files.Fleet, err)
 	}
@@ -36,9 +36,9 @@
 	if err != nil {
 		return fmt.Errorf("listen for the fleet: %w", err)
 	}
-	d.fleet, d.fleetOf, d.fleetCfg = a, len(cfg.Routers), cfg
-	d.acts.count("fleet/terms", a.Terms())
-	d.acts.tellOthers(a.SetVersions)
+	d.fleet, d.fleetSize, d.fleetCfg = a, len(cfg.Routers), cfg
+	d.versionLog.advanceLocal("fleet/terms", a.Terms())
+	d.versionLog.setOnChange(a.SetVersions)
 	if g := cfg.Straggler.Grace.Duration; g > 0 {
 		d.fence = newFence(g)
 	}
@@ -51,62 +51,64 @@
 		defer l.Close()
 		a.Run(ctx)
 	}()
-	d.log.WithField("fleet", cfg.Fleet).WithField("router", cfg.Self).Info("sharing with the fleet")
+	d.log.WithField("fleet", cfg.Fleet).WithField("router", cfg.Self).Info("fleet agent started")
 	if cfg.Operator == "" {
 		return nil
 	}
-	return d.serveConsole(starting, cfg.Operator, console.New(func() bool { return !d.stopping.Load() }, nil).WithFleet(fleetPages{a, &d.acts}))
+	return d.serveConsole(starting, cfg.Operator, console.New(func() bool { return !d.stopping.Load() }, nil).WithFleet(fleetPages{a, &d.versionLog}))
 }
 
-// setQuotas makes accounts' quotas limits over all routers. They are a version of their own in the trail.
+// setQuotas makes the quotas of accounts limits over all routers. They are a separate version in
+// the event log.
 func (d *daemon) setQuotas(cfg *modelapi.Config) {
 	quotas := cfg.Quotas()
 	d.fleet.SetLimits(modelapi.QuotaPrefix, quotas)
-	d.acts.count("fleet/quotas", fmt.Sprint(quotas))
+	d.versionLog.advanceLocal("fleet/quotas", fmt.Sprint(quotas))
 }
 
-// trailPage is the name of the page that holds this router's trail, as a tar.
-const trailPage = "trail"
+// eventLogPage is the name of the page that returns this router's event log as a tar archive.
+const eventLogPage = "trail"
 
-// fleetPages is what the operator's address shows: the agent's pages, and the trail.
+// fleetPages serves the pages of the operator's address: those of the agent, and the event log.
 type fleetPages struct {
 	*agent.Agent
-	acts *acts
+	versionLog *versionLog
 }
 
 // Page implements console.Fleet.
 func (f fleetPages) Page(name string) (any, bool) {
-	if name != trailPage {
+	if name != eventLogPage {
 		return f.Agent.Page(name)
 	}
-	if f.acts.trail == nil {
+	if f.versionLog.eventLog == nil {
 		return nil, false
 	}
-	f.acts.trail.Flush()
+	f.versionLog.eventLog.Flush()
 	r, w := io.Pipe()
-	go func() { _ = w.CloseWithError(eventlog.Archive(f.acts.dir, w)) }()
+	go func() { _ = w.CloseWithError(eventlog.Archive(f.versionLog.dir, w)) }()
 	return r, true
 }
 
-// share is a front's part in the fleet; without a fleet all passes it as it is.
-type share struct{ front *agent.Front }
+// frontSharing connects a front to the fleet. Without a fleet it passes a transport and a core
+// through unchanged, and has no permit.
+type frontSharing struct{ front *agent.Front }
 
-func (d *daemon) shares(name string, s logic.Settings, reports bool, zones []string) share {
+func (d *daemon) shareFront(name string, s logic.Settings, reports bool, zones []string) frontSharing {
 	if d.fleet == nil {
-		return share{}
+		return frontSharing{}
 	}
-	return share{d.fleet.Front(node.FrontConfig{Name: name, Settings: s, Reports: reports, Zones: zones}, d.acts.recorder())}
+	return frontSharing{d.fleet.Front(node.FrontConfig{Name: name, Settings: s, Reports: reports, Zones: zones}, d.versionLog.recorder())}
 }
 
-func (s share) watch(t router.Transport) router.Transport {
+func (s frontSharing) wrapTransport(t router.Transport) router.Transport {
 	if s.front == nil {
 		return t
 	}
 	return s.front.WrapTransport(t)
 }
 
-// counted is a handler of calls that also tells the fleet of them, where it shares.
-func (d *daemon) counted(handle func(*downstream.Call)) func(*downstream.Call) {
+// countArrivals wraps a handler of calls so that the fleet agent, if there is one, counts them.
+func (d *daemon) countArrivals(handle func(*downstream.Call)) func(*downstream.Call) {
 	if d.fleet == nil {
 		return handle
 	}
@@ -116,14 +118,14 @@
 	}
 }
 
-func (s share) permit() router.Permit {
+func (s frontSharing) permit() router.Permit {
 	if s.front == nil {
 		return nil
 	}
 	return s.front
 }
 
-func (s share) before(core *router.Core) cordon.MemberReceiver {
+func (s frontSharing) memberReceiver(core *router.Core) cordon.MemberReceiver {
 	if s.front == nil {
 		return core
 	}
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -11,11 +11,11 @@
 	"lichenshelf/internal/listener"
 )
 
-// open opens a listener at an address. What the system lacks for a moment, or an address that is not free yet, delays a start
-// and does not end it.
+// open opens a listener at an address. A temporary shortage of system resources, or an address that
+// is not free yet, delays the start but does not fail it.
 func (d *daemon) open(starting context.Context, addr string, listen func(addr string) (net.Listener, error)) (net.Listener, error) {
 	return listener.Open(starting, func() (net.Listener, error) { return listen(addr) }, func(err error) {
-		d.log.WithError(err).WithField("listen", addr).Warn("can't listen for now, tried again")
+		d.log.WithError(err).WithField("listen", addr).Warn("address not available yet, retrying")
 	})
 }
 
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -12,15 +12,15 @@
 	"lichenshelf/internal/logwriter"
 )
 
-// freeFromLog keeps the log from ending the process, and counts what of it is dropped.
-func (d *daemon) freeFromLog() {
-	signal.Ignore(syscall.SIGPIPE) // a pipe without a reader fails the write alone
+// isolateLog keeps a failing log from ending the process, and counts dropped log entries.
+func (d *daemon) isolateLog() {
+	signal.Ignore(syscall.SIGPIPE) // a pipe without a reader fails only the write
 	if w, ok := d.log.Out.(*logwriter.Writer); ok {
 		w.OnDrop(func() { d.counters.Add("log_entries_dropped", 1) })
 	}
 }
 
-// printCounters writes all counters to the log, in one piece.
+// printCounters writes all counters to the log in one write.
 func (d *daemon) printCounters() {
 	var text bytes.Buffer
 	err := d.counters.Print(&text)
@@ -33,20 +33,21 @@
 }
 
 const (
-	// latenessEvery is how often the process looks how late it runs.
-	latenessEvery = 100 * time.Millisecond
-	// lateFrom is a lateness that is told: a third of the platform's slack for what is held, of which half is meant for a process
-	// that is held up.
-	lateFrom = 100 * time.Millisecond
-	// latenessLinesEvery bounds the lines about it.
-	latenessLinesEvery = time.Second
+	// latenessInterval is the interval at which the process measures how late it runs.
+	latenessInterval = 100 * time.Millisecond
+	// latenessThreshold is the lateness from which the process counts and logs it: a third of the
+	// slack that the platform allows for held read state, half of which is meant for a process that
+	// is stalled.
+	latenessThreshold = 100 * time.Millisecond
+	// latenessLogInterval is the minimum interval between two log lines about lateness.
+	latenessLogInterval = time.Second
 )
 
-// watchLateness notes when the process runs late, for want of processor time or since it was stopped: without that, what it did
-// too late looks as if others had been slow.
+// watchLateness counts and logs when the process runs late, because it lacks processor time or was
+// stopped. Without that, delays of this process look like delays of its workers or clients.
 func (d *daemon) watchLateness(ctx context.Context) {
-	due := time.Now().Add(latenessEvery)
-	var told time.Time
+	due := time.Now().Add(latenessInterval)
+	var lastLogged time.Time
 	for {
 		select {
 		case <-time.After(time.Until(due)):
@@ -55,16 +56,16 @@
 		}
 		now := time.Now()
 		late := now.Sub(due)
-		due = now.Add(latenessEvery)
-		if late < lateFrom {
+		due = now.Add(latenessInterval)
+		if late < latenessThreshold {
 			continue
 		}
 		d.counters.Add("process_late", 1)
 		d.counters.Add("process_late_ms", late.Milliseconds())
-		if now.Sub(told) < latenessLinesEvery {
+		if now.Sub(lastLogged) < latenessLogInterval {
 			continue
 		}
-		told = now
+		lastLogged = now
 		fields := logrus.Fields{"late_ms": late.Milliseconds(), "times": d.counters.Get("process_late"), "evicted": d.counters.Get("connections_evicted")}
 		d.log.WithFields(fields).Warn("the process ran late")
 	}
--- a/internal/daemon/look.go
+++ b/internal/daemon/look.go
@@ -14,14 +14,14 @@
 	"lichenshelf/store"
 )
 
-// nobody is a core that takes no workers.
-type nobody struct{}
+// discardCore is a core that ignores discovered workers.
+type discardCore struct{}
 
-func (nobody) Discovered([]router.Member, bool) {}
+func (discardCore) Discovered([]router.Member, bool) {}
 
-// Look starts the sources of a front without the front, until ctx ends. The
-// store is asked over its API, at the replicas that its file names.
-func Look(ctx context.Context, front string, files Files, log *logrus.Logger) (*sources.Feed, error) {
+// StartSources starts the sources of a front without the front, until ctx ends. The store is
+// queried over its API, at the replicas named in its file.
+func StartSources(ctx context.Context, front string, files Files, log *logrus.Logger) (*sources.Feed, error) {
 	if front != sources.Platform && front != sources.ModelAPI {
 		return nil, fmt.Errorf("front %q is neither platform nor modelapi", front)
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	if front == sources.Platform {
-		return lookAtPlatform(ctx, files, config, list, log)
+		return startPlatformSources(ctx, files, config, list, log)
 	}
 	cfg := &modelapi.Config{}
 	if files.ModelAPI != "" {
@@ -57,19 +57,19 @@
 			return nil, err
 		}
 	}
-	feed := sources.NewFeed(front, nobody{}, nil, nil, log)
+	feed := sources.NewFeed(front, discardCore{}, nil, nil, log)
 	if err := feed.Apply(ctx, config, list); err != nil {
 		return nil, err
 	}
-	return feed, tellBackends(feed, cfg)
+	return feed, reportBackends(feed, cfg)
 }
 
-func lookAtPlatform(ctx context.Context, files Files, config *sources.Config, list []sources.Source, log *logrus.Logger) (*sources.Feed, error) {
+func startPlatformSources(ctx context.Context, files Files, config *sources.Config, list []sources.Source, log *logrus.Logger) (*sources.Feed, error) {
 	cfg, err := platform.LoadConfig(files.Platform, os.Getenv)
 	if err != nil {
 		return nil, err
 	}
-	feed := sources.NewFeed(sources.Platform, nobody{}, nil, cfg, log)
+	feed := sources.NewFeed(sources.Platform, discardCore{}, nil, cfg, log)
 	if err := feed.Apply(ctx, config, list); err != nil {
 		return nil, err
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -5,7 +5,7 @@
 	"lichenshelf/metrics/exposition"
 )
 
-// withMetrics has an operators' address answer with this process's metrics.
+// withMetrics adds a page with the metrics of this process to an operators' address.
 func (d *daemon) withMetrics(c *console.Console) *console.Console {
 	m := exposition.New(d.counters,
 		exposition.Gauge{Name: "requests_open", Help: "Requests in hand, streams under way included.", Value: func() float64 {
@@ -23,7 +23,7 @@
 	return c.WithMetrics(m, exposition.ContentType)
 }
 
-// sumFronts adds a figure up over all fronts.
+// sumFronts returns the sum of a value over all fronts.
 func (d *daemon) sumFronts(of func(front) int) float64 {
 	d.frontsMu.RLock()
 	defer d.frontsMu.RUnlock()
--- a/internal/daemon/modelapi.go
+++ b/internal/daemon/modelapi.go
@@ -12,77 +12,79 @@
 	"lichenshelf/logic"
 )
 
-// takeModelAPI is how long after SIGTERM the model API goes on, while clients come.
-const takeModelAPI = 30 * time.Second
+// modelAPIAcceptFor is how long after SIGTERM the model API accepts new client connections.
+const modelAPIAcceptFor = 30 * time.Second
 
 func (d *daemon) startModelAPI(ctx, starting context.Context) error {
 	cfg, err := modelapi.LoadConfig(d.files.ModelAPI)
 	if err != nil || cfg.Listen == "" {
 		return err
 	}
-	var follow *published
-	if d.records != nil {
-		if err := d.settle(starting); err != nil {
+	var follower *configFollower
+	if d.storeClient != nil {
+		if err := d.waitForStore(starting); err != nil {
 			return err
 		}
-		if follow, err = d.newPublished(starting, cfg); err != nil {
+		if follower, err = d.newConfigFollower(starting, cfg); err != nil {
 			return err
 		}
 	}
-	workers, clients := shares(defaultSockets)
+	workers, clients := divideSockets(defaultSockets)
 	var budgets modelapi.Budgets
 	if d.fleet != nil {
-		cfg.Routers = d.fleetOf
+		cfg.Routers = d.fleetSize
 		d.setQuotas(cfg)
 		budgets = d.fleet
 	}
 	settings := cfg.Settings()
 	if d.fleet != nil {
-		settings.Tenants = nil // quotas are the fleet's, so the decisions know no account past its own
+		// The fleet enforces the quotas, so the decider needs no tenants of its own.
+		settings.Tenants = nil
 	}
-	part := d.shares(sources.ModelAPI, settings, false, nil)
-	core := d.core(ctx, logic.New(settings, uint64(time.Now().UnixNano())), part.watch(modelapi.NewTransport(cfg, workers, d.counters)), part,
+	sharing := d.shareFront(sources.ModelAPI, settings, false, nil)
+	core := d.startCore(ctx, logic.New(settings, uint64(time.Now().UnixNano())), sharing.wrapTransport(modelapi.NewTransport(cfg, workers, d.counters)), sharing,
 		settings, cfg.MaxOpen)
-	feed, err := d.feed(sources.ModelAPI, part.before(core), nil)
+	feed, err := d.startFeed(sources.ModelAPI, sharing.memberReceiver(core), nil)
 	if err != nil {
 		return err
 	}
-	if err := tellBackends(feed, cfg); err != nil {
+	if err := reportBackends(feed, cfg); err != nil {
 		return err
 	}
 	ready := func() bool { return feed.Ready() && !d.stopping.Load() }
 	models := modelapi.NewFront(cfg, ready, budgets)
-	d.shutters = append(d.shutters, models)
-	if follow != nil {
-		follow.front, follow.core = models, core
-		d.follow = follow
-		go follow.follow(ctx)
+	d.shuttableFronts = append(d.shuttableFronts, models)
+	if follower != nil {
+		follower.front, follower.core = models, core
+		d.configFollower = follower
+		go follower.run(ctx)
 	}
-	return d.listen(starting, cfg.Listen, front{core: core, endings: newEndings(ending{take: takeModelAPI})}, downstream.Config{Handler: models.Handle,
+	return d.listen(starting, cfg.Listen, front{core: core, shutdownTiming: newCurrentShutdownTiming(shutdownTiming{acceptFor: modelAPIAcceptFor})}, downstream.Config{Handler: models.Handle,
 		Problem: modelapi.Problem, MaxBody: cfg.MaxBody,
 		MaxBytes: cfg.MaxBytes, MaxConns: clients})
 }
 
-// settle waits until the store has told what is newest: a router must not start with another
-// configuration than its fellows for want of patience.
-func (d *daemon) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, storeWait)
+// waitForStore waits until the newest configuration can be read from the store. Otherwise a router
+// could start with a configuration older than that of the other routers.
+func (d *daemon) waitForStore(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, storeStartTimeout)
 	defer cancel()
 	if d.replica != nil {
 		select {
 		case <-d.replica.CaughtUp():
 			return nil
 		case <-ctx.Done():
-			return fmt.Errorf("the store can't tell what is newest, for the configuration: %w", ctx.Err())
+			return fmt.Errorf("read the newest configuration from the store: %w", ctx.Err())
 		}
 	}
-	return tell(ctx, func() error { return d.records.CatchUp(ctx, modelapi.ConfigName) })
+	return askStore(ctx, func() error { return d.storeClient.CatchUp(ctx, modelapi.ConfigName) })
 }
 
-// tell asks the store over and over until it answers or ctx ends: a connection that breaks must not end a start.
-func tell(ctx context.Context, ask func() error) error {
-	if err := transient.Retry(ctx, settleAgain, nil, ask); err != nil {
-		return fmt.Errorf("the store can't tell what is newest, for the configuration: %w", err)
+// askStore repeats a request to the store until it succeeds or ctx ends: a broken connection must
+// not fail the start.
+func askStore(ctx context.Context, request func() error) error {
+	if err := transient.Retry(ctx, storeRetryInterval, nil, request); err != nil {
+		return fmt.Errorf("read the newest configuration from the store: %w", err)
 	}
 	return nil
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -19,23 +19,26 @@
 )
 
 const (
-	defaultSockets = 1024
-	spareSockets   = 40          // for discovery, the listener, files and the runtime
-	workerPart     = 0.4         // of the other sockets; the rest is for clients
-	memoryPart     = 0.7         // of the limit, from where on the collector works harder
-	programSize    = 16 << 20    // of the limit, for the program itself: 14.6 to 14.9 MB mapped from files were seen, beside its data
-	bodiesPart     = 0.25        // of the limit, for the bodies of requests in hand
-	settleWait     = time.Second // for discovery's first word, where workers are known already
+	defaultSockets    = 1024
+	reservedSockets   = 40  // for discovery, listeners, files and the runtime
+	workerSocketShare = 0.4 // of the other sockets; the rest is for clients
+	memoryLimitShare  = 0.7 // of the memory limit; above it the garbage collector works harder
+	// programBytes is subtracted from the memory limit for the program itself: 14.6 to 14.9 MB are
+	// mapped from files, in addition to its data.
+	programBytes     = 16 << 20
+	bodyMemoryShare  = 0.25        // of the memory limit, for the bodies of open requests
+	firstListTimeout = time.Second // for the first list of discovery, if workers are known already
 )
 
-// discoveryPart and an address name a list of workers among what the router acts on.
+// discoveryPart, followed by the address of a discovery, names a list of workers among the versions
+// that the router acts on.
 const discoveryPart = "workers/discovery@"
 
-// Doubts names what is legal in the platform's file but can hardly be meant, with
-// key and value and what the router does about it.
-func Doubts(cfg *platform.Config) []string {
+// ConfigWarnings describes settings of the platform's file that are valid but probably not
+// intended, with key, value and their effect.
+func ConfigWarnings(cfg *platform.Config) []string {
 	out := cfg.Doubts()
-	if cfg.Sockets <= 2*spareSockets {
+	if cfg.Sockets <= 2*reservedSockets {
 		out = append(out, fmt.Sprintf("limits.sockets is %d: too few to work with or not stated, counted as %d", cfg.Sockets, defaultSockets))
 	}
 	if cfg.MemoryMB <= 0 {
@@ -47,21 +50,23 @@
 	return out
 }
 
-// shares divides the sockets that a front may hold between workers and clients.
-func shares(sockets int) (workers, clients int) {
-	if sockets <= 2*spareSockets {
+// divideSockets divides the sockets that a front may hold between workers and clients.
+func divideSockets(sockets int) (workers, clients int) {
+	if sockets <= 2*reservedSockets {
 		sockets = defaultSockets
 	}
-	workers = int(float64(sockets-spareSockets) * workerPart)
-	return workers, sockets - spareSockets - workers
+	workers = int(float64(sockets-reservedSockets) * workerSocketShare)
+	return workers, sockets - reservedSockets - workers
 }
 
-// applyLimits has the runtime keep to the limits of the platform's file. It returns that of memory in bytes; 0 means none.
+// applyLimits applies the limits of the platform's file to the runtime. It returns the memory limit
+// in bytes; 0 means none.
 func applyLimits(cfg *platform.Config) (memory int64) {
 	memory = int64(cfg.MemoryMB) << 20
 	if memory > 0 {
-		// Of a large limit memoryPart leaves room for the program itself, of a small one it does not.
-		debug.SetMemoryLimit(max(min(int64(float64(memory)*memoryPart), memory-programSize), memory/4))
+		// memoryLimitShare leaves enough room for the program itself if the limit is large, but not
+		// if it is small.
+		debug.SetMemoryLimit(max(min(int64(float64(memory)*memoryLimitShare), memory-programBytes), memory/4))
 	}
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
@@ -69,52 +74,52 @@
 	return memory
 }
 
-// startPlatform starts the platform's front, with the list of workers that it goes by and the operators' address.
+// startPlatform starts the platform's front, its list of workers and the operators' address.
 func (d *daemon) startPlatform(ctx, starting context.Context) error {
 	cfg, err := platform.LoadConfig(d.files.Platform, os.Getenv)
 	if err != nil {
 		return err
 	}
-	for _, doubt := range Doubts(cfg) {
-		d.log.Warn(doubt)
+	for _, warning := range ConfigWarnings(cfg) {
+		d.log.Warn(warning)
 	}
 	memory := applyLimits(cfg)
-	workers, clients := shares(cfg.Sockets)
+	workers, clients := divideSockets(cfg.Sockets)
 	open := clients
 	if cfg.OpenCap > 0 {
 		open = min(open, cfg.OpenCap)
 	}
-	part := d.shares(sources.Platform, cfg.Settings, cfg.Reports.HasKnownField(), cfg.Names("zone"))
-	core := d.core(ctx, logic.New(cfg.Settings, cfg.Seed), part.watch(platform.NewTransport(cfg, workers, d.counters)), part,
+	sharing := d.shareFront(sources.Platform, cfg.Settings, cfg.Reports.HasKnownField(), cfg.Names("zone"))
+	core := d.startCore(ctx, logic.New(cfg.Settings, cfg.Seed), sharing.wrapTransport(platform.NewTransport(cfg, workers, d.counters)), sharing,
 		cfg.Settings, open)
-	taker := part.before(core)
+	receiver := sharing.memberReceiver(core)
 	var failed func(error)
 	if d.sources.Takes(sources.Platform) {
-		feed, err := d.feed(sources.Platform, taker, cfg)
+		feed, err := d.startFeed(sources.Platform, receiver, cfg)
 		if err != nil {
 			return err
 		}
-		taker, failed = ownList{feed}, ownList{feed}.failed
+		receiver, failed = ownList{feed}, ownList{feed}.failed
 	}
-	d.cordon = cordon.New(taker, cordon.Path(os.TempDir(), cfg.Name), d.log)
+	d.cordon = cordon.New(receiver, cordon.Path(os.TempDir(), cfg.Name), d.log)
 	go d.cordon.Follow(ctx)
-	d.cordon.OnChange(func(v uint64) { d.acts.follow(version.Here+"workers/by-hand", v) })
-	taker = d.cordon
-	d.watch = platform.NewWatch(cfg, taker, d.log)
-	d.watch.Failed, d.watch.Took = failed, d.tookList
+	d.cordon.OnChange(func(v uint64) { d.versionLog.observe(version.Here+"workers/by-hand", v) })
+	receiver = d.cordon
+	d.watch = platform.NewWatch(cfg, receiver, d.log)
+	d.watch.Failed, d.watch.Took = failed, d.recordList
 	go d.watch.Run(ctx)
 	started := time.Now()
 	ready := func() bool {
-		settled := d.watch.Told() || len(cfg.Known.Instances) > 0 && time.Since(started) > settleWait
+		settled := d.watch.Told() || len(cfg.Known.Instances) > 0 && time.Since(started) > firstListTimeout
 		return settled && !d.stopping.Load()
 	}
-	d.platform, d.platCore = platform.NewFront(cfg, ready), core
-	d.shutters = append(d.shutters, d.platform)
-	d.atStart = platformEnding(cfg)
-	d.endings = newEndings(d.atStart)
-	if err := d.listen(starting, cfg.Listen, front{core: core, endings: d.endings}, downstream.Config{Handler: d.counted(d.platform.Handle),
+	d.platform, d.platformCore = platform.NewFront(cfg, ready), core
+	d.shuttableFronts = append(d.shuttableFronts, d.platform)
+	d.initialShutdownTiming = platformShutdownTiming(cfg)
+	d.shutdownTiming = newCurrentShutdownTiming(d.initialShutdownTiming)
+	if err := d.listen(starting, cfg.Listen, front{core: core, shutdownTiming: d.shutdownTiming}, downstream.Config{Handler: d.countArrivals(d.platform.Handle),
 		Problem: downstream.TextProblem, MaxBody: platform.MaxBody,
-		MaxBytes: int64(float64(memory) * bodiesPart), MaxConns: clients}); err != nil {
+		MaxBytes: int64(float64(memory) * bodyMemoryShare), MaxConns: clients}); err != nil {
 		return err
 	}
 	if cfg.Console == "" {
@@ -123,15 +128,16 @@
 	return d.serveConsole(starting, cfg.Console, console.New(ready, d.cordon))
 }
 
-// tookList notes which version of whose list the router acts on.
-func (d *daemon) tookList(addr string, generation int64) {
-	if last := d.listFrom.Swap(&addr); last != nil && *last != addr {
-		d.acts.leave(discoveryPart + *last) // another discovery may count otherwise
+// recordList records the discovery and the version of the list that the router acts on.
+func (d *daemon) recordList(addr string, generation int64) {
+	if last := d.lastListAddr.Swap(&addr); last != nil && *last != addr {
+		// Generations of different discoveries cannot be compared.
+		d.versionLog.remove(discoveryPart + *last)
 	}
-	d.acts.follow(discoveryPart+addr, uint64(max(generation, 0)))
+	d.versionLog.observe(discoveryPart+addr, uint64(max(generation, 0)))
 }
 
-// serveConsole opens an operators' address. It answers until the process ends.
+// serveConsole opens an operators' address, which is served until the process ends.
 func (d *daemon) serveConsole(starting context.Context, addr string, c *console.Console) error {
 	l, err := d.open(starting, addr, listenTCP)
 	if err != nil {
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -12,29 +12,29 @@
 	"lichenshelf/front/platform"
 )
 
-// signals are those that the program hears. Each kind has a channel of its own with room for one: more of a kind at a time
-// say nothing new, and none of them can take the place of an end.
+// signals holds the handled signals. Each kind has its own channel with a buffer of one: further
+// signals of a kind add nothing, and none can displace a termination signal.
 type signals struct {
-	end      chan os.Signal // SIGTERM, SIGINT
-	reload   chan os.Signal // SIGHUP
-	counters chan os.Signal // SIGUSR1
+	terminate chan os.Signal // SIGTERM, SIGINT
+	reload    chan os.Signal // SIGHUP
+	counters  chan os.Signal // SIGUSR1
 }
 
 func listenForSignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
-	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	signal.Notify(s.counters, syscall.SIGUSR1)
 	return s
 }
 
 func (s signals) stop() {
-	for _, c := range []chan os.Signal{s.end, s.reload, s.counters} {
+	for _, c := range []chan os.Signal{s.terminate, s.reload, s.counters} {
 		signal.Stop(c)
 	}
 }
 
-// onEach runs do after each signal, one at a time, until ctx ends.
+// onEach calls do after each signal, one call at a time, until ctx ends.
 func onEach(ctx context.Context, signals <-chan os.Signal, do func()) {
 	for {
 		select {
@@ -46,52 +46,52 @@
 	}
 }
 
-// reload reads the files again that may change while the router runs. What can't
-// be read leaves things as they are.
+// reload reads the files again that may change while the router runs. If a file cannot be read,
+// what it configures stays unchanged.
 func (d *daemon) reload() {
 	if d.watch != nil {
-		// Checked whole before anything is taken: a file that fails changes nothing.
+		// The whole file is checked before anything is applied: a file that fails changes nothing.
 		cfg, err := platform.ReadConfig(d.files.Platform)
 		if err == nil {
 			err = d.watch.Move(cfg)
 		}
 		if err != nil {
-			d.log.WithError(err).Error("configuration not read again, discovery stays as it is, and so do the settings")
+			d.log.WithError(err).Error("configuration not reloaded, discovery stays as it is, and so do the settings")
 		} else {
 			rules, publish := d.platform.Retune(cfg)
-			d.platCore.Retune(rules, cfg.Settings.MaxAttempts)
+			d.platformCore.Retune(rules, cfg.Settings.MaxAttempts)
 			publish()
-			// The kill after a SIGTERM goes by the longest deadline, which may be another one now.
-			d.endings.set(d.atStart.sooner(platformEnding(cfg)))
+			// The platform kills the process after the longest deadline, which may have changed.
+			d.shutdownTiming.set(d.initialShutdownTiming.earlier(platformShutdownTiming(cfg)))
 			d.log.WithField("classes", len(cfg.Settings.Classes)).Info("settings read again")
 		}
 	}
 	if d.files.Sources != "" {
 		if err := d.reloadSources(); err != nil {
-			d.log.WithError(err).Error("sources not read again, the old ones stay")
+			d.log.WithError(err).Error("sources not reloaded, the previous ones stay in use")
 		}
 	}
 	if feed := d.feeds[sources.ModelAPI]; feed != nil {
 		cfg, err := modelapi.LoadConfig(d.files.ModelAPI)
 		if err == nil {
-			err = tellBackends(feed, cfg)
+			err = reportBackends(feed, cfg)
 		}
 		if err != nil {
-			d.log.WithError(err).Error("backends not read again, the old list stays")
+			d.log.WithError(err).Error("backends not reloaded, the previous list stays in use")
 			return
 		}
 		d.log.WithField("backends", len(cfg.Backends)).Info("backends read again")
 	}
 }
 
-// reloadSources goes over to what the file says now, at all fronts or at none.
+// reloadSources applies the current content of the file, at all fronts or at none.
 func (d *daemon) reloadSources() error {
 	c, err := sources.LoadConfig(d.files.Sources)
 	if err != nil {
 		return err
 	}
 	if c.Takes(sources.Platform) && d.watch != nil && d.feeds[sources.Platform] == nil {
-		return fmt.Errorf("%s: the platform's front has started without sources and takes them from its next start on", d.files.Sources)
+		return fmt.Errorf("%s: the platform's front was started without sources; a restart is needed to add them", d.files.Sources)
 	}
 	for front, f := range d.feeds {
 		if err := f.Check(c, d.sourcesOf(front, c)); err != nil {
--- a/internal/daemon/sources.go
+++ b/internal/daemon/sources.go
@@ -9,8 +9,8 @@
 	"lichenshelf/router"
 )
 
-// feed starts the sources of a front, between them and its core.
-func (d *daemon) feed(front string, core sources.Core, names sources.Names) (*sources.Feed, error) {
+// startFeed starts the sources of a front, which report to its core.
+func (d *daemon) startFeed(front string, core sources.Core, names sources.Names) (*sources.Feed, error) {
 	var registry storesource.Registry
 	if d.replica != nil {
 		registry = storesource.Replica{Replica: d.replica}
@@ -21,7 +21,7 @@
 		if !own {
 			part = version.Here + part
 		}
-		d.acts.follow(part, v)
+		d.versionLog.observe(part, v)
 	}
 	if err := f.Apply(d.ctx, d.sources, d.sourcesOf(front, d.sources)); err != nil {
 		return nil, err
@@ -30,14 +30,14 @@
 	return f, nil
 }
 
-// sourcesOf is what a front takes. The workers registered in the store have
-// always been the model API's, with a file of sources or without.
+// sourcesOf returns the sources of a front. The workers registered in the store belong to the model
+// API, with a file of sources or without.
 func (d *daemon) sourcesOf(front string, c *sources.Config) []sources.Source {
 	return c.For(front, d.replica != nil && front == sources.ModelAPI)
 }
 
-// tellBackends reports the backends of the model API's own file.
-func tellBackends(f *sources.Feed, cfg *modelapi.Config) error {
+// reportBackends reports the backends of the model API's own file.
+func reportBackends(f *sources.Feed, cfg *modelapi.Config) error {
 	entries, err := modelapi.Entries(cfg.Backends)
 	if err != nil {
 		return err
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// ownList hands discovery's word to whatever port its front has for it by now.
+// ownList forwards discovery's list to the current own port of a front's feed, which a reload may
+// replace.
 type ownList struct{ feed *sources.Feed }
 
 func (o ownList) Discovered(members []router.Member, whole bool) {
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	storeWait   = 30 * time.Second
-	settleAgain = 200 * time.Millisecond
-	followPace  = 500 * time.Millisecond // of looks at a store without a replica here
+	storeStartTimeout  = 30 * time.Second
+	storeRetryInterval = 200 * time.Millisecond
+	followPollInterval = 500 * time.Millisecond // for a store without a replica in this process
 )
 
-// startStore starts this router's replica, or follows others'; starting ends when the program is told to stop meanwhile.
+// startStore starts this router's replica, or follows those of others. starting ends when the
+// program receives a stop signal during the start.
 func (d *daemon) startStore(starting context.Context) error {
 	cfg, err := store.LoadConfig(d.files.Store)
 	if err == nil && len(cfg.Follow) > 0 {
-		f := store.NewFollower(cfg.Name, followPace, cfg.Follow...)
-		d.records = f
+		f := store.NewFollower(cfg.Name, followPollInterval, cfg.Follow...)
+		d.storeClient = f
 		go f.Run(d.ctx, modelapi.ConfigName)
 		d.log.WithField("name", cfg.Name).WithField("follow", cfg.Follow).Info("following the store")
 	}
@@ -36,12 +37,12 @@
 	cfg.Log = d.log.Out
 	l, err := d.open(starting, cfg.Self().API, listenTCP)
 	if err != nil {
-		return fmt.Errorf("listen for the store's clients: %w", err)
+		return fmt.Errorf("listen for store API clients: %w", err)
 	}
 	if d.replica, err = d.openReplica(starting, *cfg); err != nil {
 		return errors.Join(err, l.Close())
 	}
-	d.records = ownReplica{d.replica}
+	d.storeClient = ownReplica{d.replica}
 	d.api = store.NewAPI(d.replica, storeChecks)
 	go func() {
 		if err := d.api.Serve(l); err != nil {
@@ -66,10 +67,11 @@
 	return nil
 }
 
-// openReplica opens the replica. A disk that takes no writes for a while does not end the start: it is tried again, for
-// storeWait in all. One that does not answer is waited for as long; what hangs then is left behind by the process, which ends.
+// openReplica opens the replica. A disk that temporarily rejects writes does not fail the start:
+// opening is retried for storeStartTimeout. A disk that does not answer is waited for as long; a
+// call that still hangs then is abandoned, and the process exits.
 func (d *daemon) openReplica(starting context.Context, cfg store.Config) (*store.Replica, error) {
-	ctx, cancel := context.WithTimeout(starting, storeWait)
+	ctx, cancel := context.WithTimeout(starting, storeStartTimeout)
 	defer cancel()
 	type opened struct {
 		replica *store.Replica
@@ -78,9 +80,9 @@
 	done := make(chan opened, 1)
 	go func() {
 		var o opened
-		o.err = transient.Retry(ctx, settleAgain, diskFault, func() (err error) {
-			if o.replica, err = store.Open(cfg); err != nil && diskFault(err) {
-				d.log.WithError(err).Error("the store's folder can't be written, tried again")
+		o.err = transient.Retry(ctx, storeRetryInterval, isTransientDiskError, func() (err error) {
+			if o.replica, err = store.Open(cfg); err != nil && isTransientDiskError(err) {
+				d.log.WithError(err).Error("store directory is not writable, retrying")
 			}
 			return err
 		})
@@ -91,17 +93,18 @@
 		return o.replica, o.err
 	case <-ctx.Done():
 	}
-	// A start that was ended just as the replica was open has a replica to close.
+	// The replica may have been opened just as the start was cancelled; it is returned so that the
+	// caller can close it.
 	select {
 	case o := <-done:
 		return o.replica, o.err
-	case <-time.After(settleAgain):
-		return nil, fmt.Errorf("open the store's folder: %w", ctx.Err())
+	case <-time.After(storeRetryInterval):
+		return nil, fmt.Errorf("open the store directory: %w", ctx.Err())
 	}
 }
 
-// diskFault tells whether an error is the disk's, and may pass.
-func diskFault(err error) bool {
+// isTransientDiskError reports whether an error comes from the disk and may be temporary.
+func isTransientDiskError(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EDQUOT)
 }
 
@@ -115,6 +118,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := errors.Join(d.api.Close(ctx), d.replica.Close()); err != nil {
-		d.log.WithError(err).Warn("store not closed in good order")
+		d.log.WithError(err).Warn("store did not close cleanly")
 	}
 }
--- a/internal/daemon/straggler.go
+++ b/internal/daemon/straggler.go
@@ -19,34 +19,38 @@
 )
 
 const (
-	shutPath  = "/shut" // below it: a node for each slot, that holds the name of who has it
-	looks     = 8       // at what is newest, in a grace
-	actWait   = 2 * time.Second
-	leastLook = 50 * time.Millisecond
+	// shutPath is the parent of one node for each slot, which holds the name of its owner.
+	shutPath        = "/shut"
+	pollsPerGrace   = 8 // polls for the newest versions in a grace
+	actionTimeout   = 2 * time.Second
+	minPollInterval = 50 * time.Millisecond
 )
 
-// fence keeps what this router sends back while it may act on what is long over; nil keeps nothing back.
+// fence stops this router from sending while it may act on outdated versions. A nil fence allows
+// all.
 type fence struct {
 	mu    sync.Mutex
 	fence *straggler.Fence
 	start time.Time
 }
 
-// newFence returns a fence for a grace. A turn of the looks takes up to actWait longer than they are apart.
+// newFence returns a fence for a grace. Its window is longer than the grace by actionTimeout,
+// because actions can delay the next poll by up to that time.
 func newFence(grace time.Duration) *fence {
-	return &fence{fence: straggler.NewFence(grace+actWait, grace, 0), start: time.Now()}
+	return &fence{fence: straggler.NewFence(grace+actionTimeout, grace, 0), start: time.Now()}
 }
 
-// look notes a look that was begun at a time. Told is whether the store answered it: what other routers say may have waited in
-// this one's sockets while it was stopped.
-func (f *fence) look(lacks uint64, told bool, began time.Time) {
+// recordPoll records a poll that began at the given time. answered reports whether the store
+// replied: messages of other routers do not count, as they may have waited in the socket buffers
+// while this process was stopped.
+func (f *fence) recordPoll(missing uint64, answered bool, began time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fence.Look(lacks, told, straggler.Time(began.Sub(f.start)), straggler.Time(time.Since(f.start)))
+	f.fence.Look(missing, answered, straggler.Time(began.Sub(f.start)), straggler.Time(time.Since(f.start)))
 }
 
-// check is what a core asks before it sends; nil: it need not.
-func (f *fence) check() func() bool {
+// sendCheck returns the function that a core calls before it sends, or nil if no check is needed.
+func (f *fence) sendCheck() func() bool {
 	if f == nil {
 		return nil
 	}
@@ -57,26 +61,27 @@
 	}
 }
 
-// straggling brings this router up where it lies behind the others or the published configuration, or shuts it out.
-type straggling struct {
-	d       *daemon
-	machine *straggler.Machine
-	cfg     straggler.Config
-	every   time.Duration
-	start   time.Time
-	view    straggler.View
-	slot    string // the node of the slot that is held
-	stored  uint64 // the newest configuration that the store has told of
-	sure    bool   // the store could be asked at the last look
+// stragglerMonitor updates this router where it lags behind the other routers or the published
+// configuration, or shuts it out.
+type stragglerMonitor struct {
+	d             *daemon
+	machine       *straggler.Machine
+	cfg           straggler.Config
+	interval      time.Duration
+	start         time.Time
+	view          straggler.View
+	slot          string // the node of the held slot
+	storeVersion  uint64 // the newest configuration version read from the store
+	storeAnswered bool   // whether the store answered the last poll
 }
 
-// watchStraggling starts it, where the fleet's file gives a grace.
-func (d *daemon) watchStraggling(ctx context.Context, cfg *agent.Config) error {
+// startStragglerMonitor starts the monitor if the fleet's file sets a grace.
+func (d *daemon) startStragglerMonitor(ctx context.Context, cfg *agent.Config) error {
 	c := cfg.Straggler
 	if c.Grace.Duration == 0 {
 		return nil
 	}
-	s := &straggling{d: d, start: time.Now(), every: max(c.Grace.Duration/looks, leastLook),
+	s := &stragglerMonitor{d: d, start: time.Now(), interval: max(c.Grace.Duration/pollsPerGrace, minPollInterval),
 		cfg: straggler.Config{Routers: len(cfg.Routers), Rank: cfg.Rank(), Versions: 1, Grace: c.Grace.Duration, MostAge: c.MaxAge.Duration,
 			MostShut: c.MaxShut, Rate: c.Rate, Steady: c.Steady.Duration}}
 	var err error
@@ -87,9 +92,10 @@
 	return nil
 }
 
-func (s *straggling) run(ctx context.Context) {
-	s.forgetSlots(ctx) // of a process before this one, which was let in by its end
-	tick := time.NewTicker(s.every)
+func (s *stragglerMonitor) run(ctx context.Context) {
+	// A previous process of this name may have left slots; its end has lifted the shut-out.
+	s.releaseOwnSlots(ctx)
+	tick := time.NewTicker(s.interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -97,7 +103,7 @@
 		case <-ctx.Done():
 			return
 		}
-		s.look(ctx)
+		s.poll(ctx)
 		now := straggler.Time(time.Since(s.start))
 		for _, a := range s.machine.Step(s.view, now) {
 			s.act(ctx, a)
@@ -105,71 +111,77 @@
 	}
 }
 
-// look learns what is newest, of the store and of the other routers. What can't be learnt stays as it was, and grows old.
-func (s *straggling) look(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, s.every)
+// poll reads the newest versions from the store and the other routers. What cannot be read keeps
+// its previous value, and its age grows.
+func (s *stragglerMonitor) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, s.interval)
 	defer cancel()
-	began, sure := time.Now(), false
+	began, answered := time.Now(), false
 	at := straggler.Time(began.Sub(s.start))
-	s.view.Held = s.d.acts.held()
-	if s.d.follow != nil {
-		s.view.Held[configPart] = s.d.follow.version() // also where it goes by none that was published
-	}
-	newest, ago, told := s.d.fleet.Newest()
-	if told && ago < s.cfg.Grace {
-		s.view.Newest, s.view.Heard = newest.Known(s.view.Held), max(s.view.Heard, at-straggler.Time(ago))
+	s.view.Held = s.d.versionLog.held()
+	if s.d.configFollower != nil {
+		// Set even if this router uses no published version: it is 0 then.
+		s.view.Held[configPart] = s.d.configFollower.version()
+	}
+	newest, age, known := s.d.fleet.Newest()
+	if known && age < s.cfg.Grace {
+		s.view.Newest, s.view.Heard = newest.Known(s.view.Held), max(s.view.Heard, at-straggler.Time(age))
 	} else if s.view.Newest == nil {
 		s.view.Newest = version.Vector{}
 	}
-	if s.d.follow != nil && s.d.records.CatchUp(ctx, modelapi.ConfigName) == nil {
-		sure = true
-		s.stored, s.view.Heard = s.d.records.Latest(modelapi.ConfigName).Version, at
+	if s.d.configFollower != nil && s.d.storeClient.CatchUp(ctx, modelapi.ConfigName) == nil {
+		answered = true
+		s.storeVersion, s.view.Heard = s.d.storeClient.Latest(modelapi.ConfigName).Version, at
 	}
-	if s.d.follow != nil { // what the store has told stays true while it can't be asked
-		s.view.Newest[configPart] = max(s.view.Newest[configPart], s.stored)
+	// The version read from the store remains valid while the store cannot be reached.
+	if s.d.configFollower != nil {
+		s.view.Newest[configPart] = max(s.view.Newest[configPart], s.storeVersion)
 	}
-	s.sure = sure
-	s.d.fence.look(s.view.Held.Behind(s.view.Newest), sure, began)
+	s.storeAnswered = answered
+	s.d.fence.recordPoll(s.view.Held.Behind(s.view.Newest), answered, began)
 }
 
-func (s *straggling) slotPath(i int) string { return path.Join(shutPath, fmt.Sprintf("slot-%d", i)) }
+func (s *stragglerMonitor) slotPath(i int) string {
+	return path.Join(shutPath, fmt.Sprintf("slot-%d", i))
+}
 
-// forgetSlots gives back what a process of this name has left.
-func (s *straggling) forgetSlots(ctx context.Context) {
-	if s.d.records == nil {
+// releaseOwnSlots releases the slots that a previous process of this name has left.
+func (s *stragglerMonitor) releaseOwnSlots(ctx context.Context) {
+	if s.d.storeClient == nil {
 		return
 	}
 	for i := range s.cfg.Slots() {
-		text, _, err := s.d.records.Get(s.slotPath(i))
-		if err == nil && string(text) == s.d.records.ID() {
-			s.drop(ctx, s.slotPath(i))
+		text, _, err := s.d.storeClient.Get(s.slotPath(i))
+		if err == nil && string(text) == s.d.storeClient.ID() {
+			s.releaseSlot(ctx, s.slotPath(i))
 		}
 	}
 }
 
-func (s *straggling) drop(ctx context.Context, node string) bool {
-	ctx, cancel := context.WithTimeout(ctx, actWait)
+func (s *stragglerMonitor) releaseSlot(ctx context.Context, node string) bool {
+	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
-	if err := s.d.records.DeleteIfExists(ctx, node); err != nil {
-		s.d.log.WithError(err).WithField("slot", node).Warn("slot not given back yet")
+	if err := s.d.storeClient.DeleteIfExists(ctx, node); err != nil {
+		s.d.log.WithError(err).WithField("slot", node).Warn("straggler slot not released yet")
 		return false
 	}
 	return true
 }
 
-// ask takes a slot that is free, or finds that this router has one.
-func (s *straggling) ask(ctx context.Context) {
-	if s.d.records == nil { // nobody has slots to give; there are the rights
+// claimSlot claims a free slot, or finds the one that this router already owns.
+func (s *stragglerMonitor) claimSlot(ctx context.Context) {
+	// Without a store there are no slots; routers are shut out by rank alone.
+	if s.d.storeClient == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, actWait)
+	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
 	for i := range s.cfg.Slots() {
 		node := s.slotPath(i)
-		err := s.d.records.CreateAll(ctx, node, []byte(s.d.records.ID()))
+		err := s.d.storeClient.CreateAll(ctx, node, []byte(s.d.storeClient.ID()))
 		if errors.Is(err, store.ErrNodeExists) {
-			if text, _, e := s.d.records.Get(node); e == nil && string(text) == s.d.records.ID() {
-				err = nil // asked for before, and the answer was lost
+			if text, _, e := s.d.storeClient.Get(node); e == nil && string(text) == s.d.storeClient.ID() {
+				err = nil // claimed by an earlier call whose answer was lost
 			}
 		}
 		if err == nil {
@@ -182,12 +194,13 @@
 	}
 }
 
-// bringUp asks anew for what this router lacks: the configuration is tried again, discovery is asked for the difference.
-func (s *straggling) bringUp() {
-	if s.d.follow != nil && s.view.Held[configPart] < s.view.Newest[configPart] {
-		s.d.follow.again()
-		if !s.sure { // then others that it could tell have it
-			s.d.fleet.RequestText(configPart, s.view.Held[configPart], s.d.follow.give)
+// catchUp requests the versions that this router lacks: it retries a refused configuration and asks
+// discovery for the missing changes.
+func (s *stragglerMonitor) catchUp() {
+	if s.d.configFollower != nil && s.view.Held[configPart] < s.view.Newest[configPart] {
+		s.d.configFollower.retryRefused()
+		if !s.storeAnswered { // other routers that reached the store have the text
+			s.d.fleet.RequestText(configPart, s.view.Held[configPart], s.d.configFollower.offer)
 		}
 	}
 	for part, v := range s.view.Newest {
@@ -197,31 +210,31 @@
 	}
 }
 
-func (s *straggling) shut(shut bool) {
-	for _, f := range s.d.shutters {
+func (s *stragglerMonitor) setShut(shut bool) {
+	for _, f := range s.d.shuttableFronts {
 		f.Shut(shut)
 	}
 }
 
-func (s *straggling) act(ctx context.Context, a straggler.Action) {
+func (s *stragglerMonitor) act(ctx context.Context, a straggler.Action) {
 	log := s.d.log.WithField("newest", s.view.Newest).WithField("held", s.view.Held)
 	switch a.Kind {
 	case straggler.BringUp:
-		s.bringUp()
+		s.catchUp()
 	case straggler.AskSlot:
-		s.ask(ctx)
+		s.claimSlot(ctx)
 	case straggler.GiveSlot:
-		if s.drop(ctx, s.slot) {
+		if s.releaseSlot(ctx, s.slot) {
 			s.slot, s.view.Slot = "", false
 		}
 	case straggler.Shut:
 		log.WithField("why", a.Why).Error("shut out: this router takes nothing new until it has caught up")
-		s.shut(true)
-		s.d.acts.shut(audit.ShutOut, a.Why)
+		s.setShut(true)
+		s.d.versionLog.recordShut(audit.ShutOut, a.Why)
 	case straggler.LetIn:
 		log.Warn("let in again")
-		s.d.acts.shut(audit.Readmitted, "")
+		s.d.versionLog.recordShut(audit.Readmitted, "")
 		s.d.fleet.Renew()
-		s.shut(false)
+		s.setShut(false)
 	}
 }
--- a/internal/daemon/trail.go
+++ b/internal/daemon/trail.go
@@ -15,21 +15,21 @@
 	"lichenshelf/fleet/version"
 )
 
-const mostText = 512 // bytes of what a record says
+const maxRecordText = 512 // bytes
 
-// acts knows the versions that this router acts on, and keeps its trail if there is one. Its
-// methods may be called from any goroutine and wait for no disk.
-type acts struct {
+// versionLog tracks the versions that this router acts on, and records them in the event log if
+// there is one. Its methods are safe for concurrent use and do not wait for the disk.
+type versionLog struct {
 	mu       sync.Mutex
-	versions *version.Tracker
-	trail    *eventlog.Writer // nil: none is kept
-	dir      string           // where it is
+	tracker  *version.Tracker
+	eventLog *eventlog.Writer // nil: no event log
+	dir      string           // of the event log
 	log      logrus.FieldLogger
-	tell     func(version.Vector) // the other routers; nil: nobody
+	onChange func(version.Vector) // notifies the other routers; nil: no notification
 }
 
-// openTrail begins this router's trail, if the fleet's file names a directory.
-func (d *daemon) openTrail(cfg *agent.Config, life uint64) error {
+// openEventLog opens this router's event log if the fleet's file names a directory.
+func (d *daemon) openEventLog(cfg *agent.Config, life uint64) error {
 	if cfg.Trail == "" {
 		return nil
 	}
@@ -37,135 +37,139 @@
 	if err != nil {
 		return err
 	}
-	d.acts.trail, d.acts.dir = w, filepath.Join(cfg.Trail, cfg.Self)
-	d.log.WithField("trail", filepath.Join(cfg.Trail, cfg.Self)).Info("keeping a trail")
+	d.versionLog.eventLog, d.versionLog.dir = w, filepath.Join(cfg.Trail, cfg.Self)
+	d.log.WithField("trail", filepath.Join(cfg.Trail, cfg.Self)).Info("recording the event log")
 	return nil
 }
 
-// recorder is what fronts are given; nil without a trail.
-func (a *acts) recorder() agent.Recorder {
-	if a.trail == nil {
+// recorder returns the recorder for fronts, or nil without an event log.
+func (a *versionLog) recorder() agent.Recorder {
+	if a.eventLog == nil {
 		return nil
 	}
-	return recorder{a.trail}
+	return recorder{a.eventLog}
 }
 
-// loans is what the fleet's agent is given; nil without a trail.
-func (a *acts) loans() func(budget.Move) {
-	if a.trail == nil {
+// loanRecorder returns the recorder of loans for the fleet's agent, or nil without an event log.
+func (a *versionLog) loanRecorder() func(budget.Move) {
+	if a.eventLog == nil {
 		return nil
 	}
 	kinds := map[budget.MoveKind]audit.Kind{budget.Lent: audit.Lent, budget.Returned: audit.Returned, budget.Borrowed: audit.Borrowed}
 	return func(m budget.Move) {
-		a.trail.Note(audit.Record{Kind: kinds[m.Kind], Part: m.Key, Peer: m.Router, Epoch: m.Life, Number: m.Seq, Version: m.Using,
+		a.eventLog.Note(audit.Record{Kind: kinds[m.Kind], Part: m.Key, Peer: m.Router, Epoch: m.Life, Number: m.Seq, Version: m.Using,
 			Amount: m.Amount, Share: m.Share, Window: m.Left})
 	}
 }
 
-// resume begins anew above what was acknowledged before the start.
-func (a *acts) resume(part string, acked uint64) {
+// setFloor sets the version of a part that was acknowledged before the start. Older versions are
+// refused.
+func (a *versionLog) setFloor(part string, acked uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.versions.Floor(part, acked)
+	a.tracker.Floor(part, acked)
 }
 
-// take goes over to a version of a part, and returns the number of all that is acted on.
-func (a *acts) take(part string, v uint64) (uint64, error) {
+// activate switches to a version of a part, and returns the number that identifies all active
+// versions.
+func (a *versionLog) activate(part string, v uint64) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	changed, err := a.versions.Take(part, v)
+	changed, err := a.tracker.Take(part, v)
 	if err != nil {
-		a.note(audit.Record{Kind: audit.Refused, Part: part, Version: v, Text: err.Error()})
-		return a.versions.Number(), err
+		a.record(audit.Record{Kind: audit.Refused, Part: part, Version: v, Text: err.Error()})
+		return a.tracker.Number(), err
 	}
 	if changed {
-		a.note(audit.Record{Kind: audit.Taken, Part: part, Version: v, Number: a.versions.Number()})
-		if a.tell != nil && !strings.HasPrefix(part, version.Here) {
-			a.tell(a.versions.Held().Shared())
+		a.record(audit.Record{Kind: audit.Taken, Part: part, Version: v, Number: a.tracker.Number()})
+		if a.onChange != nil && !strings.HasPrefix(part, version.Here) {
+			a.onChange(a.tracker.Held().Shared())
 		}
 	}
-	return a.versions.Number(), nil
+	return a.tracker.Number(), nil
 }
 
-// follow is take for what the router has gone over to already, whatever it is; an older version than was held shows in the trail.
-func (a *acts) follow(part string, v uint64) {
-	if _, err := a.take(part, v); err != nil {
-		a.log.WithError(err).Debug("an older version of " + part)
+// observe activates a version that the router already uses, whatever it is. If it is older than the
+// held one, the event log records the refusal.
+func (a *versionLog) observe(part string, v uint64) {
+	if _, err := a.activate(part, v); err != nil {
+		a.log.WithError(err).Debug("now using an older version of " + part)
 	}
 }
 
-// count takes the next version of a part that this router counts by itself.
-func (a *acts) count(part, text string) {
+// advanceLocal activates the next version of a part whose versions this router counts by itself.
+func (a *versionLog) advanceLocal(part, text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	part = version.Here + part
-	v := a.versions.Held()[part] + 1
-	text = text[:min(len(text), mostText)]
-	if _, err := a.versions.Take(part, v); err == nil {
-		a.note(audit.Record{Kind: audit.Taken, Part: part, Version: v, Number: a.versions.Number(), Text: text})
+	v := a.tracker.Held()[part] + 1
+	text = text[:min(len(text), maxRecordText)]
+	if _, err := a.tracker.Take(part, v); err == nil {
+		a.record(audit.Record{Kind: audit.Taken, Part: part, Version: v, Number: a.tracker.Number(), Text: text})
 	}
 }
 
-// leave gives up a part, which this router does not act on any more.
-func (a *acts) leave(part string) {
+// remove removes a part that this router no longer acts on.
+func (a *versionLog) remove(part string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.versions.Leave(part)
+	a.tracker.Leave(part)
 }
 
-// tellOthers has f told of what can be compared with other routers' versions, now and at each change.
-func (a *acts) tellOthers(f func(version.Vector)) {
+// setOnChange calls f with the versions that can be compared between routers, now and at each
+// change.
+func (a *versionLog) setOnChange(f func(version.Vector)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tell = f
-	f(a.versions.Held().Shared())
+	a.onChange = f
+	f(a.tracker.Held().Shared())
 }
 
-// held is what can be compared with other routers' versions.
-func (a *acts) held() version.Vector {
+// held returns the versions that can be compared between routers.
+func (a *versionLog) held() version.Vector {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.versions.Held().Shared()
+	return a.tracker.Held().Shared()
 }
 
-// refuse notes that a version is not taken.
-func (a *acts) refuse(part string, v uint64, why error) {
+// recordRefusal records that a version was refused.
+func (a *versionLog) recordRefusal(part string, v uint64, why error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.note(audit.Record{Kind: audit.Refused, Part: part, Version: v, Text: why.Error()})
+	a.record(audit.Record{Kind: audit.Refused, Part: part, Version: v, Text: why.Error()})
 }
 
-// shut notes that this router takes nothing new, or does again.
-func (a *acts) shut(kind audit.Kind, why string) {
+// recordShut records that this router was shut out, or readmitted.
+func (a *versionLog) recordShut(kind audit.Kind, why string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.note(audit.Record{Kind: kind, Text: why})
+	a.record(audit.Record{Kind: kind, Text: why})
 }
 
-// acknowledge notes that others have been told of the held version.
-func (a *acts) acknowledge(part string) {
+// recordAcknowledgement records that the held version was acknowledged to others.
+func (a *versionLog) recordAcknowledgement(part string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.versions.Acknowledge(part)
-	a.note(audit.Record{Kind: audit.Acknowledged, Part: part, Version: a.versions.Held()[part]})
+	a.tracker.Acknowledge(part)
+	a.record(audit.Record{Kind: audit.Acknowledged, Part: part, Version: a.tracker.Held()[part]})
 }
 
-func (a *acts) note(r audit.Record) {
-	if a.trail != nil {
-		a.trail.Note(r)
+func (a *versionLog) record(r audit.Record) {
+	if a.eventLog != nil {
+		a.eventLog.Note(r)
 	}
 }
 
-func (a *acts) close() {
-	if a.trail == nil {
+func (a *versionLog) close() {
+	if a.eventLog == nil {
 		return
 	}
-	if err := a.trail.Close(); err != nil {
-		a.log.WithError(err).Warn("trail not closed in good order")
+	if err := a.eventLog.Close(); err != nil {
+		a.log.WithError(err).Warn("event log did not close cleanly")
 	}
 }
 
-// recorder implements agent.Recorder on a trail.
+// recorder implements agent.Recorder on an event log.
 type recorder struct{ *eventlog.Writer }
 
 // Failed implements agent.Recorder.
