--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -17,10 +17,10 @@
 	"lichenshelf/fleet/eventlog"
 )
 
-// errBreach makes the exit code of a check that found something.
+// errBreach is returned by a check that found breaches, so that the exit code is 1.
 var errBreach = errors.New("breaches were found")
 
-// auditCommand reads trails of many routers.
+// auditCommand evaluates the event logs of several routers.
 func auditCommand() *cli.Command {
 	sub := func(name, usage, args string, ownArgs int, do func(w io.Writer, ownArgs []string, trails []audit.Trail) error) *cli.Command {
 		return &cli.Command{Name: name, Usage: usage, ArgsUsage: args + "DIR...", Action: func(_ context.Context, c *cli.Command) error {
@@ -34,10 +34,10 @@
 			return do(c.Root().Writer, c.Args().Slice()[:ownArgs], trails)
 		}}
 	}
-	return &cli.Command{Name: "audit", Usage: "tell from routers' trails who acted on which version, and whether they kept what they had said",
+	return &cli.Command{Name: "audit", Usage: "check from routers' event logs (trails) which versions they acted on and acknowledged",
 		Commands: []*cli.Command{
 			collectCommand(),
-			sub("check", "prove or refute the rules; exit code 1 and a line for each breach", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
+			sub("check", "check the rules; prints a line for each breach and then exits with code 1", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
 				breaches := audit.Check(trails)
 				for _, b := range breaches {
 					if _, err := fmt.Fprintln(w, b); err != nil {
@@ -54,17 +54,17 @@
 				_, err := fmt.Fprintf(w, "%d records of %d routers: no breach\n", n, len(trails))
 				return err
 			}),
-			sub("timeline", "all records in an order that contradicts no router", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
+			sub("timeline", "print all records in an order consistent with that of every router", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
 				return printSteps(w, audit.Timeline(trails), func(audit.Step) bool { return true })
 			}),
-			sub("worker", "what concerns one worker", "NAME ", 1, func(w io.Writer, ownArgs []string, trails []audit.Trail) error {
+			sub("worker", "print the records of one worker", "NAME ", 1, func(w io.Writer, ownArgs []string, trails []audit.Trail) error {
 				return printSteps(w, audit.Timeline(trails), func(s audit.Step) bool { return s.Worker == ownArgs[0] })
 			}),
-			sub("request", "what went wrong for one request", "NAME ", 1, func(w io.Writer, ownArgs []string, trails []audit.Trail) error {
+			sub("request", "print the failures of one request", "NAME ", 1, func(w io.Writer, ownArgs []string, trails []audit.Trail) error {
 				return printSteps(w, audit.Timeline(trails), func(s audit.Step) bool { return s.Request == ownArgs[0] })
 			}),
-			sub("who", "which routers took, acknowledged or refused a version of a part, and what they sent under it", "PART VERSION ", 2, printWho),
-			sub("lag", "by how many versions each router lies behind the newest, now and at its sends", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
+			sub("who", "print which routers took, acknowledged or refused a version of a part, and what they sent under it", "PART VERSION ", 2, printWho),
+			sub("lag", "print by how many versions each router lags behind the newest, now and at its sends", "", 0, func(w io.Writer, _ []string, trails []audit.Trail) error {
 				if err := printLags(w, trails); err != nil {
 					return err
 				}
@@ -103,14 +103,14 @@
 	return t.Flush()
 }
 
-func printWho(w io.Writer, own []string, trails []audit.Trail) error {
-	v, err := strconv.ParseUint(own[1], 10, 64)
+func printWho(w io.Writer, args []string, trails []audit.Trail) error {
+	v, err := strconv.ParseUint(args[1], 10, 64)
 	if err != nil {
-		return fmt.Errorf("audit who: version %q is not a number", own[1])
+		return fmt.Errorf("audit who: version %q is not a number", args[1])
 	}
-	holders := audit.Who(trails, own[0], v)
+	holders := audit.Who(trails, args[0], v)
 	if len(holders) == 0 {
-		return fmt.Errorf("audit who: no trail tells of version %d of %s", v, own[0])
+		return fmt.Errorf("audit who: no event log contains version %d of %s", v, args[0])
 	}
 	when := func(e *audit.Entry) string {
 		if e == nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line.
+// Package cli implements the command line of the router.
 package cli
 
 import (
@@ -24,10 +24,11 @@
 )
 
 const (
-	// logQueueBytes bounds the bytes of the log that are not written yet: some ten seconds of a router with much to say.
+	// logQueueBytes bounds the log bytes that are not yet written: about ten seconds of a router
+	// that logs heavily.
 	logQueueBytes = 256 << 10
-	// logFlushTimeout is how long the end of the program waits for its last lines to be written: less than is left between the last
-	// step of a stop and the platform's kill.
+	// logFlushTimeout is how long the program waits at its end for the last log lines to be
+	// written: less than the time between the last step of a shutdown and the platform's kill.
 	logFlushTimeout = 100 * time.Millisecond
 )
 
@@ -37,7 +38,7 @@
 	format := &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "15:04:05.000"}
 	out := logwriter.New(os.Stderr, logQueueBytes, func(entries int) []byte {
 		entry := log.WithField("entries", entries).WithTime(time.Now())
-		entry.Level, entry.Message = logrus.WarnLevel, "entries of the log are missing here: they found no room while it was not taken"
+		entry.Level, entry.Message = logrus.WarnLevel, "log entries were dropped here: the queue was full while the log could not be written"
 		text, _ := format.Format(entry)
 		return text
 	})
@@ -58,7 +59,7 @@
 		&cli.StringFlag{Name: "modelapi", Value: defaultModelAPI, Usage: "the model API's `FILE`"},
 		&cli.StringFlag{Name: "store", Value: defaultStore, Usage: "the replicated store's `FILE`"},
 		&cli.StringFlag{Name: "sources", Value: defaultSources, Usage: "the `FILE` of further sources of workers"},
-		&cli.StringFlag{Name: "fleet", Value: defaultFleet, Usage: "the `FILE` that names the other routers to share with"},
+		&cli.StringFlag{Name: "fleet", Value: defaultFleet, Usage: "the `FILE` that names the other routers of the fleet"},
 		&cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warning or error",
 			Sources: cli.EnvVars("LICHENSHELF_LOG_LEVEL")},
 	}
@@ -76,7 +77,7 @@
 				},
 			},
 			{
-				Name: "check-config", Usage: "read the files that serve would and say what they hold", Flags: flags,
+				Name: "check-config", Usage: "read the files that serve would read, and print a summary", Flags: flags,
 				Action: func(_ context.Context, c *cli.Command) error { return check(c.Root().Writer, files(c)) },
 			},
 			membersCommand(log, flags),
@@ -96,7 +97,7 @@
 	}
 }
 
-// The files of the project's own, as seen from the root of the repository.
+// The default configuration files, relative to the root of the repository.
 const (
 	defaultModelAPI = "deploy/modelapi.toml"
 	defaultStore    = "deploy/store.toml"
@@ -104,7 +105,7 @@
 	defaultFleet    = "deploy/fleet.toml"
 )
 
-// files tells which files to use. A file that nobody named may be missing.
+// files returns the paths of the configuration files. A file whose flag is not set may be missing.
 func files(c *cli.Command) daemon.Files {
 	named := func(flag string) string {
 		path := c.String(flag)
@@ -117,7 +118,7 @@
 		Fleet: named("fleet")}
 }
 
-// check reads all files and prints a line for each.
+// check reads all files and prints a summary of each.
 func check(w io.Writer, paths daemon.Files) error {
 	printLine := func(format string, args ...any) error {
 		_, err := fmt.Fprintf(w, format+"\n", args...)
@@ -199,7 +200,7 @@
 	return s
 }
 
-// version is what the build tells of itself.
+// version returns the version recorded in the build.
 func version() string {
 	v := "lichenshelf (unknown build)"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/cli/collect.go
+++ b/internal/cli/collect.go
@@ -16,16 +16,16 @@
 	"lichenshelf/fleet/eventlog"
 )
 
-// defaultCollectTimeout is how long one router's trail may take to come.
+// defaultCollectTimeout is the default time limit for the event log of one router.
 const defaultCollectTimeout = time.Minute
 
-// collectCommand copies the trails of running routers.
+// collectCommand copies the event logs of running routers.
 func collectCommand() *cli.Command {
-	return &cli.Command{Name: "collect", Usage: "copy the trails of running routers below a directory, one for each; those that can't be had are named, the others are kept",
+	return &cli.Command{Name: "collect", Usage: "copy the event logs (trails) of running routers into a directory, one subdirectory each; routers that fail are reported, the others are kept",
 		ArgsUsage: "DIR", Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "operator", Usage: "a router's operator `ADDRESS`, as its fleet.toml names it; may be repeated", Required: true},
 			&cli.DurationFlag{Name: "timeout", Usage: "`TIME` for each router", Value: defaultCollectTimeout},
-			&cli.Int64Flag{Name: "bytes", Usage: "most `BYTES` of one trail", Value: 1 << 30},
+			&cli.Int64Flag{Name: "bytes", Usage: "maximum `BYTES` of one trail", Value: 1 << 30},
 		}, Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
 				return fmt.Errorf("audit collect: %d directories given, one is needed", c.Args().Len())
@@ -46,8 +46,8 @@
 		}}
 }
 
-// collect copies one router's trail. What was there from an earlier time is replaced only
-// once all of the new one has come.
+// collect copies the event log of one router. An earlier copy is replaced only once the new one is
+// complete.
 func collect(ctx context.Context, c *cli.Command, addr, dir string) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -21,9 +21,9 @@
 	"lichenshelf/store"
 )
 
-// configCommand publishes configurations in the store and looks at what routers make of them.
+// configCommand publishes configurations in the store and shows which routers use or refuse them.
 func configCommand() *cli.Command {
-	request := &cli.StringFlag{Name: "request", Usage: "a `NAME` for this request; one that is repeated under it counts once (drawn if not given)"}
+	request := &cli.StringFlag{Name: "request", Usage: "a `NAME` for this request; repeats under the same name count once (random by default)"}
 	by := &cli.StringFlag{Name: "by", Usage: "who publishes", Sources: cli.EnvVars("USER")}
 	sub := func(name, usage, args string, minArgs, maxArgs int, flags []cli.Flag, do func(c *cli.Command, s *store.Client, w io.Writer) error) *cli.Command {
 		return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: flags, Action: func(_ context.Context, c *cli.Command) error {
@@ -38,16 +38,16 @@
 		}}
 	}
 	return &cli.Command{
-		Name: "config", Usage: "publish the routers' configuration in the store, and see who goes by which version",
+		Name: "config", Usage: "publish the routers' configuration in the store, and show which router uses which version",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "at", Usage: "API `ADDRESS` of a replica; more than one may be given"},
-			&cli.StringFlag{Name: "file", Value: defaultStore, Usage: "the store's `FILE`, whose peers are asked if none is named"},
+			&cli.StringFlag{Name: "file", Value: defaultStore, Usage: "the store's `FILE`, whose peers are used without --at"},
 			&cli.StringFlag{Name: "name", Value: modelapi.ConfigName, Usage: "which configuration"},
 		},
 		Commands: []*cli.Command{
 			sub("publish", "check a file and make it the next version", "FILE", 1, 1, []cli.Flag{request, by,
 				&cli.Uint64Flag{Name: "expect", Usage: "only if this `VERSION` is the latest; 0 is none"}}, publishFile),
-			sub("show", "print a version's text, and which router goes by which version", "[VERSION]", 0, 1, nil, showConfig),
+			sub("show", "print a version's text, and which router uses which version", "[VERSION]", 0, 1, nil, showConfig),
 			sub("diff", "compare two versions, or one with the latest", "VERSION [VERSION]", 1, 2, nil, diffConfig),
 			sub("history", "list the versions that are kept", "", 0, 0, nil, func(c *cli.Command, s *store.Client, w io.Writer) error {
 				list, err := s.Published(c.String("name"))
@@ -82,7 +82,7 @@
 	}
 }
 
-// requestName is the request's name; one that is drawn is new.
+// requestName returns the request's name. Without a flag it is random and therefore new.
 func requestName(c *cli.Command) string {
 	if name := c.String("request"); name != "" {
 		return name
@@ -95,7 +95,7 @@
 func versionOf(text string) (uint64, error) {
 	v, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || v == 0 {
-		return 0, fmt.Errorf("version %q is not a number over 0", text)
+		return 0, fmt.Errorf("version %q is not a positive number", text)
 	}
 	return v, nil
 }
@@ -106,7 +106,8 @@
 	if err != nil {
 		return fmt.Errorf("publish: %w", err)
 	}
-	if c.String("name") == modelapi.ConfigName { // told here already, with nothing sent
+	// Check locally before anything is sent.
+	if c.String("name") == modelapi.ConfigName {
 		if err := modelapi.CheckText(text); err != nil {
 			return fmt.Errorf("publish %s: %w", path, err)
 		}
@@ -128,7 +129,7 @@
 	return err
 }
 
-// findRevision returns a version that is kept; 0 is the latest.
+// findRevision returns a version that is still kept; 0 means the latest.
 func findRevision(c *cli.Command, s *store.Client, version uint64) (store.Revision, error) {
 	list, err := s.Published(c.String("name"))
 	if err != nil {
@@ -177,7 +178,7 @@
 		}
 		var a daemon.Ack
 		if err := json.Unmarshal([]byte(node.Data), &a); err != nil {
-			return fmt.Errorf("what %s says makes no sense: %w", name, err)
+			return fmt.Errorf("the acknowledgement of router %s is malformed: %w", name, err)
 		}
 		refused := ""
 		if a.Refused > 0 {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -18,7 +18,7 @@
 	"lichenshelf/fleet/agent"
 )
 
-// fleetCommand looks at a running router's part in its fleet.
+// fleetCommand shows the fleet as seen by a running router.
 func fleetCommand() *cli.Command {
 	at := &cli.StringFlag{Name: "operator", Usage: "the router's operator `ADDRESS`, as its fleet.toml names it", Required: true}
 	page := func(name, usage string, print func(io.Writer, []byte) error) *cli.Command {
@@ -26,21 +26,21 @@
 			return show(ctx, c, name, print)
 		}}
 	}
-	return &cli.Command{Name: "fleet", Usage: "look at what a running router shares with the others", Commands: []*cli.Command{
-		page("members", "which routers are there, as this one sees it", showRouters),
-		page("budgets", "what may be spent, what is lent and borrowed, and what is left if the links go", showBudgets),
-		{Name: "worker", Usage: "what is known of one worker, and who judges it", ArgsUsage: "NAME", Flags: []cli.Flag{at},
+	return &cli.Command{Name: "fleet", Usage: "show what a running router shares with the others", Commands: []*cli.Command{
+		page("members", "show the routers of the fleet and their states, as seen by this one", showRouters),
+		page("budgets", "show the budgets, what is lent and borrowed, and what remains if the links fail", showBudgets),
+		{Name: "worker", Usage: "show the state of one worker, and which routers judge it", ArgsUsage: "NAME", Flags: []cli.Flag{at},
 			Action: func(ctx context.Context, c *cli.Command) error {
 				if c.Args().Len() != 1 {
 					return fmt.Errorf("fleet worker: %d names given, one is needed", c.Args().Len())
 				}
 				return show(ctx, c, "worker/"+url.PathEscape(c.Args().First()), showWorker)
 			}},
-		page("links", "the links to the other routers", showLinks),
+		page("links", "show the links to the other routers", showLinks),
 	}}
 }
 
-// show prints a page of the router's.
+// show fetches a page from the router's operator address and prints it.
 func show(ctx context.Context, c *cli.Command, name string, print func(io.Writer, []byte) error) error {
 	text, err := fetch(ctx, "http://"+c.String("operator")+"/v1/fleet/"+name)
 	if err != nil {
@@ -80,7 +80,8 @@
 
 func fetch(ctx context.Context, url string) ([]byte, error) { return operate(ctx, http.MethodGet, url) }
 
-// operate makes a call at an operator's address and returns the answer, 5 s later at the latest; another status than 200 is an error.
+// operate makes a call to an operator's address and returns the body of the answer. It fails after
+// 5 s, or if the status is not 200.
 func operate(ctx context.Context, method, url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
--- a/internal/cli/lag.go
+++ b/internal/cli/lag.go
@@ -9,10 +9,10 @@
 	"lichenshelf/fleet/audit"
 )
 
-// maxBehind bounds the histogram; more versions than this count as this many.
+// maxBehind bounds the histogram; larger lags are counted as this many versions.
 const maxBehind = 1_000_000
 
-// printLagSummary tells how far behind sends were. lichenplot draws it.
+// printLagSummary prints by how many versions sends lagged behind. lichenplot draws the same data.
 func printLagSummary(w io.Writer, trails []audit.Trail) error {
 	sends := hdrhistogram.New(0, maxBehind, 3)
 	for _, p := range audit.Behind(trails) {
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -19,23 +19,23 @@
 	"lichenshelf/internal/daemon"
 )
 
-// coalesceDelay is how long changes are gathered before they are shown.
+// coalesceDelay is how long changes are collected before the set is printed again.
 const coalesceDelay = 100 * time.Millisecond
 
 func membersCommand(log *logrus.Logger, common []cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name:  "members",
-		Usage: "ask the sources, as a router would, and show the workers and why each is in or out",
+		Usage: "query the sources, as a router would, and show the workers and why each is in or out",
 		Flags: append([]cli.Flag{
 			&cli.StringFlag{Name: "front", Value: sources.ModelAPI, Usage: "whose workers: `FRONT` is modelapi or platform"},
-			&cli.BoolFlag{Name: "watch", Usage: "go on and show the set again at each change"},
-			&cli.BoolFlag{Name: "json", Usage: "one JSON object a line"},
-			&cli.DurationFlag{Name: "wait", Value: 10 * time.Second, Usage: "for sources that have not spoken"},
+			&cli.BoolFlag{Name: "watch", Usage: "keep running and show the set again at each change"},
+			&cli.BoolFlag{Name: "json", Usage: "print one JSON object per line"},
+			&cli.DurationFlag{Name: "wait", Value: 10 * time.Second, Usage: "how long to wait for sources that have not reported"},
 		}, common...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			log.SetLevel(logrus.WarnLevel) // the set itself shows what changes
+			log.SetLevel(logrus.WarnLevel) // the printed set itself shows changes
 			if c.IsSet("log-level") {
 				if err := setLevel(log, c); err != nil {
 					return err
@@ -50,7 +50,7 @@
 	}
 }
 
-// showMembers shows the set once all sources have spoken or failed, or the wait is over.
+// showMembers prints the set once all sources have reported or failed, or the wait is over.
 func showMembers(ctx context.Context, w io.Writer, feed *sources.Feed, watch, asJSON bool, wait time.Duration) error {
 	deadline := time.After(wait)
 	for settled := false; ; {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// view is the set as it is shown.
+// view is the printed form of the set.
 type view struct {
 	At      time.Time    `json:"at"`
 	Sources []sourceView `json:"sources"`
@@ -100,7 +100,7 @@
 type sourceView struct {
 	Name     string `json:"name"`
 	State    string `json:"state"`  // waiting, good, stale or expired
-	AgeMs    int64  `json:"age_ms"` // since its last word; -1: it has not spoken
+	AgeMs    int64  `json:"age_ms"` // since its last report; -1: none yet
 	Workers  int    `json:"workers"`
 	Held     int    `json:"held"`
 	Damped   int    `json:"damped"`
@@ -117,7 +117,7 @@
 	Weight   float64      `json:"weight,omitempty"`
 	Cell     int          `json:"cell"`
 	SinceMs  int64        `json:"since_ms"`
-	Conflict []string     `json:"conflict,omitempty"` // the addresses that are listed
+	Conflict []string     `json:"conflict,omitempty"` // the conflicting addresses
 	Reports  []reportView `json:"words"`
 }
 
--- a/internal/cli/register.go
+++ b/internal/cli/register.go
@@ -20,22 +20,22 @@
 	"lichenshelf/store"
 )
 
-// minSessionTimeout leaves room for a few touches that come late.
+// minSessionTimeout leaves room for a few late heartbeats.
 const minSessionTimeout = 300 * time.Millisecond
 
-// registerCommand keeps a backend registered for as long as it runs: it is meant
-// to be started beside the backend, and to end with it.
+// registerCommand keeps a backend registered while it runs: it is meant to be started beside the
+// backend and to end with it.
 func registerCommand(log *logrus.Logger) *cli.Command {
 	return &cli.Command{
 		Name: "register", Usage: "keep a backend registered in the store until SIGTERM",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "store", Usage: "`ADDRESS` of a replica's API or, with --protocol zk, of a server; more than one may be given", Required: true},
 			&cli.StringFlag{Name: "protocol", Value: "http", Usage: "http, the store's API, or zk, that of ZooKeeper"},
-			&cli.StringFlag{Name: "path", Value: storesource.BackendsPath, Usage: "the `NODE` below which to register"},
+			&cli.StringFlag{Name: "path", Value: storesource.BackendsPath, Usage: "the parent `NODE` of the registration"},
 			&cli.StringFlag{Name: "name", Usage: "the backend's `NAME`", Required: true},
 			&cli.StringFlag{Name: "addr", Usage: "the backend's `ADDRESS`", Required: true},
 			&cli.IntFlag{Name: "cell", Usage: "its cell"},
-			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Second, Usage: "how long it may be silent before it counts as gone"},
+			&cli.DurationFlag{Name: "timeout", Value: 5 * time.Second, Usage: "time without heartbeats after which the registration expires"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			data, err := json.Marshal(zkrule.Registration{Addr: c.String("addr"), Cell: c.Int("cell"),
@@ -47,12 +47,12 @@
 				return err
 			}
 			if c.Duration("timeout") < minSessionTimeout {
-				return errors.New("the time-out is too short")
+				return errors.New("--timeout is too short: it must be 300ms or longer")
 			}
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
 			node := path.Join(c.String("path"), c.String("name"))
-			problem := func(err error) { log.WithError(err).Warn("not registered, trying again") }
+			problem := func(err error) { log.WithError(err).Warn("registration failed, retrying") }
 			switch protocol := c.String("protocol"); protocol {
 			case "http":
 				store.NewClient(c.StringSlice("store")...).Register(ctx, node, data, c.Duration("timeout"), problem)
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -15,10 +15,11 @@
 	"lichenshelf/store"
 )
 
-// watchPollWait is how long one look of a watch takes; below the client's patience.
+// watchPollWait is the duration of one long poll of a watch; it is shorter than the client's
+// time-out.
 const watchPollWait = 4 * time.Second
 
-// storeCommand looks into the store and changes it, for operators.
+// storeCommand reads and changes the store, for operators.
 func storeCommand() *cli.Command {
 	version := &cli.Int64Flag{Name: "version", Value: store.AnyVersion, Usage: "only if the node's data are at this `VERSION`"}
 	sub := func(name, usage, args string, argCount int, flags []cli.Flag, do func(context.Context, *cli.Command, *store.Client, io.Writer) error) *cli.Command {
@@ -35,10 +36,10 @@
 			}}
 	}
 	return &cli.Command{
-		Name: "store", Usage: "look into the replicated store and change it",
+		Name: "store", Usage: "read and change the replicated store",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "at", Usage: "API `ADDRESS` of a replica; more than one may be given"},
-			&cli.StringFlag{Name: "file", Value: defaultStore, Usage: "the store's `FILE`, whose peers are asked if none is named"},
+			&cli.StringFlag{Name: "file", Value: defaultStore, Usage: "the store's `FILE`, whose peers are used without --at"},
 		},
 		Commands: []*cli.Command{
 			sub("ls", "list the names below a node", "PATH", 1, nil, func(_ context.Context, c *cli.Command, s *store.Client, w io.Writer) error {
@@ -58,7 +59,7 @@
 				_, err = fmt.Fprintln(w, n.Data)
 				return err
 			}),
-			sub("stat", "print what is known of a node beside its data", "PATH", 1, nil, func(_ context.Context, c *cli.Command, s *store.Client, w io.Writer) error {
+			sub("stat", "print a node's metadata", "PATH", 1, nil, func(_ context.Context, c *cli.Command, s *store.Client, w io.Writer) error {
 				n, err := s.Node(c.Args().First())
 				if err != nil {
 					return err
@@ -67,7 +68,7 @@
 				e.SetIndent("", "  ")
 				return e.Encode(n.Stat)
 			}),
-			sub("set", "set a node's data, and make it if it is missing", "PATH DATA", 2, []cli.Flag{version},
+			sub("set", "set a node's data, creating the node if it is missing", "PATH DATA", 2, []cli.Flag{version},
 				func(_ context.Context, c *cli.Command, s *store.Client, _ io.Writer) error {
 					path, data := c.Args().Get(0), []byte(c.Args().Get(1))
 					if _, err := s.Node(path); errors.Is(err, store.ErrNoNode) && !c.IsSet("version") {
@@ -79,8 +80,8 @@
 				func(_ context.Context, c *cli.Command, s *store.Client, _ io.Writer) error {
 					return s.Delete(c.Args().First(), c.Int64("version"))
 				}),
-			{Name: "leader", Usage: "print which replica takes writes, or make another one take them", Flags: []cli.Flag{
-				&cli.StringFlag{Name: "to", Usage: "the replica's `ID` that is to lead, as before the one that does is stopped"}},
+			{Name: "leader", Usage: "print which replica is the leader, or transfer the leadership", Flags: []cli.Flag{
+				&cli.StringFlag{Name: "to", Usage: "the `ID` of the replica that becomes the leader, for use before the current leader is stopped"}},
 				Action: func(_ context.Context, c *cli.Command) error {
 					client, err := storeClient(c)
 					if err != nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// storeClient asks the replicas that are named, or those of the file.
+// storeClient returns a client for the replicas given by flag, or for those of the file.
 func storeClient(c *cli.Command) (*store.Client, error) {
 	at := c.StringSlice("at")
 	if len(at) == 0 {
@@ -114,7 +115,7 @@
 		}
 	}
 	if len(at) == 0 {
-		return nil, errors.New("no replica to ask: name one with --at, or a file with peers")
+		return nil, errors.New("no replica given: use --at, or --file with a file that has peers")
 	}
 	return store.NewClient(at...), nil
 }
--- a/internal/cli/zone.go
+++ b/internal/cli/zone.go
@@ -16,10 +16,11 @@
 	"lichenshelf/fleet/solver"
 )
 
-// zoneCommand looks at the traffic between zones at a running router, and takes zones out and back.
+// zoneCommand shows the traffic between zones as seen by a running router, drains zones and returns
+// them.
 func zoneCommand() *cli.Command {
-	at := &cli.StringFlag{Name: "operator", Usage: "the router's operator `ADDRESS`, as its fleet.toml names it; the others hear of it", Required: true}
-	force := &cli.BoolFlag{Name: "force", Usage: "also the last zone that may be used, whose traffic would all be shed"}
+	at := &cli.StringFlag{Name: "operator", Usage: "the router's operator `ADDRESS`, as its fleet.toml names it; it informs the others", Required: true}
+	force := &cli.BoolFlag{Name: "force", Usage: "drain even the last usable zone, whose traffic would all be shed"}
 	dry := &cli.BoolFlag{Name: "dry-run", Usage: "print where traffic would go, and change nothing"}
 	call := func(ctx context.Context, c *cli.Command, name, verb string) error {
 		_, err := operate(ctx, http.MethodPost, "http://"+c.String("operator")+"/v1/fleet/zone/"+name+"/"+verb)
@@ -31,11 +32,11 @@
 		}
 		return url.PathEscape(c.Args().First()), nil
 	}
-	return &cli.Command{Name: "zone", Usage: "look at the traffic between zones, and take zones out and back", Commands: []*cli.Command{
-		{Name: "show", Usage: "zones, the map, and why it is so", Flags: []cli.Flag{at}, Action: func(ctx context.Context, c *cli.Command) error {
+	return &cli.Command{Name: "zone", Usage: "show the traffic between zones, drain zones and return them", Commands: []*cli.Command{
+		{Name: "show", Usage: "show the zones, the map of traffic, and the reason for it", Flags: []cli.Flag{at}, Action: func(ctx context.Context, c *cli.Command) error {
 			return show(ctx, c, "zones", showZones)
 		}},
-		{Name: "drain", Usage: "take a zone out: nothing new goes there", ArgsUsage: "NAME", Flags: []cli.Flag{at, force, dry}, Action: func(ctx context.Context, c *cli.Command) error {
+		{Name: "drain", Usage: "drain a zone: no new requests are sent there", ArgsUsage: "NAME", Flags: []cli.Flag{at, force, dry}, Action: func(ctx context.Context, c *cli.Command) error {
 			name, err := one(c)
 			if err != nil {
 				return err
@@ -49,7 +50,7 @@
 			}
 			return call(ctx, c, name, verb)
 		}},
-		{Name: "return", Usage: "give a zone back: it gets a growing part", ArgsUsage: "NAME", Flags: []cli.Flag{at}, Action: func(ctx context.Context, c *cli.Command) error {
+		{Name: "return", Usage: "return a zone to service: its share grows gradually", ArgsUsage: "NAME", Flags: []cli.Flag{at}, Action: func(ctx context.Context, c *cli.Command) error {
 			name, err := one(c)
 			if err != nil {
 				return err
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// formatShares are shares in hundredths, and what is missing to all.
+// formatShares returns shares as percentages, and last the percentage that is missing to the whole.
 func formatShares(shares []float64) string {
 	var out []string
 	left := 1.0
