--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,8 +1,8 @@
-// Package listener opens listeners, and keeps them open, over errors that pass by themselves.
+// Package listener opens listeners and keeps them open in spite of temporary errors.
 //
-// Linux reports by accept what is wrong with the machine for a moment (no descriptor, no memory) and what went wrong with
-// one connection while it waited in the queue (accept(2)). A server that ends on such an error takes all that it has in hand
-// with it.
+// On Linux, accept reports temporary shortages of the machine (descriptors, memory) and errors of a
+// single connection that occurred while it waited in the queue (accept(2)). A server that exits on
+// such an error loses all its open requests.
 package listener
 
 import (
@@ -15,32 +15,33 @@
 	"lichenshelf/internal/transient"
 )
 
-// RetryAfter is the pause after an accept that failed.
+// RetryAfter is the pause after a failed accept.
 const RetryAfter = 5 * time.Millisecond
 
 const (
-	// OpenWait bounds how long Open tries: a port that stays taken has to be told soon, and a start has 10 s in all.
-	OpenWait = 5 * time.Second
-	// OpenAgain is the pause between its tries.
-	OpenAgain = 20 * time.Millisecond
+	// OpenTimeout bounds the time for which Open retries: a port that stays in use must be reported
+	// soon, and a start has 10 s in all.
+	OpenTimeout = 5 * time.Second
+	// OpenRetryInterval is the pause between the attempts of Open.
+	OpenRetryInterval = 20 * time.Millisecond
 )
 
-// mayOpenLater tells whether socket, bind and listen may succeed a moment later.
-func mayOpenLater(err error) bool {
+// isTemporaryOpenError reports whether socket, bind and listen may succeed a moment later.
+func isTemporaryOpenError(err error) bool {
 	return transient.Is(err, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.ENOBUFS)
 }
 
-// Open calls open until it succeeds, fails by an error that does not pass by itself, ctx ends, or OpenWait is over. failed is told
-// of the first error that may pass.
+// Open calls open until it succeeds, fails with an error that is not temporary, ctx ends, or
+// OpenTimeout has passed. failed is called with the first temporary error.
 func Open(ctx context.Context, open func() (net.Listener, error), failed func(error)) (net.Listener, error) {
-	ctx, cancel := context.WithTimeout(ctx, OpenWait)
+	ctx, cancel := context.WithTimeout(ctx, OpenTimeout)
 	defer cancel()
 	var l net.Listener
-	told := false
-	err := transient.Retry(ctx, OpenAgain, mayOpenLater, func() (err error) {
+	reported := false
+	err := transient.Retry(ctx, OpenRetryInterval, isTemporaryOpenError, func() (err error) {
 		l, err = open()
-		if err != nil && !told && mayOpenLater(err) {
-			told = true
+		if err != nil && !reported && isTemporaryOpenError(err) {
+			reported = true
 			failed(err)
 		}
 		return err
@@ -51,12 +52,12 @@
 	return l, nil
 }
 
-// final are the errors that say that the listener itself is of no use any more.
-var final = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
+// permanentErrors are the errors after which the listener itself is unusable.
+var permanentErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// Passes tells whether accept may succeed later on the same listener.
+// Passes reports whether accept may succeed later on the same listener.
 func Passes(err error) bool {
-	for _, f := range final {
+	for _, f := range permanentErrors {
 		if errors.Is(err, f) {
 			return false
 		}
@@ -64,12 +65,13 @@
 	return true
 }
 
-// LacksDescriptor tells whether the process, or the machine, had no descriptor left.
+// LacksDescriptor reports whether the process or the machine had no file descriptor left.
 func LacksDescriptor(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// Resilient returns a listener whose Accept goes on after errors that pass; failed, if it is not nil, is told of each.
+// Resilient returns a listener whose Accept retries after temporary errors; failed, if it is not
+// nil, is called with each.
 func Resilient(l net.Listener, failed func(error)) net.Listener {
 	return &resilient{Listener: l, failed: failed}
 }
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// failing fails its first accepts with the given errors, and has no connection after that.
+// failing returns the given errors from its first accepts, and no connection after that.
 type failing struct {
 	net.Listener
 	errs []error
@@ -26,39 +26,39 @@
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
 }
 
-func TestResilientGoesOnUntilTheListenerIsOfNoUse(t *testing.T) {
-	for _, passing := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EOPNOTSUPP, syscall.EPERM} {
-		told := 0
-		l := Resilient(&failing{errs: []error{passing, passing}}, func(error) { told++ })
+func TestResilientRetriesUntilPermanentError(t *testing.T) {
+	for _, temporary := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EOPNOTSUPP, syscall.EPERM} {
+		reported := 0
+		l := Resilient(&failing{errs: []error{temporary, temporary}}, func(error) { reported++ })
 		_, err := l.Accept()
 		require.NoError(t, err)
-		require.Equal(t, 2, told)
+		require.Equal(t, 2, reported)
 	}
-	for _, over := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL} {
-		_, err := Resilient(&failing{errs: []error{syscall.EMFILE, over}}, nil).Accept()
-		require.ErrorIs(t, err, over)
+	for _, permanent := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL} {
+		_, err := Resilient(&failing{errs: []error{syscall.EMFILE, permanent}}, nil).Accept()
+		require.ErrorIs(t, err, permanent)
 	}
 	require.True(t, LacksDescriptor(fmt.Errorf("accept: %w", syscall.ENFILE)))
 	require.False(t, LacksDescriptor(syscall.ENOBUFS))
 }
 
-func TestOpenGoesOnUntilItIsOfNoUse(t *testing.T) {
+func TestOpenRetriesTemporaryErrors(t *testing.T) {
 	for _, c := range []struct {
-		passing int
-		then    error
+		temporary int
+		then      error
 	}{{3, nil}, {2, syscall.EACCES}, {0, syscall.EINVAL}} {
-		tries, told := 0, 0
+		attempts, reported := 0, 0
 		_, err := Open(t.Context(), func() (net.Listener, error) {
-			if tries++; tries <= c.passing {
+			if attempts++; attempts <= c.temporary {
 				return nil, &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}
 			}
 			return nil, c.then
-		}, func(error) { told++ })
+		}, func(error) { reported++ })
 		require.ErrorIs(t, err, c.then)
-		require.Equal(t, c.passing+1, tries)
-		require.Equal(t, min(c.passing, 1), told)
+		require.Equal(t, c.temporary+1, attempts)
+		require.Equal(t, min(c.temporary, 1), reported)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	_, err := Open(ctx, func() (net.Listener, error) { return nil, syscall.EADDRINUSE }, func(error) { cancel() })
-	require.ErrorIs(t, err, syscall.EADDRINUSE, "who is told to end waits for nothing")
+	require.ErrorIs(t, err, syscall.EADDRINUSE, "Open must return when its context is cancelled")
 }
