--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,7 +1,9 @@
-// Package logwriter keeps who logs from waiting for the log: entries go to a bounded queue in memory, and a goroutine writes them.
+// Package logwriter decouples logging from the log's destination: entries go to a bounded queue in
+// memory, and a goroutine writes them.
 //
-// A pipe whose reader is slow or does nothing, a disk that takes no writes, a reader that has gone: none of them holds the
-// program. What finds no room is dropped, and counted; a line says how many were, at the place where they are missing.
+// A pipe whose reader is slow, idle or closed, or a disk that rejects writes, does not block the
+// program. Entries that do not fit into the queue are dropped and counted; a line in their place
+// says how many were dropped.
 package logwriter
 
 import (
@@ -12,48 +14,48 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// leastRetry and mostRetry bound the pause after a write that failed.
+// minRetryDelay and maxRetryDelay bound the pause after a failed write.
 const (
-	leastRetry = 20 * time.Millisecond
-	mostRetry  = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// Writer is an io.Writer whose Write returns at once. Its methods may be called from any goroutine.
+// Writer is an io.Writer whose Write returns at once. Its methods are safe for concurrent use.
 type Writer struct {
-	to     io.Writer
-	most   int // bytes
-	notice func(entries int) []byte
+	dst      io.Writer
+	capacity int // bytes
+	notice   func(entries int) []byte
 
 	mu      sync.Mutex
 	queue   []byte
-	writing int // bytes that the goroutine has
-	missing int // entries that were dropped since the last one that was taken
+	writing int // bytes that the goroutine is writing
+	dropped int // entries dropped since the last one that was queued
 	onDrop  func()
-	wake    chan struct{} // holds one while something waits in the queue
-	written chan struct{} // closed when the goroutine is done with what it had
+	wake    chan struct{} // holds one element while the queue has entries
+	written chan struct{} // closed when the goroutine has written its batch
 }
 
-// New returns a writer to a destination that holds up to so many bytes which are not written yet. notice words the entry that
-// says how many are missing where it stands.
-func New(to io.Writer, most int, notice func(entries int) []byte) *Writer {
-	w := &Writer{to: to, most: most, notice: notice, wake: make(chan struct{}, 1), written: make(chan struct{})}
+// New returns a writer to dst that holds up to capacity bytes which are not yet written. notice
+// returns the entry that reports the number of dropped entries in their place.
+func New(dst io.Writer, capacity int, notice func(entries int) []byte) *Writer {
+	w := &Writer{dst: dst, capacity: capacity, notice: notice, wake: make(chan struct{}, 1), written: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// OnDrop has f told of each entry that is dropped. It must return at once.
+// OnDrop sets the function that is called for each dropped entry. It must return at once.
 func (w *Writer) OnDrop(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onDrop = f
 }
 
-// Write takes an entry whole or drops it; it never fails and never waits for the destination.
+// Write queues an entry completely or drops it; it never fails and never waits for the destination.
 func (w *Writer) Write(entry []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.take(entry) {
-		w.missing++
+	if !w.enqueue(entry) {
+		w.dropped++
 		if w.onDrop != nil {
 			w.onDrop()
 		}
@@ -66,26 +68,27 @@
 	return len(entry), nil
 }
 
-// take puts an entry in the queue, behind the notice of those that are missing before it. It tells whether there was room for
-// both; the lock is held.
-func (w *Writer) take(entry []byte) bool {
-	room := w.most - len(w.queue) - w.writing - len(entry)
+// enqueue adds an entry to the queue, after the notice of the entries dropped before it. It reports
+// whether there was room for both. The caller holds the lock.
+func (w *Writer) enqueue(entry []byte) bool {
+	room := w.capacity - len(w.queue) - w.writing - len(entry)
 	if room < 0 {
 		return false
 	}
-	if w.missing > 0 {
-		notice := w.notice(w.missing)
+	if w.dropped > 0 {
+		notice := w.notice(w.dropped)
 		if len(notice) > room {
 			return false
 		}
 		w.queue = append(w.queue, notice...)
-		w.missing = 0
+		w.dropped = 0
 	}
 	w.queue = append(w.queue, entry...)
 	return true
 }
 
-// Flush waits until all that was taken has been written, for so long at most. It tells whether it has.
+// Flush waits until all queued entries have been written, at most for the given time. It reports
+// whether they have.
 func (w *Writer) Flush(within time.Duration) bool {
 	over := time.NewTimer(within)
 	defer over.Stop()
@@ -119,12 +122,12 @@
 	}
 }
 
-// writeAll writes until all is written: what stands between its bytes must not be lost, or lines would be mixed up.
+// writeAll retries until the whole batch is written: lost bytes would mix up lines.
 func (w *Writer) writeAll(batch []byte) {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = leastRetry, mostRetry
+	pause.InitialInterval, pause.MaxInterval = minRetryDelay, maxRetryDelay
 	for len(batch) > 0 {
-		n, err := w.to.Write(batch)
+		n, err := w.dst.Write(batch)
 		batch = batch[n:]
 		w.mu.Lock()
 		w.writing = len(batch)
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// destination takes what it is told to, and then waits or fails.
+// destination accepts all writes, unless next makes them wait or fail.
 type destination struct {
 	mu   sync.Mutex
 	text bytes.Buffer
-	next func(b []byte) (int, error) // instead of taking all
+	next func(b []byte) (int, error) // replaces the default of accepting all
 }
 
 func (d *destination) Write(b []byte) (int, error) {
@@ -45,9 +45,9 @@
 	return strings.Split(strings.TrimSuffix(d.text.String(), "\n"), "\n")
 }
 
-func missing(n int) []byte { return fmt.Appendf(nil, "missing %d\n", n) }
+func droppedNotice(n int) []byte { return fmt.Appendf(nil, "missing %d\n", n) }
 
-// Entries come out in order, whole, whatever happens to single writes.
+// Entries are written completely and in order, also if single writes are partial.
 func TestEntriesComeOutInOrder(t *testing.T) {
 	for name, next := range map[string]func(b []byte) (int, error){
 		"all at once":  nil,
@@ -56,7 +56,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &destination{next: next}
-			w := New(d, 1<<20, missing)
+			w := New(d, 1<<20, droppedNotice)
 			var want []string
 			for i := range 1000 {
 				want = append(want, fmt.Sprint("entry ", i))
@@ -70,13 +70,14 @@
 	}
 }
 
-// While nothing is written, entries are taken up to the bound and then dropped and counted, and who logs does not wait. Once it
-// goes on, what is missing is told where it is.
-func TestWhatFindsNoRoomIsDroppedAndTold(t *testing.T) {
+// While the destination blocks, entries are queued up to the capacity and then dropped and counted,
+// and loggers do not wait. Once it accepts writes again, a notice in their place reports the
+// dropped entries.
+func TestDroppedEntriesAreReported(t *testing.T) {
 	stuck := make(chan struct{})
 	d := &destination{next: func(b []byte) (int, error) { <-stuck; return len(b), nil }}
-	const most = 200
-	w := New(d, most, missing)
+	const capacity = 200
+	w := New(d, capacity, droppedNotice)
 	dropped := 0
 	w.OnDrop(func() { dropped++ })
 	const entries = 100
@@ -84,7 +85,7 @@
 		_, err := fmt.Fprintf(w, "entry %03d\n", i)
 		require.NoError(t, err)
 	}
-	require.Equal(t, entries-most/len("entry 000\n"), dropped)
+	require.Equal(t, entries-capacity/len("entry 000\n"), dropped)
 	require.False(t, w.Flush(time.Millisecond), "nothing can be written")
 	close(stuck)
 	require.True(t, w.Flush(10*time.Second))
@@ -96,8 +97,8 @@
 	require.Equal(t, []string{fmt.Sprint("missing ", dropped), "entry 100"}, lines[len(lines)-2:])
 }
 
-// A destination that takes nothing for a while is tried again.
-func TestAFailingDestinationIsTriedAgain(t *testing.T) {
+// A write that fails, as on a full disk, is retried until it succeeds.
+func TestFailingDestinationIsRetried(t *testing.T) {
 	failures := make(chan struct{}, 3)
 	d := &destination{}
 	d.set(func(b []byte) (int, error) {
@@ -108,7 +109,7 @@
 			return len(b), nil
 		}
 	})
-	w := New(d, 1<<10, missing)
+	w := New(d, 1<<10, droppedNotice)
 	_, err := fmt.Fprintln(w, "entry")
 	require.NoError(t, err)
 	require.True(t, w.Flush(10*time.Second))
