--- a/internal/plots/lag.go
+++ b/internal/plots/lag.go
@@ -1,5 +1,5 @@
-// Package plots draws what trails tell. It stands apart from the router's program, since the library that draws
-// takes 6 MB of memory in any program that links it, whether it draws or not.
+// Package plots draws diagrams of event logs. It is separate from the router's program because the
+// plotting library takes 6 MB of memory in any program that links it, even if it draws nothing.
 package plots
 
 import (
@@ -17,8 +17,9 @@
 
 const width, height = 20 * vg.Centimeter, 12 * vg.Centimeter
 
-// Lag draws each router's greatest lag, in versions, over the order of records, into a file whose ending says its form
-// (.svg, .png, .pdf); it fails where the file can't be written or its ending is none of those.
+// Lag draws the greatest lag of each router, in versions, over the order of records. The extension
+// of the file (.svg, .png, .pdf) sets the format; Lag fails if the file cannot be written or has
+// another extension.
 func Lag(trails []audit.Trail, file string) error {
 	lines := map[string]plotter.XYs{}
 	for _, p := range audit.Behind(trails) {
