--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,6 @@
-// Package socket looks at open connections beside whoever reads them. A look that a signal interrupts (EINTR), or that finds no
-// memory (ENOMEM), is made again: taken for an answer, it would lose an event that does not come twice, or find one that is none.
+// Package socket inspects open connections without reading from them. A call that a signal
+// interrupts (EINTR), or that fails for lack of memory (ENOMEM), is repeated: taken as a result, it
+// would lose an event that is not reported twice, or report one that did not occur.
 package socket
 
 import (
@@ -10,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Raw returns what of a connection or listener can be looked at; an error means that it can't be.
+// Raw returns the raw connection of a connection or listener, or an error if it has none.
 func Raw(of any) (syscall.RawConn, error) {
 	c, ok := of.(syscall.Conn)
 	if !ok {
@@ -19,8 +20,8 @@
 	return c.SyscallConn()
 }
 
-// WaitHungUp waits, without reading, until the other end has closed its side or broken the connection. It fails with the read
-// deadline's error, or when the connection is closed here.
+// WaitHungUp waits, without reading, until the peer has closed its side or reset the connection. It
+// fails with the read deadline's error, or if the connection is closed locally.
 func WaitHungUp(raw syscall.RawConn) error {
 	return raw.Read(func(fd uintptr) bool {
 		events, err := poll(fd, unix.POLLRDHUP)
@@ -28,8 +29,8 @@
 	})
 }
 
-// Pending tells, without waiting or reading, how many of the first bytes have come that nobody has read, 1 at most. At the end
-// of what the other end sends it is 0 and no error; where nothing has come, EAGAIN.
+// Pending returns, without waiting or reading, how many received bytes are unread, 1 at most. At
+// the end of the peer's data it returns 0 and no error; if nothing was received, EAGAIN.
 func Pending(raw syscall.RawConn) (n int, err error) {
 	if cerr := raw.Control(func(fd uintptr) { n, err = peek(fd) }); cerr != nil {
 		return 0, cerr
@@ -37,7 +38,8 @@
 	return n, err
 }
 
-// Unacknowledged tells how many of the bytes that were written to a connection the other end's system has not confirmed.
+// Unacknowledged returns how many of the bytes written to a connection the peer's system has not
+// acknowledged.
 func Unacknowledged(raw syscall.RawConn) (n int, err error) {
 	if cerr := raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }); cerr != nil {
 		return 0, cerr
@@ -45,8 +47,9 @@
 	return n, err
 }
 
-// SinceReceived is how long ago the last bytes came that were received on a TCP connection, by the system's clock ticks; for a
-// connection on which nothing has come, how long ago it was made.
+// SinceReceived returns the time since the last bytes were received on a TCP connection, in the
+// resolution of the system's clock ticks. If nothing was received, it returns the time since the
+// connection was established.
 func SinceReceived(raw syscall.RawConn) (age time.Duration, err error) {
 	cerr := raw.Control(func(fd uintptr) {
 		var info *unix.TCPInfo
@@ -60,7 +63,7 @@
 	return age, err
 }
 
-// Queued tells whether connections wait at a listener to be accepted.
+// Queued reports whether connections are waiting in a listener's accept queue.
 func Queued(raw syscall.RawConn) bool {
 	var events int16
 	var err error
@@ -70,22 +73,22 @@
 	return err == nil && events != 0
 }
 
-// memoryAfter is the pause after a look that found no memory.
-const memoryAfter = time.Millisecond
+// noMemoryRetryDelay is the pause after a poll that failed for lack of memory.
+const noMemoryRetryDelay = time.Millisecond
 
-// poll asks, without waiting, which of the events there are.
+// poll returns, without waiting, which of the given events have occurred.
 func poll(fd uintptr, events int16) (int16, error) {
-	look := []unix.PollFd{{Fd: int32(fd), Events: events}}
+	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
-		n, err := unix.Poll(look, 0)
+		n, err := unix.Poll(fds, 0)
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.ENOMEM), errors.Is(err, unix.EAGAIN):
-			time.Sleep(memoryAfter)
+			time.Sleep(noMemoryRetryDelay)
 		case err != nil || n == 0:
 			return 0, err
 		default:
-			return look[0].Revents, nil
+			return fds[0].Revents, nil
 		}
 	}
 }
