--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,4 +1,5 @@
-// Package transient knows the errors of system calls that may be over a moment later, and makes calls again until they are.
+// Package transient recognizes temporary errors of system calls and retries calls that fail with
+// them.
 package transient
 
 import (
@@ -9,26 +10,27 @@
 	"time"
 )
 
-// lacks are the errors by which the system says of any call that it lacks something now: descriptors, memory, or what a call
-// that must not wait would have to wait for.
-var lacks = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EAGAIN}
+// resourceErrors are the errors by which any system call reports a temporary shortage: of
+// descriptors or memory, or that a non-blocking call would have to wait.
+var resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EAGAIN}
 
-// Is tells whether an error says that the system lacks something for the moment, or is one of those given, which are the caller's:
-// what passes differs from call to call.
+// Is reports whether an error is a temporary shortage of the system, or one of those given by the
+// caller: which other errors are temporary differs from call to call.
 func Is(err error, also ...syscall.Errno) bool {
 	same := func(e error) bool { return errors.Is(err, e) }
-	return slices.ContainsFunc(lacks, same) || slices.ContainsFunc(also, func(e syscall.Errno) bool { return same(e) })
+	return slices.ContainsFunc(resourceErrors, same) || slices.ContainsFunc(also, func(e syscall.Errno) bool { return same(e) })
 }
 
-// Retry calls do, with a pause of every between calls, until it succeeds, fails by an error that does not pass, or ctx ends. It
-// returns the last error of do. passes is asked for each error; nil means that all pass.
-func Retry(ctx context.Context, every time.Duration, passes func(error) bool, do func() error) error {
+// Retry calls do, with a pause of interval between calls, until it succeeds, fails with an error
+// that is not retryable, or ctx ends. It returns the last error of do. If retryable is nil, all
+// errors are retried.
+func Retry(ctx context.Context, interval time.Duration, retryable func(error) bool, do func() error) error {
 	for {
 		err := do()
-		if err == nil || passes != nil && !passes(err) {
+		if err == nil || retryable != nil && !retryable(err) {
 			return err
 		}
-		pause := time.NewTimer(every)
+		pause := time.NewTimer(interval)
 		select {
 		case <-pause.C:
 		case <-ctx.Done():
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatPassesIsWhatTheSystemLacksAndWhatTheCallerNames(t *testing.T) {
+func TestIsRecognizesSystemAndCallerErrors(t *testing.T) {
 	wrapped := func(errno syscall.Errno) error {
 		return fmt.Errorf("listen: %w", &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", errno)})
 	}
@@ -26,29 +26,29 @@
 		require.True(t, Is(wrapped(errno), syscall.EINTR, errno), errno.Error())
 	}
 	require.False(t, Is(nil))
-	require.False(t, Is(errors.New("nothing of the system's")))
+	require.False(t, Is(errors.New("not a system error")))
 }
 
-func TestRetryEndsWithTheCallTheErrorOrItsTime(t *testing.T) {
-	passing, final := errors.New("passes"), errors.New("final")
+func TestRetryEndsOnSuccessPermanentErrorOrTimeout(t *testing.T) {
+	temporary, permanent := errors.New("temporary"), errors.New("permanent")
 	for name, c := range map[string]struct {
-		errs   []error // of the calls in turn; the last one's stays
-		passes func(error) bool
-		calls  int
-		want   error
+		errs      []error // of successive calls; the last one repeats
+		retryable func(error) bool
+		calls     int
+		want      error
 	}{
-		"at once":         {errs: []error{nil}, calls: 1},
-		"after a while":   {errs: []error{passing, passing, nil}, calls: 3},
-		"a final error":   {errs: []error{passing, final}, passes: func(err error) bool { return errors.Is(err, passing) }, calls: 2, want: final},
-		"its time is up":  {errs: []error{passing}, calls: 11, want: passing},
-		"all errors pass": {errs: []error{final, nil}, calls: 2},
+		"success at once":       {errs: []error{nil}, calls: 1},
+		"success after retries": {errs: []error{temporary, temporary, nil}, calls: 3},
+		"permanent error":       {errs: []error{temporary, permanent}, retryable: func(err error) bool { return errors.Is(err, temporary) }, calls: 2, want: permanent},
+		"timeout":               {errs: []error{temporary}, calls: 11, want: temporary},
+		"all errors retryable":  {errs: []error{permanent, nil}, calls: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second+time.Millisecond)
 				defer cancel()
 				calls := 0
-				err := Retry(ctx, time.Second, c.passes, func() error {
+				err := Retry(ctx, time.Second, c.retryable, func() error {
 					calls++
 					return c.errs[min(calls, len(c.errs))-1]
 				})
