--- a/cmd/lichenlab/main.go
+++ b/cmd/lichenlab/main.go
@@ -1,4 +1,4 @@
-// Command lichenlab is the laboratory: emulated workers, routers and clients on loopback.
+// Command lichenlab runs the laboratory: emulated workers, routers and clients on loopback.
 package main
 
 import (
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	// The routers of a demonstration are this same program, as lichenshelf.
+	// A demonstration starts this program again as its routers, in the role of lichenshelf.
 	if len(os.Args) > 1 && os.Args[1] == command.AsRouter {
 		os.Exit(cli.Run(append([]string{"lichenshelf"}, os.Args[2:]...)))
 	}
--- a/cmd/lichenplot/main.go
+++ b/cmd/lichenplot/main.go
@@ -1,4 +1,4 @@
-// Command lichenplot draws pictures from routers' trails.
+// Command lichenplot draws diagrams from routers' event logs.
 package main
 
 import (
@@ -20,9 +20,9 @@
 }
 
 func command() *cli.Command {
-	out := &cli.StringFlag{Name: "out", Value: "lag.svg", Usage: "the picture's `FILE` (.svg, .png or .pdf)"}
-	return &cli.Command{Name: "lichenplot", Usage: "draw what routers' trails tell", Commands: []*cli.Command{
-		{Name: "lag", Usage: "how many versions each router lay behind the newest, over the order of records", ArgsUsage: "DIR...",
+	out := &cli.StringFlag{Name: "out", Value: "lag.svg", Usage: "the `FILE` to write (.svg, .png or .pdf)"}
+	return &cli.Command{Name: "lichenplot", Usage: "draw diagrams from routers' event logs (trails)", Commands: []*cli.Command{
+		{Name: "lag", Usage: "draw by how many versions each router lagged behind the newest, over the order of records", ArgsUsage: "DIR...",
 			Flags: []cli.Flag{out}, Action: func(_ context.Context, c *cli.Command) error {
 				if c.Args().Len() == 0 {
 					return fmt.Errorf("lag takes DIR..., one directory for each router")
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost serves the simulator's wire on standard input and output.
+// Command wirehost serves the simulator's wire protocol on standard input and output.
 package main
 
 import (
