--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return os.ErrDeadlineExceeded
 	}
-	if err := socket.WaitHungUp(raw); err != nil {
+	if err := socket.WaitPeerClosed(raw); err != nil {
 		return err
 	}
 	return io.EOF
--- a/downstream/listener.go
+++ b/downstream/listener.go
@@ -43,7 +43,7 @@
 		nc, err := l.Listener.Accept()
 		if err != nil {
 			l.unroutedSlots.release()
-			if !accepting.Passes(err) {
+			if !accepting.IsTemporary(err) {
 				return nil, err
 			}
 			l.acceptFailed(err) // the server would end on the error
@@ -64,7 +64,7 @@
 // acceptFailed handles an accept error that is temporary. If descriptors have run out, it evicts a
 // connection to free one.
 func (l *listener) acceptFailed(err error) {
-	if !accepting.LacksDescriptor(err) {
+	if !accepting.OutOfDescriptors(err) {
 		l.count.Add("accepts_failed", 1)
 		return
 	}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -55,8 +55,8 @@
 // permanentErrors are the errors after which the listener itself is unusable.
 var permanentErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// Passes reports whether accept may succeed later on the same listener.
-func Passes(err error) bool {
+// IsTemporary reports whether accept may succeed later on the same listener.
+func IsTemporary(err error) bool {
 	for _, f := range permanentErrors {
 		if errors.Is(err, f) {
 			return false
@@ -65,8 +65,8 @@
 	return true
 }
 
-// LacksDescriptor reports whether the process or the machine had no file descriptor left.
-func LacksDescriptor(err error) bool {
+// OutOfDescriptors reports whether the process or the machine had no file descriptor left.
+func OutOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
@@ -85,7 +85,7 @@
 func (r *resilient) Accept() (net.Conn, error) {
 	for {
 		c, err := r.Listener.Accept()
-		if err == nil || !Passes(err) {
+		if err == nil || !IsTemporary(err) {
 			return c, err
 		}
 		if r.failed != nil {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -38,8 +38,8 @@
 		_, err := Resilient(&failing{errs: []error{syscall.EMFILE, permanent}}, nil).Accept()
 		require.ErrorIs(t, err, permanent)
 	}
-	require.True(t, LacksDescriptor(fmt.Errorf("accept: %w", syscall.ENFILE)))
-	require.False(t, LacksDescriptor(syscall.ENOBUFS))
+	require.True(t, OutOfDescriptors(fmt.Errorf("accept: %w", syscall.ENFILE)))
+	require.False(t, OutOfDescriptors(syscall.ENOBUFS))
 }
 
 func TestOpenRetriesTemporaryErrors(t *testing.T) {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -20,9 +20,9 @@
 	return c.SyscallConn()
 }
 
-// WaitHungUp waits, without reading, until the peer has closed its side or reset the connection. It
+// WaitPeerClosed waits, without reading, until the peer has closed its side or reset the connection. It
 // fails with the read deadline's error, or if the connection is closed locally.
-func WaitHungUp(raw syscall.RawConn) error {
+func WaitPeerClosed(raw syscall.RawConn) error {
 	return raw.Read(func(fd uintptr) bool {
 		events, err := poll(fd, unix.POLLRDHUP)
 		return err == nil && events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	return socket.WaitHungUp(raw)
+	return socket.WaitPeerClosed(raw)
 }
 
 // alive reports, without waiting, whether an idle connection is usable: the worker has neither
