--- a/test/clocks_test.go
+++ b/test/clocks_test.go
@@ -62,7 +62,7 @@
 // going on. A worker is never told that more is left than the client has, and the answer comes in the client's time.
 func TestTheTimeOfARequestSentAheadRunsFromItsArrival(t *testing.T) {
 	more := make(chan struct{})
-	k := newWorker(t, "s-00000001", "mixed", held(more))
+	k := newWorker(t, "s-00000001", "mixed", heldStream(more))
 	p, _ := platform(t, k)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
--- a/test/crossings_test.go
+++ b/test/crossings_test.go
@@ -360,7 +360,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			more := make(chan struct{})
-			r, w := pair(t, held(more))
+			r, w := pair(t, heldStream(more))
 			p, _ := platform(t, r, w)
 			answers := make(chan answer, 1)
 			go func() { answers <- p.ask("query", newID(), patience) }()
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -20,8 +20,8 @@
 	attempts                                                   int
 	stopSendingWithin, releaseWithin, connIdle, connectTimeout time.Duration
 	maxRetryAfter                                              time.Duration // 0: clients get no Retry-After
-	// window is the time in which workers discard repeats by key; 0: 5 s.
-	window time.Duration
+	// repeatWindow is the time in which workers discard repeats by key; 0: 5 s.
+	repeatWindow time.Duration
 	// listsByRequest: discovery lists are requested, not watched.
 	listsByRequest bool
 }
@@ -47,7 +47,7 @@
 	}
 	for _, c := range [][2]string{{d.repeatable, "repeatable"}, {d.keyed, "by_key"}, {d.once, "once"}} {
 		if c[0] != "" {
-			classes = append(classes, fmt.Sprintf(`{"name":%q,"effect":%q,"group":"all","points":1.0,"target-ns":1500000000,"late-share":0.2,"repeat-window-ns":%d}`, c[0], c[1], cmp.Or(d.window, 5*time.Second).Nanoseconds()))
+			classes = append(classes, fmt.Sprintf(`{"name":%q,"effect":%q,"group":"all","points":1.0,"target-ns":1500000000,"late-share":0.2,"repeat-window-ns":%d}`, c[0], c[1], cmp.Or(d.repeatWindow, 5*time.Second).Nanoseconds()))
 			promptAims, tokenAims = append(promptAims, "40000.0"), append(tokenAims, "60000000")
 		}
 	}
--- a/test/disk_hang_test.go
+++ b/test/disk_hang_test.go
@@ -17,7 +17,7 @@
 func hastyPut(t *testing.T, url, body string) bool {
 	req, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
 	require.NoError(t, err)
-	resp, err := hasty.Do(req)
+	resp, err := shortTimeoutClient.Do(req)
 	if err != nil {
 		return false
 	}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -82,7 +82,7 @@
 				asked.Go(func() {
 					req, err := http.NewRequest(http.MethodPut, "http://"+apis[i]+"/v1/nodes/n", strings.NewReader("lost or not"))
 					require.NoError(t, err)
-					resp, err := hasty.Do(req)
+					resp, err := shortTimeoutClient.Do(req)
 					if err == nil {
 						_, _ = io.Copy(io.Discard, resp.Body)
 						_ = resp.Body.Close()
@@ -140,7 +140,7 @@
 			for n := 1; time.Now().Before(until); n++ {
 				req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/v1/nodes/n%d", apis[i], i), strings.NewReader(fmt.Sprint(n)))
 				require.NoError(t, err)
-				if resp, err := hasty.Do(req); err == nil {
+				if resp, err := shortTimeoutClient.Do(req); err == nil {
 					_ = resp.Body.Close()
 					if resp.StatusCode == http.StatusNoContent {
 						acknowledged[i] = n
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -27,8 +27,8 @@
 	return newWorker(t, "s-00000001", "reader", nil), newWorker(t, "s-00000002", "writer", writer)
 }
 
-// held returns a handler that sends the first event of a stream, and the rest once more is closed.
-func held(more <-chan struct{}) func(http.ResponseWriter, *http.Request) {
+// heldStream returns a handler that sends the first event of a stream, and the rest once more is closed.
+func heldStream(more <-chan struct{}) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		begin(w)
 		<-more
@@ -59,7 +59,7 @@
 
 func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	more := make(chan struct{})
-	r, w := pair(t, held(more))
+	r, w := pair(t, heldStream(more))
 	p, _ := platform(t, r, w)
 	resp, err := http.DefaultClient.Do(p.request("query", newID(), patience))
 	require.NoError(t, err)
@@ -283,7 +283,7 @@
 
 func TestTermFinishesOpenRequestsAndServesNewOnes(t *testing.T) {
 	more := make(chan struct{})
-	r, w := pair(t, held(more))
+	r, w := pair(t, heldStream(more))
 	p, _ := platform(t, r, w)
 	resp, err := http.DefaultClient.Do(p.request("query", newID(), patience))
 	require.NoError(t, err)
@@ -385,7 +385,7 @@
 func TestReloadMovesToTheNewDiscovery(t *testing.T) {
 	more := make(chan struct{})
 	finish := sync.OnceFunc(func() { close(more) })
-	r, w := pair(t, held(more))
+	r, w := pair(t, heldStream(more))
 	removed := newWorker(t, "s-00000003", "reader", nil)
 	p, d := platform(t, r, w, removed)
 	p.told(d.list(false, "in_service", removed))
--- a/test/repeats_test.go
+++ b/test/repeats_test.go
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := deployments[2]
-			d.window = window
+			d.repeatWindow = window
 			breaks := func(w http.ResponseWriter, r *http.Request) {
 				time.Sleep(tc.breaksAfter)
 				cut(w, r)
--- a/test/store_test.go
+++ b/test/store_test.go
@@ -121,12 +121,12 @@
 	}
 }
 
-// hasty times out after 2 s, when a stopped process has accepted its connection.
-var hasty = &http.Client{Timeout: 2 * time.Second}
+// shortTimeoutClient times out after 2 s, when a stopped process has accepted its connection.
+var shortTimeoutClient = &http.Client{Timeout: 2 * time.Second}
 
 // readNode reads a node from one replica, in one attempt. The status is 0 without a usable answer.
 func readNode(api, path string) (status int, version float64) {
-	resp, err := hasty.Get("http://" + api + path)
+	resp, err := shortTimeoutClient.Get("http://" + api + path)
 	if err != nil {
 		return 0, 0
 	}
@@ -151,7 +151,7 @@
 			eventually(t, func() bool {
 				req, err := http.NewRequest(http.MethodPut, "http://"+apis[at]+"/v1/nodes/n", strings.NewReader("x"))
 				require.NoError(t, err)
-				resp, err := hasty.Do(req)
+				resp, err := shortTimeoutClient.Do(req)
 				if err != nil {
 					return false
 				}
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -27,7 +27,7 @@
 func TestUpgradeHandsOverWithRequestsInFlight(t *testing.T) {
 	more := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(more) })
-	r, w := pair(t, held(more))
+	r, w := pair(t, heldStream(more))
 	t.Cleanup(goOn)
 	out := newWorker(t, "s-00000003", "writer", nil)
 	d := newDiscovery(t)
@@ -76,7 +76,7 @@
 func TestAHandoverOverHalfABodyAndAnUnreadAnswer(t *testing.T) {
 	more := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(more) })
-	r, w := pair(t, held(more))
+	r, w := pair(t, heldStream(more))
 	t.Cleanup(goOn)
 	d := newDiscovery(t)
 	d.list(true, "in_service", r, w)
