--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -1,6 +1,7 @@
-// Package judge holds what clients, workers and discovery saw of a fleet of routers against the rules that the routers have
-// to keep. It is pure: it is told what happened, and when, and says what broke a rule. Whoever plays the others' parts tells
-// it, and what they saw is the truth; routers say nothing here.
+// Package judge checks what clients, workers and discovery observed of a fleet of routers against
+// the rules that routers must keep. It does no I/O and reads no clock: a test reports each
+// observation with its time and asks for the violations at the end. The emulated clients, workers
+// and discovery are the only source of observations; routers report nothing here.
 package judge
 
 import (
@@ -13,21 +14,22 @@
 	"lichenshelf/logic"
 )
 
-// Rule is one of the rules.
+// Rule names a rule that routers must keep.
 type Rule string
 
-// The rules.
+// The rules, each with what violates it.
 const (
-	Lost      Rule = "lost"      // no final answer, or one that came too late, or more than one
-	Duplicate Rule = "duplicate" // ran more than once, or two copies were out at once, or refused though it may have run
-	Drain     Rule = "drain"     // sent to a worker that was known to leave
-	Pinned    Rule = "pinned"    // a read state was held too long
-	Told      Rule = "told"      // a worker was told more time than the client had left
-	Gone      Rule = "gone"      // an attempt began for a client that had gone
-	Failback  Rule = "failback"  // a worker that had just started got more than it bears
+	Lost Rule = "lost" // no final answer, a late one, or more than one
+	// Duplicate: ran more than once, two attempts open at once, or refused though it may have run.
+	Duplicate  Rule = "duplicate"
+	Drain      Rule = "drain"    // sent to a worker that was known to be leaving
+	Pinned     Rule = "pinned"   // a read state was held too long
+	TimeBudget Rule = "told"     // a worker was given more time than the client had left
+	AfterEnd   Rule = "gone"     // an attempt arrived after its client left or was answered
+	Failback   Rule = "failback" // a worker that had just started got more than it can bear
 )
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule
 	Request string
@@ -39,29 +41,29 @@
 	return fmt.Sprintf("%s: request %s: %s", v.Rule, v.Request, v.What)
 }
 
-// Limits are what the rules allow. Slack is added to each bound: for a machine that is late itself.
+// Limits are the tolerances of the rules.
 type Limits struct {
-	Answer time.Duration // after the client's time, for the final answer
-	Grace  time.Duration // after a leaving counts as known, for what is sent
-	Held   time.Duration // for a read state that no attempt carries
-	Told   time.Duration // beyond what is left
-	Gone   time.Duration // after a client's close, for an attempt to begin
-	Copies time.Duration // for a worker to see that an attempt was given up
-	Window time.Duration // for repeats of a by-key request, from the first one's arrival
-	Slack  time.Duration
+	Answer time.Duration // how long after the client's deadline a final answer may come
+	Grace  time.Duration // how long attempts may still go to a worker after its leaving is known
+	Held   time.Duration // how long a read state may be held with no attempt that uses it
+	Told   time.Duration // by how much the time given to a worker may exceed what is left
+	Gone   time.Duration // how long after its client left or was answered an attempt may arrive
+	Copies time.Duration // how long a worker may take to see that an attempt was cancelled
+	Window time.Duration // how long after its first run a by-key request may be repeated
+	Slack  time.Duration // added to each bound, for scheduling delays of the test machine
 	Cold   Cold
 }
 
 // Final is how a request ended for its client.
 type Final uint8
 
-// The ends.
+// The ways in which a request ends.
 const (
 	Served     Final = iota
-	Broken           // the answer began and was ended without its last part
-	Refused          // with the promise that a repeat does no harm
-	Failed           // without it
-	Unanswered       // the router ended the connection with no answer
+	Broken           // the answer began and ended without its last part
+	Refused          // not run, so the client may repeat it safely
+	Failed           // may have run
+	Unanswered       // the router closed the connection without an answer
 )
 
 var finals = [...]string{"served", "broken", "refused", "failed", "unanswered"}
@@ -69,94 +71,96 @@
 // String implements fmt.Stringer.
 func (f Final) String() string { return finals[f] }
 
-// Fate is how an attempt ended at its worker.
-type Fate uint8
+// AttemptOutcome is how an attempt ended at its worker.
+type AttemptOutcome uint8
 
-// The fates.
+// The ways in which an attempt ends.
 const (
-	Read       Fate = iota // the prompt was read, and its state waits
-	Began                  // the answer has begun
-	NeverRan               // turned away
-	MayHaveRun             // anything else
+	Read       AttemptOutcome = iota // the prompt was read, and its state is held
+	Began                            // the answer has begun
+	NeverRan                         // rejected
+	MayHaveRun                       // anything else
 )
 
 type request struct {
-	id       string
-	effect   logic.Effect
-	sent     time.Time
-	deadline time.Time
-	began    time.Time // for its client; zero: not
-	streamed bool      // its answer has begun at a worker
-	router   string
-	finals   []Final
-	ended    time.Time // when the first of them came
-	left     time.Time
-	excused  bool
-	seen     bool      // an attempt has come at a worker
-	held     time.Time // since when a read state waits; zero: none does
-	runs     []time.Time
-	out      []*Attempt
-	answers  []*Attempt // all that may have answered, in the order of their arrival
-}
-
-// forwarded is the attempt whose answer the client has: the last one that had come when that began, or the last one of all where
-// that is not known. A router has one attempt out at a time.
-func (r *request) forwarded() *Attempt {
-	for _, a := range slices.Backward(r.answers) {
-		if r.began.IsZero() || !a.at.After(r.began) {
+	id            string
+	effect        logic.Effect
+	sent          time.Time
+	deadline      time.Time
+	answerBegan   time.Time // when the client received its first part; zero: not yet
+	answering     bool      // a worker has begun an answer
+	router        string
+	finals        []Final
+	ended         time.Time // time of the first of finals
+	clientLeft    time.Time // zero: the client has not disconnected
+	excused       bool
+	reachedWorker bool        // an attempt has arrived at a worker
+	heldSince     time.Time   // zero: no read state is held
+	runs          []time.Time // arrivals of attempts that may have run
+	openAttempts  []*Attempt
+	candidates    []*Attempt // attempts that may have answered, in order of arrival
+}
+
+// forwardedAttempt returns the attempt whose answer the client received: the last one to arrive
+// before the answer began, or the last one of all if no answer has begun. A router has at most one
+// open attempt at a time.
+func (r *request) forwardedAttempt() *Attempt {
+	for _, a := range slices.Backward(r.candidates) {
+		if r.answerBegan.IsZero() || !a.arrived.After(r.answerBegan) {
 			return a
 		}
 	}
 	return nil
 }
 
-// Attempt is one attempt as its worker sees it.
+// Attempt is an attempt of a router as its worker sees it.
 type Attempt struct {
-	judge   *Judge
-	request *request
-	worker  string
-	reader  bool
-	at      time.Time
-	next    time.Time // when another one arrived while this one was out; zero: none did
-	carries bool      // a read state waited for it
-	cutOff  bool      // its worker can't see how it ends for the router
-	whole   bool      // its worker has written a stream to its end
-	ended   bool
-	endedAt time.Time
-}
-
-// Judge keeps what was seen. It is safe for use from any goroutine.
+	judge        *Judge
+	request      *request
+	worker       string
+	reader       bool
+	arrived      time.Time
+	nextArrived  time.Time // first arrival of another attempt while this one was open; zero: none
+	holdsState   bool      // a read state was held when it arrived
+	disconnected bool      // its worker can't see how it ends for the router
+	complete     bool      // its worker has written its answer to the end
+	ended        bool
+	endedAt      time.Time
+}
+
+// Judge collects observations and the violations found in them. It is safe for concurrent use.
 type Judge struct {
 	limits Limits
 
-	mu       sync.Mutex
-	requests map[string]*request
-	leaving  map[ban]time.Time // from when on it counts as known
-	broken   []Violation
-	attempts int
-	arrivals map[workerRole][]arrival
-	starts   []coldStart
+	mu         sync.Mutex
+	requests   map[string]*request
+	leaving    map[exclusion]time.Time // since when each one counts as known
+	violations []Violation
+	attempts   int
+	arrivals   map[workerRole][]arrival
+	starts     []coldStart
 }
 
-// ban is a reason for a router to send nothing new to a worker.
-type ban struct {
+// exclusion is a reason for a router to send no new attempts to a worker.
+type exclusion struct {
 	router, worker string
-	byHand         bool // an operator took it out; else discovery told that it leaves
+	byOperator     bool // an operator suspended the worker; else discovery lists it as leaving
 }
 
-// New returns a judge that has seen nothing.
+// New returns a judge without observations.
 func New(l Limits) *Judge {
-	return &Judge{limits: l, requests: map[string]*request{}, leaving: map[ban]time.Time{}, arrivals: map[workerRole][]arrival{}}
+	return &Judge{limits: l, requests: map[string]*request{}, leaving: map[exclusion]time.Time{}, arrivals: map[workerRole][]arrival{}}
 }
 
 func (j *Judge) violate(r *request, rule Rule, format string, args ...any) {
 	if !r.excused {
-		j.broken = append(j.broken, Violation{rule, r.id, fmt.Sprintf(format, args...)})
+		j.violations = append(j.violations, Violation{rule, r.id, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Sent notes a request of a client that waits so long, written whole to a router at a time; also one that is sent once more,
-// since its connection had been closed before it was read: its time begins anew then.
+// Sent records that a client has written a whole request to a router and waits for patience from
+// then on. It is called again, and the client's time starts over, when the request is sent once
+// more because its connection was closed before the router had read it.
 func (j *Judge) Sent(id string, effect logic.Effect, router string, at time.Time, patience time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -168,7 +172,7 @@
 	r.router, r.sent, r.deadline = router, at, at.Add(patience)
 }
 
-// Excuse frees a request of all rules from now on: its router was killed outright.
+// Excuse exempts a request from all rules from now on, as when its router was killed.
 func (j *Judge) Excuse(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -177,7 +181,7 @@
 	}
 }
 
-// Final notes the end of a request for its client.
+// Final records the end of a request for its client.
 func (j *Judge) Final(id string, end Final, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -189,7 +193,7 @@
 	case end == Unanswered:
 		j.violate(r, Lost, "the connection to %s ended without an answer", r.router)
 	case end != Broken && at.Sub(r.deadline) > j.limits.Answer+j.limits.Slack:
-		j.violate(r, Lost, "%s %v after its client's time", end, at.Sub(r.deadline))
+		j.violate(r, Lost, "%s %v after its client's deadline", end, at.Sub(r.deadline))
 	case end == Refused && r.effect == logic.EffectOnce && len(r.runs) > 0:
 		j.violate(r, Duplicate, "refused though it may have run")
 	}
@@ -198,63 +202,65 @@
 	}
 }
 
-// Began notes that a served answer has begun: from there on no time binds its end.
+// Began records that a client received the first part of its answer. Its end has no deadline.
 func (j *Judge) Began(id string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
 	if at.Sub(r.deadline) > j.limits.Answer+j.limits.Slack {
-		j.violate(r, Lost, "its answer began %v after its client's time", at.Sub(r.deadline))
+		j.violate(r, Lost, "its answer began %v after its client's deadline", at.Sub(r.deadline))
 	}
-	r.began, r.deadline = at, at.Add(time.Hour)
+	r.answerBegan, r.deadline = at, at.Add(time.Hour)
 }
 
-// Left notes that a client has closed its connection.
+// Left records that a client has closed its connection.
 func (j *Judge) Left(id string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.requests[id].left = at
+	j.requests[id].clientLeft = at
 }
 
-// Leaving notes that a worker's leaving counts as known to a router from a time on.
+// Leaving records that a router counts as knowing from a time on that a worker is leaving.
 func (j *Judge) Leaving(router, worker string, from time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.leaving[ban{router, worker, false}] = from
+	j.leaving[exclusion{router, worker, false}] = from
 }
 
-// Suspended notes that an operator has a router's yes, given at a time, to sending a worker nothing.
+// Suspended records that a router confirmed to an operator, at a time, that it suspended a worker.
 func (j *Judge) Suspended(router, worker string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.leaving[ban{router, worker, true}] = at
+	j.leaving[exclusion{router, worker, true}] = at
 }
 
-// Resumed notes that an operator calls the worker back.
+// Resumed records that an operator ends a worker's suspension at a router.
 func (j *Judge) Resumed(router, worker string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	delete(j.leaving, ban{router, worker, true})
+	delete(j.leaving, exclusion{router, worker, true})
 }
 
-// ExcuseUnread frees a request of all rules if no worker has seen it: its connection could be shut before it was read.
+// ExcuseUnread exempts a request from all rules if none of its attempts reached a worker: its
+// connection may have been closed before the router read it.
 func (j *Judge) ExcuseUnread(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if r := j.requests[id]; r != nil && !r.seen {
+	if r := j.requests[id]; r != nil && !r.reachedWorker {
 		r.excused = true
 	}
 }
 
-// Returned notes that a worker may be sent to again by a router.
+// Returned records that a worker is no longer leaving, so a router may send to it again.
 func (j *Judge) Returned(router, worker string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	delete(j.leaving, ban{router, worker, false})
+	delete(j.leaving, exclusion{router, worker, false})
 }
 
-// Arrived notes an attempt whose last byte has come at a worker. It is nil for a request that no client sent.
-func (j *Judge) Arrived(id, worker string, reader bool, at time.Time, told time.Duration) *Attempt {
+// Arrived records that a worker has received an attempt to its last byte, with sentTimeout as the
+// time that the router gave it. It returns nil for a request that no client sent.
+func (j *Judge) Arrived(id, worker string, reader bool, at time.Time, sentTimeout time.Duration) *Attempt {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
@@ -264,63 +270,66 @@
 	j.attempts++
 	role := workerRole{worker, reader}
 	j.arrivals[role] = append(j.arrivals[role], arrival{at, r.router})
-	r.seen = true
-	if from, ok := j.leaving[ban{r.router, worker, false}]; ok && at.Sub(from) > j.limits.Grace+j.limits.Slack {
-		j.violate(r, Drain, "%s sent to %s %v after its leaving counted as known", r.router, worker, at.Sub(from))
+	r.reachedWorker = true
+	if from, ok := j.leaving[exclusion{r.router, worker, false}]; ok && at.Sub(from) > j.limits.Grace+j.limits.Slack {
+		j.violate(r, Drain, "%s sent to %s %v after the worker's leaving was known", r.router, worker, at.Sub(from))
 	}
-	if from, ok := j.leaving[ban{r.router, worker, true}]; ok && at.Sub(from) > j.limits.Grace+j.limits.Slack {
-		j.violate(r, Drain, "%s sent to %s %v after it said that it is out by hand", r.router, worker, at.Sub(from))
+	if from, ok := j.leaving[exclusion{r.router, worker, true}]; ok && at.Sub(from) > j.limits.Grace+j.limits.Slack {
+		j.violate(r, Drain, "%s sent to %s %v after it confirmed the worker's suspension", r.router, worker, at.Sub(from))
 	}
-	if !r.left.IsZero() && at.Sub(r.left) > j.limits.Gone+j.limits.Slack {
-		j.violate(r, Gone, "at %s %v after its client had gone", worker, at.Sub(r.left))
+	if !r.clientLeft.IsZero() && at.Sub(r.clientLeft) > j.limits.Gone+j.limits.Slack {
+		j.violate(r, AfterEnd, "arrived at %s %v after its client had disconnected", worker, at.Sub(r.clientLeft))
 	}
 	if !r.ended.IsZero() && at.Sub(r.ended) > j.limits.Gone+j.limits.Slack {
-		j.violate(r, Gone, "at %s %v after its final answer", worker, at.Sub(r.ended))
+		j.violate(r, AfterEnd, "arrived at %s %v after its final answer", worker, at.Sub(r.ended))
 	}
-	if left := r.deadline.Sub(at); told > left+j.limits.Told+j.limits.Slack && r.left.IsZero() {
-		j.violate(r, Told, "%s was told %v by %s, where %v are left, %v after it was sent", worker, told, r.router, left, at.Sub(r.sent))
+	if left := r.deadline.Sub(at); sentTimeout > left+j.limits.Told+j.limits.Slack && r.clientLeft.IsZero() {
+		j.violate(r, TimeBudget, "%s was given %v by %s with %v left, %v after the request was sent", worker, sentTimeout, r.router, left, at.Sub(r.sent))
 	}
-	for _, other := range r.out {
-		if other.next.IsZero() {
-			other.next = at
+	for _, other := range r.openAttempts {
+		if other.nextArrived.IsZero() {
+			other.nextArrived = at
 		}
 	}
-	a := &Attempt{judge: j, request: r, worker: worker, reader: reader, at: at}
-	r.out = append(r.out, a)
+	a := &Attempt{judge: j, request: r, worker: worker, reader: reader, arrived: at}
+	r.openAttempts = append(r.openAttempts, a)
 	if !reader {
-		r.answers = append(r.answers, a)
-		a.carries = !r.held.IsZero()
-		j.take(r, at)
-		j.run(r, worker, at)
+		r.candidates = append(r.candidates, a)
+		a.holdsState = !r.heldSince.IsZero()
+		j.releaseState(r, at)
+		j.recordRun(r, worker, at)
 	}
 	return a
 }
 
-// run notes an attempt that may have its effect; the lock is held.
-func (j *Judge) run(r *request, worker string, at time.Time) {
+// recordRun records an attempt that may run, and checks it against the runs before it. The caller
+// holds the lock.
+func (j *Judge) recordRun(r *request, worker string, at time.Time) {
 	r.runs = append(r.runs, at)
 	switch first := r.runs[0]; {
 	case len(r.runs) == 1:
 	case r.effect == logic.EffectOnce:
-		j.violate(r, Duplicate, "at %s though it may have run before", worker)
+		j.violate(r, Duplicate, "arrived at %s though it may have run before", worker)
 	case r.effect == logic.EffectByKey && at.Sub(first) > j.limits.Window+j.limits.Slack:
-		j.violate(r, Duplicate, "at %s %v after its first run", worker, at.Sub(first))
+		j.violate(r, Duplicate, "arrived at %s %v after its first run", worker, at.Sub(first))
 	}
 }
 
-// take notes that a read state is taken or let go of; the lock is held.
-func (j *Judge) take(r *request, at time.Time) {
-	if r.held.IsZero() {
+// releaseState ends the time for which a read state was held without use, and checks that time. The
+// caller holds the lock.
+func (j *Judge) releaseState(r *request, at time.Time) {
+	if r.heldSince.IsZero() {
 		return
 	}
-	if d := at.Sub(r.held); d > j.limits.Held+j.limits.Slack {
-		j.violate(r, Pinned, "held for %v", d)
+	if d := at.Sub(r.heldSince); d > j.limits.Held+j.limits.Slack {
+		j.violate(r, Pinned, "read state held for %v", d)
 	}
-	r.held = time.Time{}
+	r.heldSince = time.Time{}
 }
 
-// Ended notes how the attempt ended. A nil attempt is passed over.
-func (a *Attempt) Ended(fate Fate, at time.Time) {
+// Ended records how the attempt ended; only the first call counts. It does nothing for a nil
+// attempt.
+func (a *Attempt) Ended(outcome AttemptOutcome, at time.Time) {
 	if a == nil {
 		return
 	}
@@ -331,63 +340,65 @@
 		return
 	}
 	a.ended, a.endedAt = true, at
-	r.out = slices.DeleteFunc(r.out, func(o *Attempt) bool { return o == a })
-	if a.cutOff {
+	r.openAttempts = slices.DeleteFunc(r.openAttempts, func(o *Attempt) bool { return o == a })
+	if a.disconnected {
 		return
 	}
-	if !a.next.IsZero() && at.Sub(a.next) > j.limits.Copies+j.limits.Slack {
-		j.violate(r, Duplicate, "out at %s for %v beside another attempt", a.worker, at.Sub(a.next))
+	if !a.nextArrived.IsZero() && at.Sub(a.nextArrived) > j.limits.Copies+j.limits.Slack {
+		j.violate(r, Duplicate, "open at %s for %v beside another attempt", a.worker, at.Sub(a.nextArrived))
 	}
-	if fate == NeverRan && !a.reader {
-		r.runs = slices.DeleteFunc(r.runs, func(t time.Time) bool { return t.Equal(a.at) })
+	if outcome == NeverRan && !a.reader {
+		r.runs = slices.DeleteFunc(r.runs, func(t time.Time) bool { return t.Equal(a.arrived) })
 	}
 	switch {
-	case fate == Began: // which lets go of the rest
-		r.held = time.Time{}
-		r.streamed = true
-	case a.reader && fate == Read, a.carries && !r.passOn():
-		r.held = at
+	case outcome == Began: // a worker that answers has released the read state
+		r.heldSince = time.Time{}
+		r.answering = true
+	case a.reader && outcome == Read, a.holdsState && !r.passState():
+		r.heldSince = at
 	}
 }
 
-// passOn hands a state on that an attempt waited for whose end comes late to this judge: to the attempt that has arrived at a writer
-// since, or nowhere, if that one's answer has begun.
-func (r *request) passOn() bool {
-	for _, later := range r.out {
+// passState assigns the read state of an attempt that has ended to an open attempt at a writer. The
+// end of an attempt may be recorded after the arrival of the next one. It reports whether the state
+// needs no holder: an open attempt took it, or an answer has begun.
+func (r *request) passState() bool {
+	for _, later := range r.openAttempts {
 		if !later.reader {
-			later.carries = true
+			later.holdsState = true
 			return true
 		}
 	}
-	return r.streamed
+	return r.answering
 }
 
-// CutOff notes that the way between the worker and its router fails while the attempt is out, or while its answer is under way:
-// when it ends for the router, and whether that has heard of a read state, its worker can't see. While the router waits for the
-// answer the attempt is out.
+// CutOff records that the connection between the worker and its router failed while the attempt was
+// open or its answer was on the way. The worker then can't see when the attempt ends for the
+// router, nor whether the router received the report of a read state. The attempt remains open
+// while the router waits for the answer.
 func (a *Attempt) CutOff() {
 	if a == nil {
 		return
 	}
 	a.judge.mu.Lock()
 	defer a.judge.mu.Unlock()
-	a.cutOff = true
-	if r := a.request; a.reader && !r.held.IsZero() && r.held.Equal(a.endedAt) {
-		r.held = time.Time{}
+	a.disconnected = true
+	if r := a.request; a.reader && !r.heldSince.IsZero() && r.heldSince.Equal(a.endedAt) {
+		r.heldSince = time.Time{}
 	}
 }
 
-// Whole notes that a worker has written its answer to the end.
+// Whole records that a worker has written its answer to the end.
 func (a *Attempt) Whole() {
 	if a == nil {
 		return
 	}
 	a.judge.mu.Lock()
 	defer a.judge.mu.Unlock()
-	a.whole = true
+	a.complete = true
 }
 
-// Released notes that a worker was asked to let go of what is held for a request and no attempt waits for.
+// Released records that a worker was asked to release the read state that it holds for a request.
 func (j *Judge) Released(id string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -395,33 +406,34 @@
 	if r == nil {
 		return
 	}
-	j.take(r, at) // what an attempt that is out waits for stays
+	j.releaseState(r, at) // a state that an open attempt uses is not affected
 }
 
-// Verdict is all that broke a rule, once nothing more happens.
+// Verdict returns all violations, sorted by rule and request. It is called after the last
+// observation.
 func (j *Judge) Verdict(now time.Time) []Violation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range j.requests {
-		j.take(r, now)
+		j.releaseState(r, now)
 		switch {
-		case len(r.finals) == 0 && r.left.IsZero():
-			j.violate(r, Lost, "it has no answer")
+		case len(r.finals) == 0 && r.clientLeft.IsZero():
+			j.violate(r, Lost, "no final answer")
 		case slices.Contains(r.finals, Broken):
-			if a := r.forwarded(); a != nil && a.whole {
-				j.violate(r, Lost, "its answer was cut off, and %s had written all of it", a.worker)
+			if a := r.forwardedAttempt(); a != nil && a.complete {
+				j.violate(r, Lost, "its answer was cut off although %s had written all of it", a.worker)
 			}
 		}
 	}
-	j.overloads()
-	out := slices.Clone(j.broken)
+	j.checkStarts()
+	out := slices.Clone(j.violations)
 	slices.SortFunc(out, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request))
 	})
 	return out
 }
 
-// Counts tells how many requests and attempts were seen, and how requests ended.
+// Counts returns the number of requests and of attempts, and how many requests ended in each way.
 func (j *Judge) Counts() (requests, attempts int, ends map[Final]int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -434,24 +446,25 @@
 	return len(j.requests), j.attempts, ends
 }
 
-// Streaming tells whether an answer of the router's that had begun by a time has not ended.
+// Streaming reports whether an answer of the router's that began at or before a time is still open.
 func (j *Judge) Streaming(router string, begun time.Time) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range j.requests {
-		if r.router == router && !r.began.IsZero() && !r.began.After(begun) && len(r.finals) == 0 && r.left.IsZero() {
+		if r.router == router && !r.answerBegan.IsZero() && !r.answerBegan.After(begun) && len(r.finals) == 0 && r.clientLeft.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// Open names the requests of a router that have no end yet.
+// Open returns the requests of a router that have no end yet, hold a read state or have an open
+// attempt.
 func (j *Judge) Open(router string) (ids []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for id, r := range j.requests {
-		if r.router == router && (len(r.finals) == 0 || !r.held.IsZero() || len(r.out) > 0) {
+		if r.router == router && (len(r.finals) == 0 || !r.heldSince.IsZero() || len(r.openAttempts) > 0) {
 			ids = append(ids, id)
 		}
 	}
--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -15,7 +15,7 @@
 
 const patience = time.Second
 
-// Each rule is broken by what breaks it, and by nothing that does not.
+// Each sequence of observations yields exactly the violations that it contains.
 func TestEachRuleCanBeBroken(t *testing.T) {
 	start := time.Now()
 	at := func(d time.Duration) time.Time { return start.Add(d) }
@@ -31,16 +31,16 @@
 			j.Began("a", at(patience))
 			j.Final("a", Served, at(time.Hour))
 		}},
-		"turned away, and refused": {effect: logic.EffectOnce, play: func(j *Judge) {
+		"rejected by the worker, and refused": {effect: logic.EffectOnce, play: func(j *Judge) {
 			j.Arrived("a", "w", false, start, patience).Ended(NeverRan, start)
 			j.Released("a", start)
 			j.Final("a", Refused, at(patience))
 		}},
-		"no answer":           {play: func(*Judge) {}, want: []Rule{Lost}},
-		"gone, no answer":     {play: func(j *Judge) { j.Left("a", start) }},
-		"two answers":         {play: func(j *Judge) { j.Final("a", Failed, start); j.Final("a", Refused, start) }, want: []Rule{Lost}},
-		"a closed connection": {play: func(j *Judge) { j.Final("a", Unanswered, start) }, want: []Rule{Lost}},
-		"an answer too late":  {play: func(j *Judge) { j.Final("a", Failed, at(patience+limits.Answer+over)) }, want: []Rule{Lost}},
+		"no answer":              {play: func(*Judge) {}, want: []Rule{Lost}},
+		"client left, no answer": {play: func(j *Judge) { j.Left("a", start) }},
+		"two answers":            {play: func(j *Judge) { j.Final("a", Failed, start); j.Final("a", Refused, start) }, want: []Rule{Lost}},
+		"a closed connection":    {play: func(j *Judge) { j.Final("a", Unanswered, start) }, want: []Rule{Lost}},
+		"an answer too late":     {play: func(j *Judge) { j.Final("a", Failed, at(patience+limits.Answer+over)) }, want: []Rule{Lost}},
 		"a beginning too late": {play: func(j *Judge) {
 			j.Began("a", at(patience+limits.Answer+over))
 			j.Final("a", Served, at(time.Hour))
@@ -60,8 +60,8 @@
 			j.Released("a", start)
 			j.Arrived("a", "v", false, at(limits.Window+over), 0).Ended(Began, at(limits.Window+over))
 			j.Final("a", Broken, start)
-		}, want: []Rule{Duplicate, Told}}, // and it is long past its client's time
-		"two copies": {play: func(j *Judge) {
+		}, want: []Rule{Duplicate, TimeBudget}}, // it is also long past its client's deadline
+		"two attempts open at once": {play: func(j *Judge) {
 			first := j.Arrived("a", "w", false, start, patience)
 			second := j.Arrived("a", "v", false, start, patience)
 			first.Ended(MayHaveRun, at(limits.Copies+over))
@@ -69,7 +69,7 @@
 			j.Released("a", at(limits.Copies+over))
 			j.Final("a", Served, start)
 		}, want: []Rule{Duplicate}},
-		"one follows the other": {play: func(j *Judge) {
+		"two attempts one after the other": {play: func(j *Judge) {
 			first := j.Arrived("a", "w", false, start, patience)
 			second := j.Arrived("a", "v", false, start, patience)
 			first.Ended(MayHaveRun, at(limits.Copies))
@@ -77,14 +77,14 @@
 			j.Released("a", at(limits.Copies))
 			j.Final("a", Served, start)
 		}},
-		"sent to who leaves": {play: func(j *Judge) {
+		"sent to a worker that leaves": {play: func(j *Judge) {
 			j.Leaving("n", "w", start)
 			j.Leaving("other", "v", start)
 			j.Arrived("a", "v", false, at(limits.Grace+over), 0).Ended(Began, start)
 			j.Arrived("a", "w", false, at(limits.Grace+over), 0).Ended(Began, start)
 			j.Final("a", Served, start)
 		}, want: []Rule{Drain}},
-		"sent to who came back": {play: func(j *Judge) {
+		"sent to a worker that returned": {play: func(j *Judge) {
 			j.Leaving("n", "w", start)
 			j.Returned("n", "w")
 			j.Arrived("a", "w", false, at(limits.Grace+over), 0).Ended(Began, start)
@@ -99,14 +99,14 @@
 			j.Arrived("a", "m", false, start, patience).Ended(MayHaveRun, start)
 			j.Final("a", Refused, start)
 		}},
-		"cut off from its router": {play: func(j *Judge) {
+		"worker cut off from its router": {play: func(j *Judge) {
 			a := j.Arrived("a", "r", true, start, patience)
 			j.Arrived("a", "w", false, start, patience).Ended(Began, start)
 			j.Final("a", Served, start)
 			a.CutOff()
 			a.Ended(Read, at(time.Minute))
 		}},
-		"let go of while a writer that has vanished is at it": {play: func(j *Judge) {
+		"state released while a writer that can't be reached has the attempt": {play: func(j *Judge) {
 			j.Arrived("a", "r", true, start, patience).Ended(Read, start)
 			a := j.Arrived("a", "w", false, start, patience)
 			a.CutOff()
@@ -114,14 +114,14 @@
 			j.Final("a", Failed, start)
 			a.Ended(MayHaveRun, at(time.Minute))
 		}},
-		"let go of beside an attempt that waits for it, and not again": {play: func(j *Judge) {
+		"state released beside an open attempt that uses it, and not again after it": {play: func(j *Judge) {
 			j.Arrived("a", "r", true, start, patience).Ended(Read, start)
 			a := j.Arrived("a", "w", false, start, patience)
 			j.Released("a", start)
 			a.Ended(MayHaveRun, at(time.Second))
 			j.Final("a", Failed, start)
 		}, want: []Rule{Pinned}},
-		"an attempt whose end is seen after the next one's arrival": {play: func(j *Judge) {
+		"attempt whose end is recorded after the next one's arrival": {play: func(j *Judge) {
 			j.Arrived("a", "r", true, start, patience).Ended(Read, start)
 			first := j.Arrived("a", "v", false, start, patience)
 			second := j.Arrived("a", "w", false, start, patience)
@@ -129,7 +129,7 @@
 			second.Ended(Began, start)
 			j.Final("a", Served, start)
 		}},
-		"the same, and the next one fails as well": {play: func(j *Judge) {
+		"end recorded after the next one's arrival, and the next one fails as well": {play: func(j *Judge) {
 			j.Arrived("a", "r", true, start, patience).Ended(Read, start)
 			first := j.Arrived("a", "v", false, start, patience)
 			second := j.Arrived("a", "w", false, start, patience)
@@ -137,43 +137,43 @@
 			second.Ended(MayHaveRun, start)
 			j.Final("a", Refused, at(time.Second))
 		}, want: []Rule{Pinned}},
-		"an answer that is lost as the link fails": {play: func(j *Judge) {
+		"report of a read state lost as the link fails": {play: func(j *Judge) {
 			a := j.Arrived("a", "r", true, start, patience)
 			a.Ended(Read, start)
 			a.CutOff()
 			j.Final("a", Refused, at(time.Second))
 		}},
-		"an answer that was lost, and one that was not": {play: func(j *Judge) {
+		"report of one read state lost, and of another received": {play: func(j *Judge) {
 			a := j.Arrived("a", "r", true, start, patience)
 			a.Ended(Read, start)
 			j.Arrived("a", "s", true, start, patience).Ended(Read, at(time.Millisecond))
 			a.CutOff()
 			j.Final("a", Refused, at(time.Second))
 		}, want: []Rule{Pinned}},
-		"held for ever, after a writer that failed": {play: func(j *Judge) {
+		"never released after a writer that failed": {play: func(j *Judge) {
 			j.Arrived("a", "r", true, start, patience).Ended(Read, start)
 			j.Arrived("a", "w", false, start, patience).Ended(MayHaveRun, start)
 			j.Final("a", Refused, start)
 		}, want: []Rule{Pinned}},
-		"told too much": {play: func(j *Judge) {
+		"given too much time": {play: func(j *Judge) {
 			j.Arrived("a", "w", false, at(patience/2), patience/2+limits.Told+over).Ended(Began, start)
 			j.Final("a", Served, start)
-		}, want: []Rule{Told}},
-		"begun after its end": {play: func(j *Judge) {
+		}, want: []Rule{TimeBudget}},
+		"attempt after the final answer": {play: func(j *Judge) {
 			j.Final("a", Failed, start)
 			j.Arrived("a", "w", false, at(limits.Gone+over), 0).Ended(Began, start)
-		}, want: []Rule{Gone}},
-		"begun for nobody": {play: func(j *Judge) {
+		}, want: []Rule{AfterEnd}},
+		"attempt after the client left": {play: func(j *Judge) {
 			j.Left("a", start)
 			j.Arrived("a", "w", false, at(limits.Gone+over), 0).Ended(Began, start)
-		}, want: []Rule{Gone}},
-		"cut off by the router": {play: func(j *Judge) {
+		}, want: []Rule{AfterEnd}},
+		"answer cut off by the router": {play: func(j *Judge) {
 			a := j.Arrived("a", "w", false, start, patience)
 			a.Ended(Began, start)
 			a.Whole()
 			j.Final("a", Broken, start)
 		}, want: []Rule{Lost}},
-		"cut off by the router, and sent again": {play: func(j *Judge) {
+		"answer cut off by the router, and sent again": {play: func(j *Judge) {
 			a := j.Arrived("a", "w", false, start, patience)
 			a.Ended(Began, start)
 			a.Whole()
@@ -181,7 +181,7 @@
 			j.Arrived("a", "v", false, at(2*over), patience).Ended(Began, at(3*over))
 			j.Final("a", Broken, at(4*over))
 		}, want: []Rule{Lost}},
-		"cut off by another worker than the one that had written all of it, for nobody": {play: func(j *Judge) {
+		"answer cut off by a worker, after another one had written an unused answer": {play: func(j *Judge) {
 			a := j.Arrived("a", "w", false, start, patience)
 			a.Ended(Began, start)
 			a.Whole()
@@ -189,7 +189,7 @@
 			j.Began("a", at(2*over))
 			j.Final("a", Broken, at(3*over))
 		}},
-		"its router was killed": {play: func(j *Judge) {
+		"router was killed": {play: func(j *Judge) {
 			j.Arrived("a", "r", true, start, patience).Ended(Read, start)
 			j.Excuse("a")
 		}},
@@ -211,19 +211,19 @@
 	require.Empty(t, j.Verdict(start))
 }
 
-// A worker that an operator has taken out is one that leaves, whatever discovery says of it.
-func TestWorkersOutByHand(t *testing.T) {
+// A worker that an operator has suspended counts as leaving, whatever discovery reports.
+func TestSuspendedWorkers(t *testing.T) {
 	start := time.Now()
 	late := start.Add(limits.Grace + 2*limits.Slack)
 	for name, c := range map[string]struct {
 		play func(j *Judge)
 		want int
 	}{
-		"out":               {func(j *Judge) { j.Suspended("r", "w", start) }, 1},
-		"out, and returned": {func(j *Judge) { j.Suspended("r", "w", start); j.Returned("r", "w") }, 1},
-		"called back":       {func(j *Judge) { j.Suspended("r", "w", start); j.Resumed("r", "w") }, 0},
-		"another router's":  {func(j *Judge) { j.Suspended("other", "w", start) }, 0},
-		"called back, but it leaves": {func(j *Judge) {
+		"suspended":                   {func(j *Judge) { j.Suspended("r", "w", start) }, 1},
+		"suspended, and returned":     {func(j *Judge) { j.Suspended("r", "w", start); j.Returned("r", "w") }, 1},
+		"resumed":                     {func(j *Judge) { j.Suspended("r", "w", start); j.Resumed("r", "w") }, 0},
+		"suspended at another router": {func(j *Judge) { j.Suspended("other", "w", start) }, 0},
+		"resumed, but it leaves": {func(j *Judge) {
 			j.Suspended("r", "w", start)
 			j.Leaving("r", "w", start)
 			j.Resumed("r", "w")
@@ -238,8 +238,8 @@
 	}
 }
 
-// A connection that was shut unread frees only a request that no worker has seen.
-func TestAnUnreadRequestIsOneThatNoWorkerSaw(t *testing.T) {
+// ExcuseUnread exempts a request only if no attempt of it has reached a worker.
+func TestUnreadRequestsAreExcused(t *testing.T) {
 	start := time.Now()
 	for _, seen := range []bool{false, true} {
 		j := New(limits)
@@ -253,21 +253,22 @@
 	}
 }
 
-// A worker that has just started and gets a flood breaks its rule, unless it comes from routers that could not know.
-func TestAFloodAtAColdWorker(t *testing.T) {
+// Too many attempts at a worker that has just started are a violation, unless they come from
+// routers that were not informed of the start.
+func TestOverloadOfAColdWorker(t *testing.T) {
 	l := limits
 	l.Cold = Cold{Share: 0.3, Within: 10 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond}
 	start := time.Now()
 	for name, c := range map[string]struct {
 		attempts int
 		after    time.Duration
-		told     time.Duration
+		informed time.Duration
 		want     int
 	}{
-		"as much as it bears": {attempts: 27, want: 0},
-		"a flood":             {attempts: 60, want: 1},
-		"a flood, untold":     {attempts: 60, told: time.Minute, want: 0},
-		"a flood, once warm":  {attempts: 60, after: 11 * time.Second, want: 0},
+		"within the limit":             {attempts: 27, want: 0},
+		"over the limit":               {attempts: 60, want: 1},
+		"over the limit, not informed": {attempts: 60, informed: time.Minute, want: 0},
+		"over the limit, once warm":    {attempts: 60, after: 11 * time.Second, want: 0},
 	} {
 		j := New(l)
 		send := func(id, worker string, at time.Time) {
@@ -275,10 +276,10 @@
 			j.Arrived(id, worker, false, at, 0).Ended(Began, at)
 			j.Final(id, Served, at)
 		}
-		for i := range 20 { // what a warm one gets in a window
+		for i := range 20 { // what a warm worker gets in a window
 			send(fmt.Sprint("warm", i), "v", start.Add(time.Duration(i)*time.Millisecond))
 		}
-		j.Restarted("w", start, map[string]time.Time{"r": start.Add(c.told)})
+		j.Restarted("w", start, map[string]time.Time{"r": start.Add(c.informed)})
 		for i := range c.attempts {
 			send(fmt.Sprint("cold", i), "w", start.Add(c.after).Add(time.Duration(i)*10*time.Millisecond))
 		}
@@ -292,8 +293,8 @@
 	}
 }
 
-// A stream that goes on is told only to who asks for those that had begun by a time before.
-func TestStreamsThatGoOnAreKnownByTheirBeginning(t *testing.T) {
+// Streaming reports an open stream only if it began by the given time.
+func TestStreamingCountsStreamsBegunByATime(t *testing.T) {
 	j, start := New(Limits{}), time.Now()
 	j.Sent("a", logic.EffectRepeatable, "n0", start, time.Second)
 	require.False(t, j.Streaming("n0", start.Add(time.Hour)), "no answer has begun")
