--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -1,5 +1,5 @@
-// Package history keeps what clients did to some registers and asks porcupine whether it is
-// linearizable.
+// Package history records the operations of clients on registers and checks with porcupine whether
+// they are linearizable.
 package history
 
 import (
@@ -10,17 +10,18 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// never is the end of a write that may take effect at any time, or not at all.
-const never = 1 << 62
+// unknownReturn is the return time of an unacknowledged write, which may take effect at any time or
+// not at all.
+const unknownReturn = 1 << 62
 
-// call is one read or write of a register. Each write has a value of its own.
+// call is a read or write of a register. Each write has a unique value.
 type call struct {
 	register string
 	write    bool
 	value    string
 }
 
-// model is a register for each name, that begins with the value "0".
+// model is a set of independent registers, each with the initial value "0".
 var model = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
@@ -49,7 +50,7 @@
 	},
 }
 
-// History is safe for concurrent use.
+// History is a record of operations. It is safe for concurrent use.
 type History struct {
 	start time.Time
 	mu    sync.Mutex
@@ -59,7 +60,7 @@
 // New returns an empty history.
 func New() *History { return &History{start: time.Now()} }
 
-// Now is the time on the history's clock.
+// Now returns the time on the history's clock, in nanoseconds.
 func (h *History) Now() int64 { return time.Since(h.start).Nanoseconds() }
 
 func (h *History) add(op porcupine.Operation) {
@@ -68,23 +69,23 @@
 	h.ops = append(h.ops, op)
 }
 
-// Read notes that a client read a value from when it called until now.
+// Read records a client's read of a value that was called at a time and returns now.
 func (h *History) Read(client int, register, value string, called int64) {
 	h.add(porcupine.Operation{ClientId: client, Input: call{register, false, ""}, Output: value, Call: called, Return: h.Now()})
 }
 
-// Wrote notes a write that was acknowledged, or one of which nothing is known.
+// Wrote records a client's write. One that was not acknowledged may have taken effect or not.
 func (h *History) Wrote(client int, register, value string, called int64, acknowledged bool) {
-	op := porcupine.Operation{ClientId: client, Input: call{register, true, value}, Call: called, Return: never}
+	op := porcupine.Operation{ClientId: client, Input: call{register, true, value}, Call: called, Return: unknownReturn}
 	if acknowledged {
 		op.Return = h.Now()
 	}
 	h.add(op)
 }
 
-// Check tells whether the history is linearizable, and how many operations it looked at. A
-// write of which nothing is known, and that nobody read, says nothing and is left out; one that
-// was read had taken effect when the first read of it ended.
+// Check reports whether the history is linearizable, and the number of operations that it checked.
+// It leaves out an unacknowledged write whose value was never read, as that constrains nothing. One
+// whose value was read had taken effect when the first read of it returned.
 func (h *History) Check(within time.Duration) (porcupine.CheckResult, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,10 +100,10 @@
 	}
 	var kept []porcupine.Operation
 	for _, op := range h.ops {
-		if in := op.Input.(call); op.Return == never {
+		if in := op.Input.(call); op.Return == unknownReturn {
 			at, ok := first[in.register+" "+in.value]
 			if !ok || at < op.Call {
-				if ok { // read before it was written: left as it is, for the check to find
+				if ok { // read before it was written: kept, so that the check fails
 					kept = append(kept, op)
 				}
 				continue
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -18,26 +18,26 @@
 			h.Read(2, "a", "x", h.Now())
 			h.Read(2, "b", "0", h.Now())
 		}, porcupine.Ok},
-		"read what was before": {func(h *History) {
+		"read a value from before a write": {func(h *History) {
 			h.Wrote(1, "a", "x", h.Now(), true)
 			h.Read(2, "a", "0", h.Now())
 		}, porcupine.Illegal},
-		"an unknown write is seen": {func(h *History) {
+		"an unacknowledged write is read": {func(h *History) {
 			h.Wrote(1, "a", "x", h.Now(), false)
 			h.Wrote(1, "a", "y", h.Now(), true)
 			h.Read(2, "a", "x", h.Now())
 		}, porcupine.Ok},
-		"an unknown write is seen, and gone, and back": {func(h *History) {
+		"an unacknowledged write is read, overwritten, and read again": {func(h *History) {
 			h.Wrote(1, "a", "x", h.Now(), false)
 			h.Read(2, "a", "x", h.Now())
 			h.Wrote(1, "a", "y", h.Now(), true)
 			h.Read(2, "a", "x", h.Now())
 		}, porcupine.Illegal},
-		"an unknown write is never seen": {func(h *History) {
+		"an unacknowledged write is never read": {func(h *History) {
 			h.Wrote(1, "a", "x", h.Now(), false)
 			h.Read(2, "a", "0", h.Now())
 		}, porcupine.Ok},
-		"a value of nobody's": {func(h *History) { h.Read(2, "a", "z", h.Now()) }, porcupine.Illegal},
+		"read a value that was never written": {func(h *History) { h.Read(2, "a", "z", h.Now()) }, porcupine.Illegal},
 	} {
 		h := New()
 		c.play(h)
