--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the laboratory's command line.
+// Package command provides the command line of the laboratory.
 package command
 
 import (
@@ -12,23 +12,23 @@
 	"lichenshelf/lab/demo"
 )
 
-// AsRouter is the first argument with which the program is the router itself.
+// AsRouter is the first argument that makes the program run as a router.
 const AsRouter = "router"
 
 // New returns the command line.
 func New() *cli.Command {
 	return &cli.Command{Name: "lichenlab", Usage: "try the router out against emulated workers, on loopback alone", Commands: []*cli.Command{
 		{Name: "demo", Usage: "start workers, routers and clients, and show what happens", Flags: []cli.Flag{
-			&cli.IntFlag{Name: "routers", Value: 3, Usage: "how many routers, 1 to 16"},
-			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "how long clients ask"},
+			&cli.IntFlag{Name: "routers", Value: 3, Usage: "number of routers, 1 to 16"},
+			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "how long clients send requests"},
 			&cli.FloatFlag{Name: "rate", Value: 15, Usage: "requests a second"},
-			&cli.StringFlag{Name: "fault", Usage: "what is broken for a while: worker, router or link"},
+			&cli.StringFlag{Name: "fault", Usage: "fault to inject for a while: worker, router or link"},
 			&cli.BoolFlag{Name: "alone", Usage: "routers share nothing, as on the platform"},
-			&cli.StringFlag{Name: "plot", Value: "lichenlab-demo.png", Usage: "the picture's `FILE`; empty for none"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of what clients ask for"},
+			&cli.StringFlag{Name: "plot", Value: "lichenlab-demo.png", Usage: "write a plot to `FILE`; empty for none"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "random seed of the clients' requests"},
 		}, Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() > 0 {
-				return fmt.Errorf("demo: %q is not understood", c.Args().First())
+				return fmt.Errorf("demo: unexpected argument %q", c.Args().First())
 			}
 			self, err := os.Executable()
 			if err != nil {
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo starts emulated workers, routers and clients together, does harm to one of
-// them if it is told to, and shows what came of it second by second.
+// Package demo runs emulated workers, routers and clients together, injects a fault into one of
+// them on request, and prints the outcome second by second.
 package demo
 
 import (
@@ -28,12 +28,12 @@
 	"lichenshelf/logic"
 )
 
-// What may be done harm to.
+// The faults of a demonstration.
 const (
 	NoFault     = ""
-	FaultWorker = "worker" // a reader dies and comes back cold
+	FaultWorker = "worker" // a reader crashes and restarts cold
 	FaultRouter = "router" // a router is killed and started again
-	FaultLink   = "link"   // half of the routers hear nothing of the others
+	FaultLink   = "link"   // two halves of the routers receive nothing from each other
 )
 
 // Config describes a demonstration.
@@ -44,16 +44,16 @@
 	Fault   string
 	Alone   bool // routers share nothing
 	Seed    uint64
-	Plot    string // file; empty: none
+	Plot    string // file name; empty: no plot
 	Dir     string // for the routers' files and logs
-	// Router is the command that is the router, to which its arguments are added.
+	// Router is the command that starts a router; the router's arguments are added to it.
 	Router []string
 }
 
-// ErrConfig is what a faulty Config wraps.
+// ErrConfig is wrapped by the errors of Config.Check.
 var ErrConfig = errors.New("demo")
 
-// Check looks at a config whole.
+// Check returns an error if a value of the config is not valid.
 func (c *Config) Check() error {
 	switch {
 	case c.Routers < 1 || c.Routers > 16:
@@ -76,19 +76,19 @@
 	return nil
 }
 
-// Kinds are those of the demonstration's workers: readers, writers and mixed ones.
+// Kinds returns the kinds of the demonstration's workers: readers, writers and mixed workers.
 func Kinds() []engine.Kind {
 	return []engine.Kind{
-		{Role: logic.RoleRead, ReadRate: 9000, ReadBase: 15 * time.Millisecond, Queue: 24, Keep: 60000, States: 2e5},
-		{Role: logic.RoleWrite, FetchRate: 4e5, Step: 8 * time.Millisecond, StepDouble: 16, Memory: 80000, Wait: 8},
-		{Role: logic.RoleBoth, ReadRate: 5000, ReadBase: 20 * time.Millisecond, Queue: 16, Keep: 40000, Step: 12 * time.Millisecond, StepDouble: 10, Memory: 60000, Wait: 4},
+		{Role: logic.RoleRead, ReadRate: 9000, ReadBase: 15 * time.Millisecond, ReadQueue: 24, CacheTokens: 60000, StateTokens: 2e5},
+		{Role: logic.RoleWrite, FetchRate: 4e5, Step: 8 * time.Millisecond, StepDouble: 16, Memory: 80000, WriteQueue: 8},
+		{Role: logic.RoleBoth, ReadRate: 5000, ReadBase: 20 * time.Millisecond, ReadQueue: 16, CacheTokens: 40000, Step: 12 * time.Millisecond, StepDouble: 10, Memory: 60000, WriteQueue: 4},
 	}
 }
 
-// Site is that of the demonstration: two cells, started long ago.
+// Site returns the demonstration's site: warm workers in two cells.
 func Site() engine.Config {
 	cfg := engine.Config{Kinds: Kinds(), Cold: engine.Cold{Share: 0.3, WarmWithin: 8 * time.Second, FallMultiple: 2.5,
-		FallAfter: 1500 * time.Millisecond, Down: 3 * time.Second}}
+		FallAfter: 1500 * time.Millisecond, Downtime: 3 * time.Second}}
 	add := func(kind, cell int, name string) {
 		cfg.Servers = append(cfg.Servers, engine.Spec{Name: name, Kind: kind, Cell: cell, Zone: cell, Started: -time.Hour})
 	}
@@ -103,8 +103,8 @@
 	return cfg
 }
 
-// Settings are what runs in virtual time tell the decisions about a site: two classes, of which the one that must not run twice is
-// worth more.
+// Settings returns the routers' settings for a site in virtual time. Of the two classes, the one
+// whose requests must not run twice has more points.
 func Settings(site *engine.Config) logic.Settings {
 	s := logic.Settings{CancelAllowed: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 5, ConnectTimeout: 250 * time.Millisecond,
 		OverShareWorth: 0.1, DrainGrace: 250 * time.Millisecond, ColdShare: site.Cold.Share, WarmWithin: site.Cold.WarmWithin,
@@ -117,34 +117,35 @@
 	return s
 }
 
-// Load is what the demonstration's clients ask for.
+// Load returns the load of the demonstration's clients.
 func Load(rate float64) load.Config {
 	return load.Config{Rate: rate, Classes: []float64{3, 1}, Prefixes: 24, Zipf: 1.2, PrefixTokens: 1200, Turns: 4,
-		Prompt: 400, Answer: 50, Spread: 0.7, Most: 12000}
+		Prompt: 400, Answer: 50, Spread: 0.7, MaxTokens: 12000}
 }
 
-// Rules are those of the demonstration's routers.
+// Rules are the settings of the demonstration's routers.
 var Rules = emulator.Rules{Patience: 4 * time.Second, Aim: 1500 * time.Millisecond, Attempts: 5}
 
-// Fleet is what the routers' file holds beside its members.
+// Fleet has the lines of the routers' fleet file besides the list of routers.
 const Fleet = "lease = \"1s\"\nperiod = \"200ms\"\ntimeout = \"500ms\"\nrepeats_per_s = 40.0\ncold_per_s = 20.0\n"
 
-// Report is what came of a demonstration.
+// Report is the result of a demonstration.
 type Report struct {
-	Seconds []emulator.Second
-	Twice   int // requests with more than one final answer
-	Again   int // attempts that followed another for the same request, as workers saw them
-	Fell    int // cold workers that were pushed over
-	Held    int // read states that were left
-	marks   []mark
+	Seconds         []emulator.Second
+	Twice           int // requests with more than one final answer
+	Repeats         int // repeated attempts of requests, as recorded by the workers
+	OverloadCrashes int // crashes of cold workers under overload
+	Held            int // read states left at the end
+	marks           []mark
 }
 
+// mark is an annotation, such as the injection of a fault, at a time in seconds.
 type mark struct {
 	at   float64
 	text string
 }
 
-// Run plays a demonstration and prints it to out as it goes.
+// Run runs a demonstration and prints its progress to out.
 func Run(ctx context.Context, cfg Config, out io.Writer) (*Report, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -163,10 +164,10 @@
 		return nil, err
 	}
 	defer layout.Close()
-	s := &stage{cfg: cfg, site: site, layout: layout, out: &writer{out: out}}
+	s := &demonstration{cfg: cfg, site: site, layout: layout, out: &writer{out: out}}
 	defer s.stop()
 	for i := range layout.Routers {
-		if err := s.start(i); err != nil {
+		if err := s.startRouter(i); err != nil {
 			return nil, err
 		}
 	}
@@ -174,17 +175,17 @@
 	for _, r := range layout.Routers {
 		addrs = append(addrs, r.Listen)
 		if err := ready(ctx, r.Listen); err != nil {
-			return nil, fmt.Errorf("router %s: %w; its log is %s", r.Name, err, s.log(r.Name))
+			return nil, fmt.Errorf("router %s: %w; its log is %s", r.Name, err, s.logPath(r.Name))
 		}
 	}
 	s.clients = emulator.NewClients(addrs, Rules.Patience)
-	return s.play(ctx)
+	return s.run(ctx)
 }
 
 var addrs atomic.Uint32
 
-// freeAddr is a free address on a loopback host of its own, where the system has them: ports
-// of connections, which are 127.0.0.1's, can't take it before its router listens.
+// freeAddr returns a free address on a loopback host of its own, if the system has such hosts. No
+// outgoing connection can take its port before the router listens, since those are from 127.0.0.1.
 func freeAddr() (string, error) {
 	n := uint32(os.Getpid())*64 + addrs.Add(1)
 	l, err := net.Listen("tcp4", fmt.Sprintf("127.66.%d.%d:0", n/250%250, 1+n%250))
@@ -197,12 +198,12 @@
 	return l.Addr().String(), l.Close()
 }
 
-// ready waits until a router has workers.
+// ready waits until a router is ready, which it is once it has workers.
 func ready(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/healthz", nil)
 		if err != nil {
@@ -215,14 +216,14 @@
 			}
 		}
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return errors.New("not ready in time")
 		}
 	}
 }
 
-// writer writes whole lines of several goroutines.
+// writer serializes the writes of several goroutines.
 type writer struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -234,8 +235,8 @@
 	return w.out.Write(p)
 }
 
-// stage is a demonstration under way.
-type stage struct {
+// demonstration is the state of a running demonstration.
+type demonstration struct {
 	cfg       Config
 	site      *emulator.Emulator
 	layout    *emulator.Layout
@@ -247,11 +248,11 @@
 	began     time.Time
 }
 
-func (s *stage) log(name string) string { return s.cfg.Dir + "/" + name + ".log" }
+func (s *demonstration) logPath(name string) string { return s.cfg.Dir + "/" + name + ".log" }
 
-func (s *stage) start(i int) error {
+func (s *demonstration) startRouter(i int) error {
 	r := s.layout.Routers[i]
-	log, err := os.OpenFile(s.log(r.Name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(s.logPath(r.Name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("log of router %s: %w", r.Name, err)
 	}
@@ -271,30 +272,30 @@
 	return nil
 }
 
-// end ends a router by a signal and waits for it.
-func (s *stage) end(i int, with syscall.Signal) {
+// endRouter sends a router a signal and waits until it has exited.
+func (s *demonstration) endRouter(i int, signal syscall.Signal) {
 	if cmd := s.processes[i]; cmd != nil {
-		_ = cmd.Process.Signal(with)
+		_ = cmd.Process.Signal(signal)
 		_ = cmd.Wait()
 		s.processes[i] = nil
 		s.up.Add(-1)
 	}
 }
 
-func (s *stage) stop() {
+func (s *demonstration) stop() {
 	for i := range s.processes {
-		s.end(i, syscall.SIGKILL)
+		s.endRouter(i, syscall.SIGKILL)
 	}
 }
 
-func (s *stage) mark(format string, args ...any) {
+func (s *demonstration) mark(format string, args ...any) {
 	m := mark{time.Since(s.began).Seconds(), fmt.Sprintf(format, args...)}
 	s.marks = append(s.marks, m)
 	fmt.Fprintf(s.out, "%5.1f s  %s\n", m.at, m.text)
 }
 
-// harm does what the config asks for, a third into the time, and undoes it after two thirds.
-func (s *stage) harm(ctx context.Context) {
+// injectFault injects the configured fault after a third of the time and ends it after two thirds.
+func (s *demonstration) injectFault(ctx context.Context) {
 	third := s.cfg.For / 3
 	if !sleep(ctx, third) {
 		return
@@ -304,9 +305,9 @@
 		s.site.Kill("reader-0", third)
 		s.mark("worker reader-0 is killed; it comes back cold after %v", third.Round(100*time.Millisecond))
 	case FaultRouter:
-		s.end(1, syscall.SIGKILL)
+		s.endRouter(1, syscall.SIGKILL)
 		s.mark("router r-1 is killed")
-		if sleep(ctx, third) && s.start(1) == nil {
+		if sleep(ctx, third) && s.startRouter(1) == nil {
 			s.mark("router r-1 is started again")
 		}
 	case FaultLink:
@@ -328,45 +329,46 @@
 	}
 }
 
-func (s *stage) play(ctx context.Context) (*Report, error) {
+func (s *demonstration) run(ctx context.Context) (*Report, error) {
 	playing, cancel := context.WithTimeout(ctx, s.cfg.For)
 	defer cancel()
 	rng := rand.New(rand.NewPCG(s.cfg.Seed, 3))
 	s.began = time.Now()
 	fmt.Fprintf(s.out, "%d routers, %d workers, %.0f requests a second\n", s.cfg.Routers, s.site.Up(), s.cfg.Rate)
 	fmt.Fprintln(s.out, " time   asked served broken refused failed unheard late   first token p50, p99   workers routers")
-	harmed := make(chan struct{})
+	faultDone := make(chan struct{})
 	go func() {
-		defer close(harmed)
+		defer close(faultDone)
 		if s.cfg.Fault != NoFault {
-			s.harm(playing)
+			s.injectFault(playing)
 		}
 	}()
-	asked := make(chan struct{})
+	clientsDone := make(chan struct{})
 	go func() {
-		defer close(asked)
+		defer close(clientsDone)
 		s.clients.Run(playing, load.New(Load(s.cfg.Rate), s.cfg.Seed), rng.IntN)
 	}()
-	told := 0
-	look := time.NewTicker(time.Second)
-	defer look.Stop()
+	printed := 0
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for running := true; running; {
 		select {
-		case <-look.C:
-		case <-asked:
+		case <-ticker.C:
+		case <-clientsDone:
 			running = false
 		}
-		// A second's requests are all answered once the longest patience has passed; two seconds are nearly all.
+		// A second is printed two seconds later: nearly all of its requests have ended then, though
+		// patience allows for more time.
 		seconds := s.clients.Seconds()
-		for ; told < len(seconds) && (!running || told < len(seconds)-2); told++ {
-			s.line(told, &seconds[told])
+		for ; printed < len(seconds) && (!running || printed < len(seconds)-2); printed++ {
+			s.printSecond(printed, &seconds[printed])
 		}
 	}
-	<-harmed
-	for i := range s.processes { // in good order: what is held is let go of
-		s.end(i, syscall.SIGTERM)
+	<-faultDone
+	for i := range s.processes { // an orderly shutdown, in which routers release held read states
+		s.endRouter(i, syscall.SIGTERM)
 	}
-	r := &Report{Seconds: s.clients.Seconds(), Again: len(emulator.Again(s.site.Record(), Site())), Fell: s.site.Fell(), Held: s.site.Held(), marks: s.marks}
+	r := &Report{Seconds: s.clients.Seconds(), Repeats: len(emulator.Again(s.site.Record(), Site())), OverloadCrashes: s.site.Fell(), Held: s.site.Held(), marks: s.marks}
 	for _, n := range s.clients.Answers() {
 		if n > 1 {
 			r.Twice++
@@ -385,25 +387,25 @@
 	return r, ctx.Err()
 }
 
-func (s *stage) line(i int, v *emulator.Second) {
+func (s *demonstration) printSecond(i int, v *emulator.Second) {
 	sum := 0
 	for _, n := range v.Fates {
 		sum += n
 	}
 	f := v.Fates
 	fmt.Fprintf(s.out, "%4d s  %5d  %5d  %5d   %5d  %5d   %5d %4d   %7.0f ms %7.0f ms   %7d %7d\n", i, sum, f[emulator.Served], f[emulator.Broken],
-		f[emulator.Refused], f[emulator.Failed], f[emulator.Unheard], f[emulator.Late], ms(v.First, 50), ms(v.First, 99), s.site.Up(), s.up.Load())
+		f[emulator.Refused], f[emulator.Failed], f[emulator.Unheard], f[emulator.Late], ms(v.FirstToken, 50), ms(v.FirstToken, 99), s.site.Up(), s.up.Load())
 }
 
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
-// print writes the table at the end.
+// print writes the summary.
 func (r *Report) print(w io.Writer) error {
 	var sum [emulator.Fates]int
 	all := 0
 	first := hdrhistogram.New(1, 120_000_000, 3)
 	for _, s := range r.Seconds {
-		first.Merge(s.First)
+		first.Merge(s.FirstToken)
 		for f, n := range s.Fates {
 			sum[f] += n
 			all += n
@@ -412,7 +414,7 @@
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\nREQUESTS\tNUMBER\tPART\t")
 	for f, n := range sum {
-		fmt.Fprintf(t, "%s\t%d\t%.1f%%\t\n", emulator.Fate(f), n, 100*float64(n)/float64(max(all, 1)))
+		fmt.Fprintf(t, "%s\t%d\t%.1f%%\t\n", emulator.Outcome(f), n, 100*float64(n)/float64(max(all, 1)))
 	}
 	fmt.Fprintf(t, "all\t%d\t\t\n", all)
 	if err := t.Flush(); err != nil {
@@ -420,6 +422,6 @@
 	}
 	_, err := fmt.Fprintf(w, "first token: p50 %.0f ms, p90 %.0f ms, p99 %.0f ms\n"+
 		"as the workers saw it: %d attempts sent again, %d cold workers pushed over, %d read states left; %d requests answered twice\n",
-		ms(first, 50), ms(first, 90), ms(first, 99), r.Again, r.Fell, r.Held, r.Twice)
+		ms(first, 50), ms(first, 90), ms(first, 99), r.Repeats, r.OverloadCrashes, r.Held, r.Twice)
 	return err
 }
--- a/lab/demo/plot.go
+++ b/lab/demo/plot.go
@@ -15,39 +15,40 @@
 	"lichenshelf/lab/emulator"
 )
 
-// colours of the fates, in their order.
+// colours has the line colour of each outcome.
 var colours = []color.Color{
 	color.RGBA{R: 30, G: 120, B: 60, A: 255}, color.RGBA{R: 200, G: 60, B: 40, A: 255}, color.RGBA{R: 220, G: 160, B: 20, A: 255},
 	color.RGBA{R: 120, G: 20, B: 110, A: 255}, color.RGBA{A: 255}, color.RGBA{R: 90, G: 90, B: 90, A: 255},
 }
 
-// plot writes a picture: requests by fate, and first tokens, by second.
+// plot writes a PNG with two plots by second: the requests by outcome, and the time of first
+// tokens.
 func (r *Report) plot(path string) error {
 	fates, first := plot.New(), plot.New()
 	fates.Title.Text, first.Title.Text = "requests a second by fate", "first token, ms"
 	first.X.Label.Text = "seconds"
 	for f := range emulator.Fates {
 		points := make(plotter.XYs, len(r.Seconds))
-		some := false
+		seen := false
 		for i, s := range r.Seconds {
 			points[i] = plotter.XY{X: float64(i), Y: float64(s.Fates[f])}
-			some = some || s.Fates[f] > 0
+			seen = seen || s.Fates[f] > 0
 		}
-		if !some {
+		if !seen {
 			continue
 		}
-		if err := add(fates, points, emulator.Fate(f).String(), colours[f]); err != nil {
+		if err := addLine(fates, points, emulator.Outcome(f).String(), colours[f]); err != nil {
 			return err
 		}
 	}
 	for i, q := range []float64{50, 99} {
 		var points plotter.XYs
 		for at, s := range r.Seconds {
-			if s.First.TotalCount() > 0 {
-				points = append(points, plotter.XY{X: float64(at), Y: ms(s.First, q)})
+			if s.FirstToken.TotalCount() > 0 {
+				points = append(points, plotter.XY{X: float64(at), Y: ms(s.FirstToken, q)})
 			}
 		}
-		if err := add(first, points, fmt.Sprintf("p%.0f", q), colours[i]); err != nil {
+		if err := addLine(first, points, fmt.Sprintf("p%.0f", q), colours[i]); err != nil {
 			return err
 		}
 	}
@@ -72,7 +73,7 @@
 	return f.Close()
 }
 
-func add(p *plot.Plot, points plotter.XYs, name string, c color.Color) error {
+func addLine(p *plot.Plot, points plotter.XYs, name string, c color.Color) error {
 	if len(points) == 0 {
 		return nil
 	}
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -18,68 +18,69 @@
 	"lichenshelf/lab/load"
 )
 
-// Fate is what became of a client's request.
-type Fate uint8
+// Outcome is how a client's request ended.
+type Outcome uint8
 
-// The fates of a request.
+// The outcomes of a request.
 const (
-	Served  Fate = iota
-	Broken       // the answer began and broke off
-	Refused      // turned away, to come again later
-	Failed       // given up
-	Unheard      // no router answered
-	Late         // no answer before the client's patience ended
+	Served  Outcome = iota
+	Broken          // the answer began and broke off
+	Refused         // rejected with a Retry-After header
+	Failed          // answered with any other status than 200
+	Unheard         // no router was reached
+	Late            // no answer within the client's patience
 )
 
 // String implements fmt.Stringer.
-func (f Fate) String() string {
+func (f Outcome) String() string {
 	return [...]string{"served", "broken", "refused", "failed", "unheard", "late"}[min(f, Late)]
 }
 
-// Fates is how many there are of them.
+// Fates is the number of outcomes.
 const Fates = int(Late) + 1
 
-// Second is what clients saw of the requests that they sent in one second.
+// Second has the outcomes of the requests that clients sent in one second.
 type Second struct {
-	Fates [Fates]int
-	First *hdrhistogram.Histogram // microseconds until the first token
+	Fates      [Fates]int
+	FirstToken *hdrhistogram.Histogram // microseconds until the first token
 }
 
-// Clients ask routers by an open loop and note what they get.
+// Clients send requests to routers as an open loop and record the outcomes.
 type Clients struct {
 	http    *http.Client
 	routers []string
-	down    []atomic.Bool
+	avoided []atomic.Bool
 	ids     atomic.Int64
 	start   time.Time
 
-	mu      sync.Mutex
-	seconds []Second
-	answers map[string]int // final answers by request
-	trips   map[string][]Trip
-	most    time.Duration
+	mu       sync.Mutex
+	seconds  []Second
+	answers  map[string]int // number of final answers by request
+	trips    map[string][]Trip
+	patience time.Duration
 }
 
-// Trip is one sending of a request to a router, until its end.
+// Trip is one transmission of a request to a router, until it ended.
 type Trip struct {
 	Router   int
 	From, To time.Time
 }
 
-// ClientsPrefix begins the names of all requests.
+// ClientsPrefix begins the IDs of all requests.
 const ClientsPrefix = "lab"
 
-// NewClients returns clients of routers.
+// NewClients returns clients of routers that wait for patience for the beginning of an answer.
 func NewClients(routers []string, patience time.Duration) *Clients {
 	return &Clients{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, routers: routers,
-		down: make([]atomic.Bool, len(routers)), answers: map[string]int{}, trips: map[string][]Trip{}, most: patience, start: time.Now()}
+		avoided: make([]atomic.Bool, len(routers)), answers: map[string]int{}, trips: map[string][]Trip{}, patience: patience, start: time.Now()}
 }
 
-// Avoid tells clients not to go to a router first, as they would who found it dead.
-func (c *Clients) Avoid(router int, avoid bool) { c.down[router].Store(avoid) }
+// Avoid makes clients skip a router, or use it again. They still try an avoided router if it is the
+// last one in the order of a request.
+func (c *Clients) Avoid(router int, avoid bool) { c.avoided[router].Store(avoid) }
 
-// Run sends a source's requests until ctx ends, and waits for what is out. Pick draws which of
-// so many routers a request goes to; it is called by one goroutine.
+// Run sends a source's requests until ctx ends, and waits for the open ones. Pick chooses the
+// router of a request by its index below n; it is called by one goroutine.
 func (c *Clients) Run(ctx context.Context, source *load.Source, pick func(n int) int) {
 	var out sync.WaitGroup
 	defer out.Wait()
@@ -100,19 +101,19 @@
 	}
 }
 
-// ask sends one request, to another router where one is not there at all.
+// ask sends one request, and sends it to the next router if one can't be reached.
 func (c *Clients) ask(n, first int, q load.Request) {
 	id := fmt.Sprintf("%s-%d", ClientsPrefix, n)
 	at := time.Now()
-	fate, took := Unheard, time.Duration(0)
+	outcome, firstToken := Unheard, time.Duration(0)
 	for i := range c.routers {
 		router := (first + i) % len(c.routers)
-		if c.down[router].Load() && i < len(c.routers)-1 {
+		if c.avoided[router].Load() && i < len(c.routers)-1 {
 			continue
 		}
 		var sent bool
 		from := time.Now()
-		fate, took, sent = c.try(id, c.routers[router], at, q)
+		outcome, firstToken, sent = c.try(id, c.routers[router], at, q)
 		c.mu.Lock()
 		c.trips[id] = append(c.trips[id], Trip{router, from, time.Now()})
 		c.mu.Unlock()
@@ -124,20 +125,20 @@
 	defer c.mu.Unlock()
 	second := int(at.Sub(c.start) / time.Second)
 	for len(c.seconds) <= second {
-		c.seconds = append(c.seconds, Second{First: hdrhistogram.New(1, 120_000_000, 3)})
+		c.seconds = append(c.seconds, Second{FirstToken: hdrhistogram.New(1, 120_000_000, 3)})
 	}
 	s := &c.seconds[second]
-	s.Fates[fate]++
-	if fate != Unheard && fate != Late {
+	s.Fates[outcome]++
+	if outcome != Unheard && outcome != Late {
 		c.answers[id]++
 	}
-	if took > 0 {
-		_ = s.First.RecordValue(max(took.Microseconds(), 1))
+	if firstToken > 0 {
+		_ = s.FirstToken.RecordValue(max(firstToken.Microseconds(), 1))
 	}
 }
 
-func (c *Clients) try(id, router string, at time.Time, q load.Request) (fate Fate, first time.Duration, sent bool) {
-	left := c.most - time.Since(at)
+func (c *Clients) try(id, router string, at time.Time, q load.Request) (outcome Outcome, firstToken time.Duration, sent bool) {
+	left := c.patience - time.Since(at)
 	ctx, cancel := context.WithTimeout(context.Background(), left+time.Minute)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+"/v1/chat/completions",
@@ -155,8 +156,8 @@
 		AnswerHeader: strconv.Itoa(q.AnswerTokens)} {
 		req.Header.Set(k, v)
 	}
-	// Patience is for the beginning of an answer: one that runs may take its time.
-	patient := time.AfterFunc(left, cancel)
+	// Patience limits the time until an answer begins, not the time until it ends.
+	patienceTimer := time.AfterFunc(left, cancel)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		if ctx.Err() != nil {
@@ -164,7 +165,7 @@
 		}
 		return Unheard, 0, false
 	}
-	patient.Stop()
+	patienceTimer.Stop()
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode == http.StatusOK:
@@ -177,40 +178,40 @@
 	last := ""
 	for {
 		line, err := body.ReadString('\n')
-		if first == 0 && line != "" {
-			first = time.Since(at)
+		if firstToken == 0 && line != "" {
+			firstToken = time.Since(at)
 		}
 		if text := strings.TrimSpace(line); text != "" {
 			last = text
 		}
 		if errors.Is(err, io.EOF) && last == "data: [DONE]" {
-			return Served, first, true
+			return Served, firstToken, true
 		}
 		if err != nil {
-			return Broken, first, true
+			return Broken, firstToken, true
 		}
 	}
 }
 
-// Seconds is what was seen so far, by the second in which requests were sent.
+// Seconds returns the outcomes so far, by the second in which requests were sent.
 func (c *Clients) Seconds() []Second {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]Second, len(c.seconds))
 	for i, s := range c.seconds {
-		out[i] = Second{s.Fates, hdrhistogram.Import(s.First.Export())}
+		out[i] = Second{s.Fates, hdrhistogram.Import(s.FirstToken.Export())}
 	}
 	return out
 }
 
-// Trips are the sendings of a request.
+// Trips returns the transmissions of a request.
 func (c *Clients) Trips(id string) []Trip {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Trip(nil), c.trips[id]...)
 }
 
-// Answers is how many final answers each request got that got any.
+// Answers returns the number of final answers of each request that got one.
 func (c *Clients) Answers() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -1,6 +1,6 @@
-// Package emulator puts the model of the servers (lab/engine) behind sockets on loopback:
-// workers that speak the platform's protocol and the discovery beside them, in real time.
-// What the workers saw is kept: it is the truth that routers are judged by.
+// Package emulator runs the model of the servers (lab/engine) behind sockets on loopback in real
+// time: workers that speak the platform's protocol, and a discovery service. It records what the
+// workers receive, so that tests check routers by that record and not by the routers' own reports.
 package emulator
 
 import (
@@ -22,37 +22,37 @@
 )
 
 const (
-	poll      = 20 * time.Millisecond // running answers are written out so often
-	mostKept  = 1 << 20               // arrivals in the record
-	mostBody  = 1 << 20
-	headerID  = "X-Correlation-Id"
-	headerNot = "X-Unprocessed"
-	// AnswerHeader tells a worker how many tokens its answer will have. Routers pass it on.
+	writeInterval     = 20 * time.Millisecond // between writes of the tokens of running answers
+	maxArrivals       = 1 << 20               // in the record
+	maxBodyBytes      = 1 << 20
+	headerID          = "X-Correlation-Id"
+	headerUnprocessed = "X-Unprocessed"
+	// AnswerHeader has the number of tokens of a request's answer. Routers forward it.
 	AnswerHeader = "X-Lab-Answer-Tokens"
 )
 
-// Arrival is an attempt as its worker saw it.
+// Arrival is an attempt that a worker received, and the worker's reply.
 type Arrival struct {
 	At     time.Time
 	Worker string
 	Job    string
-	Said   engine.Answer
+	Reply  engine.Reply
 }
 
-// Emulator is a site on loopback. It is safe for use from any goroutine.
+// Emulator is a site on loopback. It is safe for concurrent use.
 type Emulator struct {
 	cfg   engine.Config
 	start time.Time
 
-	mu      sync.Mutex
-	site    *engine.Site
-	changes int
-	workers map[string]*worker
-	jobs    map[string]*running // by worker and job
-	record  []Arrival
-	wake    chan struct{}
-	lines   []string // of discovery, by generation from 1
-	more    chan struct{}
+	mu         sync.Mutex
+	site       *engine.Site
+	changes    int
+	workers    map[string]*worker
+	jobs       map[string]*running // by "worker/job"
+	record     []Arrival
+	wake       chan struct{}
+	lines      []string      // discovery's lists; that of generation 1 is the first
+	linesAdded chan struct{} // closed, and replaced, when lines grows
 
 	discovery *http.Server
 	listener  net.Listener
@@ -66,17 +66,18 @@
 	server *http.Server // nil while it is down
 }
 
-// running is a job at a worker, and the handler that waits for what becomes of it.
+// running is a job at a worker whose handler waits for events.
 type running struct {
 	events []engine.Event
-	more   chan struct{} // holds one token while there are events
+	ready  chan struct{} // capacity 1; signals that there are events
 }
 
-// New starts a site; listen opens an address of its own for each worker and discovery, and
-// is asked again for an address that was closed. Close ends it.
+// New starts a site. Listen opens a listener for each worker and for discovery, on a free address
+// if addr is empty; it is called again with a worker's address when that worker restarts. Close
+// stops the site.
 func New(cfg engine.Config, seed uint64, listen func(addr string) (net.Listener, error)) (*Emulator, error) {
 	e := &Emulator{cfg: cfg, start: time.Now(), site: engine.New(cfg, seed), workers: map[string]*worker{}, jobs: map[string]*running{},
-		wake: make(chan struct{}, 1), more: make(chan struct{}), done: make(chan struct{})}
+		wake: make(chan struct{}, 1), linesAdded: make(chan struct{}), done: make(chan struct{})}
 	for _, s := range cfg.Servers {
 		l, err := listen("")
 		if err != nil {
@@ -99,7 +100,7 @@
 	return e, nil
 }
 
-// Close ends all of it.
+// Close stops the workers and discovery.
 func (e *Emulator) Close() {
 	select {
 	case <-e.done:
@@ -118,40 +119,40 @@
 	}
 }
 
-// Discovery is where discovery listens.
+// Discovery returns the address of discovery.
 func (e *Emulator) Discovery() string { return e.listener.Addr().String() }
 
 func (e *Emulator) now() time.Duration { return time.Since(e.start) }
 
-// Record is what the workers saw, in order.
+// Record returns the attempts that workers received, in order.
 func (e *Emulator) Record() []Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.record)
 }
 
-// Held is how many read states wait for a writer.
+// Held returns the number of read states that wait for a writer.
 func (e *Emulator) Held() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.site.Held()
 }
 
-// HeldJobs names the requests whose read states wait for a writer.
+// HeldJobs returns the IDs of the requests whose read states wait for a writer.
 func (e *Emulator) HeldJobs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.site.HeldJobs()
 }
 
-// Fell is how many times a worker was pushed over while it was cold.
+// Fell returns the number of crashes of cold workers under overload.
 func (e *Emulator) Fell() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.site.Fell
+	return e.site.OverloadCrashes
 }
 
-// Up is how many workers run.
+// Up returns the number of workers that run.
 func (e *Emulator) Up() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -163,32 +164,32 @@
 	return n
 }
 
-// Set gives a worker a fault, or takes it away.
+// Set injects a fault into a worker; the zero Fault clears it.
 func (e *Emulator) Set(name string, f engine.Fault) {
 	e.mu.Lock()
 	e.site.Set(name, f)
 	e.mu.Unlock()
-	e.nudge()
+	e.wakeLoop()
 }
 
-// Kill ends a worker; it starts again, cold, after a time.
+// Kill stops a worker. It starts again, cold, after a time.
 func (e *Emulator) Kill(name string, down time.Duration) {
 	e.mu.Lock()
 	e.advance()
-	e.deliver(e.site.Kill(name, e.now(), down))
+	e.dispatch(e.site.Kill(name, e.now(), down))
 	e.mu.Unlock()
-	e.nudge()
+	e.wakeLoop()
 }
 
-// nudge makes the loop look again.
-func (e *Emulator) nudge() {
+// wakeLoop makes the loop advance the model now.
+func (e *Emulator) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run advances the model as its events fall due.
+// run advances the model when its next event is due.
 func (e *Emulator) run(listen func(string) (net.Listener, error)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -201,36 +202,37 @@
 		}
 		e.mu.Lock()
 		e.advance()
-		e.follow(listen)
+		e.syncListeners(listen)
 		next, ok := e.site.Next()
 		wait := next - e.now()
 		if !ok {
 			wait = time.Hour
 		}
 		if len(e.jobs) > 0 {
-			wait = min(wait, poll)
+			wait = min(wait, writeInterval)
 		}
 		e.mu.Unlock()
 		timer.Reset(max(wait, time.Millisecond))
 	}
 }
 
-func (e *Emulator) advance() { e.deliver(e.site.Advance(e.now())) }
+func (e *Emulator) advance() { e.dispatch(e.site.Advance(e.now())) }
 
-func (e *Emulator) deliver(events []engine.Event) {
+func (e *Emulator) dispatch(events []engine.Event) {
 	for _, v := range events {
 		if r := e.jobs[v.Server+"/"+v.Job]; r != nil {
 			r.events = append(r.events, v)
 			select {
-			case r.more <- struct{}{}:
+			case r.ready <- struct{}{}:
 			default:
 			}
 		}
 	}
 }
 
-// follow opens and closes workers as the model's go up and down, and tells discovery.
-func (e *Emulator) follow(listen func(string) (net.Listener, error)) {
+// syncListeners opens and closes the workers' listeners as the model's servers start and stop, and
+// publishes a new list.
+func (e *Emulator) syncListeners(listen func(string) (net.Listener, error)) {
 	c := e.site.Changes()
 	if c == e.changes {
 		return
@@ -244,8 +246,8 @@
 			go server.Close()
 		case l.Up && w.server == nil:
 			again, err := listen(w.addr)
-			if err != nil { // the address is not free yet: looked at again
-				time.AfterFunc(poll, e.nudge)
+			if err != nil { // the address is not free yet: retried
+				time.AfterFunc(writeInterval, e.wakeLoop)
 				return
 			}
 			e.serve(w, again)
@@ -253,8 +255,8 @@
 	}
 	e.changes = c
 	e.lines = append(e.lines, e.list(false))
-	close(e.more)
-	e.more = make(chan struct{})
+	close(e.linesAdded)
+	e.linesAdded = make(chan struct{})
 }
 
 func (e *Emulator) serve(w *worker, l net.Listener) {
@@ -262,7 +264,7 @@
 	go func(s *http.Server) { _ = s.Serve(l) }(w.server)
 }
 
-// list is a line of discovery's.
+// list returns discovery's present list as a line of JSON.
 func (e *Emulator) list(whole bool) string {
 	out := platform.List{Generation: int64(len(e.lines) + 1), Reset: whole, Instances: []platform.Instance{}}
 	for _, l := range e.site.List() {
@@ -278,7 +280,7 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // numbers and names alone
+		panic(err) // the list has only numbers and strings, which always encode
 	}
 	return string(text)
 }
@@ -286,7 +288,8 @@
 func zoneName(i int) string { return "z" + strconv.Itoa(i) }
 func kindName(i int) string { return "k" + strconv.Itoa(i) }
 
-// watch is discovery's: all lines from a generation on, and those that come.
+// watch serves discovery: the present list, or with the parameter "watch" all lists from a
+// generation on and each further one, with an empty line each second without one.
 func (e *Emulator) watch(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	whole := e.list(true)
@@ -298,7 +301,7 @@
 	sent, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	for {
 		e.mu.Lock()
-		lines, more := e.lines, e.more
+		lines, more := e.lines, e.linesAdded
 		e.mu.Unlock()
 		for ; sent < len(lines); sent++ {
 			if _, err := io.WriteString(w, lines[sent]+"\n"); err != nil {
@@ -318,7 +321,7 @@
 	}
 }
 
-// handle is a worker's answer to one call.
+// handle serves one call to a worker.
 func (e *Emulator) handle(name string, w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
 		e.mu.Lock()
@@ -328,68 +331,68 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, mostBody)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
 		return
 	}
-	job, err := jobOf(r.Header)
+	job, err := jobFromHeaders(r.Header)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	mine := &running{more: make(chan struct{}, 1)}
+	pending := &running{ready: make(chan struct{}, 1)}
 	at := name + "/" + job.ID
 	e.mu.Lock()
 	e.advance()
-	said := e.site.Arrive(name, job, e.now())
-	if len(e.record) < mostKept {
-		e.record = append(e.record, Arrival{time.Now(), name, job.ID, said})
+	reply := e.site.Arrive(name, job, e.now())
+	if len(e.record) < maxArrivals {
+		e.record = append(e.record, Arrival{time.Now(), name, job.ID, reply})
 	}
-	if said == engine.Taken {
-		e.jobs[at] = mine
+	if reply == engine.Accepted {
+		e.jobs[at] = pending
 	}
 	e.mu.Unlock()
-	e.nudge()
-	switch said {
+	e.wakeLoop()
+	switch reply {
 	case engine.Full, engine.NoState:
-		w.Header().Set(headerNot, "1")
+		w.Header().Set(headerUnprocessed, "1")
 		status := http.StatusServiceUnavailable
-		if said == engine.NoState {
+		if reply == engine.NoState {
 			status = http.StatusGone
 		}
 		w.WriteHeader(status)
 	case engine.Failed:
 		w.WriteHeader(http.StatusInternalServerError)
-	case engine.Unheard:
-		cut(w)
+	case engine.Unreachable:
+		closeConnection(w)
 	default:
-		e.answer(name, job.ID, mine, w, r)
+		e.answer(name, job.ID, pending, w, r)
 		e.mu.Lock()
-		if e.jobs[at] == mine {
+		if e.jobs[at] == pending {
 			delete(e.jobs, at)
 		}
 		e.mu.Unlock()
 	}
 }
 
-// answer writes what becomes of a job as it comes.
-func (e *Emulator) answer(name, id string, mine *running, w http.ResponseWriter, r *http.Request) {
+// answer writes the response of an accepted job as its events arrive.
+func (e *Emulator) answer(name, id string, pending *running, w http.ResponseWriter, r *http.Request) {
 	out := http.NewResponseController(w)
 	for {
 		select {
-		case <-mine.more:
+		case <-pending.ready:
 		case <-r.Context().Done():
 			e.mu.Lock()
 			e.advance()
 			e.site.Cancel(name, id)
 			e.mu.Unlock()
-			e.nudge()
+			e.wakeLoop()
 			return
 		case <-e.done:
 			return
 		}
 		e.mu.Lock()
-		events := mine.events
-		mine.events = nil
+		events := pending.events
+		pending.events = nil
 		e.mu.Unlock()
 		for _, v := range events {
 			switch v.Kind {
@@ -398,7 +401,7 @@
 				w.WriteHeader(http.StatusAccepted)
 				_, _ = fmt.Fprintf(w, `{"cached_tokens":%d}`, int(v.Kept))
 				return
-			case engine.First, engine.Token:
+			case engine.FirstToken, engine.Token:
 				w.Header().Set("Content-Type", "text/event-stream")
 				_, _ = w.Write(tokens(v.Tokens))
 				_ = out.Flush()
@@ -407,7 +410,7 @@
 				_, _ = fmt.Fprintf(w, "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\ndata: [DONE]\n\n", int(v.Kept))
 				return
 			case engine.Lost:
-				cut(w)
+				closeConnection(w)
 				return
 			}
 		}
@@ -418,33 +421,33 @@
 
 func tokens(n int) []byte { return bytes.Repeat([]byte(event), max(n, 0)) }
 
-// cut ends a connection with no further byte.
-func cut(w http.ResponseWriter) {
+// closeConnection closes a connection without writing anything further.
+func closeConnection(w http.ResponseWriter) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		_ = c.Close()
 	}
 }
 
-// jobOf reads a call's headers.
-func jobOf(h http.Header) (engine.Job, error) {
-	j := engine.Job{ID: h.Get(headerID), Session: number(h.Get("X-Session-Key"))}
+// jobFromHeaders returns the job that a call's headers describe.
+func jobFromHeaders(h http.Header) (engine.Job, error) {
+	j := engine.Job{ID: h.Get(headerID), Session: parseHex(h.Get("X-Session-Key"))}
 	if j.ID == "" {
 		return j, fmt.Errorf("%s is missing", headerID)
 	}
-	most := 0.0
+	maxTokens := 0.0
 	for _, pair := range strings.Split(h.Get("X-Facts"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		switch name {
 		case "prefix":
-			j.Prefix = number(value)
+			j.Prefix = parseHex(value)
 			continue
 		case "prompt_len":
 			j.PromptTokens = v
 		case "prefix_len":
 			j.PrefixTokens = v
 		case "max_out":
-			most = v
+			maxTokens = v
 		default:
 			continue
 		}
@@ -452,14 +455,14 @@
 			return j, fmt.Errorf("X-Facts: %s is %q, not a number", name, value)
 		}
 	}
-	j.AnswerTokens = int(max(most, 1))
+	j.AnswerTokens = int(max(maxTokens, 1))
 	if n, err := strconv.Atoi(h.Get(AnswerHeader)); err == nil {
 		j.AnswerTokens = max(n, 1)
 	}
 	return j, nil
 }
 
-func number(text string) uint64 {
+func parseHex(text string) uint64 {
 	v, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
 		return 0
@@ -467,8 +470,8 @@
 	return v
 }
 
-// Again counts the attempts that followed one for the same job that was not a read that
-// went well: what routers sent again, by when they came.
+// Again returns the arrival times of repeated attempts. A job's attempts at readers and those at
+// other workers count separately, so that the write that follows a read is no repeat.
 func Again(record []Arrival, cfg engine.Config) []time.Time {
 	readers := map[string]bool{}
 	for _, s := range cfg.Servers {
--- a/lab/emulator/layout.go
+++ b/lab/emulator/layout.go
@@ -15,36 +15,37 @@
 
 // Rules are the settings of a layout's routers.
 type Rules struct {
-	Patience time.Duration // the longest that a client waits
-	Aim      time.Duration // for the first token
-	Attempts int
-	Zoned    bool // routers stand in the servers' zones in turn, and their fleet knows it
+	Patience time.Duration // for which a client waits
+	Aim      time.Duration // target time of the first token
+	Attempts int           // maximum for a request
+	Zoned    bool          // routers are spread over the servers' zones, also in the fleet's file
 }
 
-// Router is one router of a layout: what to start it with.
+// Router has the addresses of one router of a layout and the arguments to start it with.
 type Router struct {
 	Name     string
 	Listen   string // for clients
 	Operator string // for `lichenshelf fleet`
-	Link     string // for the other routers, which reach it by a relay
+	Link     string // for the other routers, which connect through a relay
 	Args     []string
 	Env      []string
 }
 
-// Layout is routers before an emulator, with a relay between each ordered pair of them.
+// Layout is a set of routers in front of an emulator, with a relay for each ordered pair of them.
 type Layout struct {
 	Routers []Router
 	Relays  map[[2]int]*link.Relay
 }
 
-// Close ends the relays.
+// Close stops the relays.
 func (l *Layout) Close() {
 	for _, r := range l.Relays {
 		r.Close()
 	}
 }
 
-// Between sets a fault on each ordered pair that is picked, and takes it off the others.
+// Between sets a fault on the relay of each ordered pair that pick selects, and clears it on the
+// others.
 func (l *Layout) Between(pick func(from, to int) bool, f link.Fault) {
 	for pair, r := range l.Relays {
 		if pick(pair[0], pair[1]) {
@@ -56,8 +57,8 @@
 	}
 }
 
-// NewLayout writes the files of n routers under dir. Addr gives addresses that are free.
-// With fleet, which holds further lines of its file, they share; without, they don't.
+// NewLayout writes the configuration files of n routers under dir. Addr returns free addresses.
+// Fleet has further lines of the fleet's file; if it is empty, the routers share nothing.
 func (e *Emulator) NewLayout(dir string, n int, rules Rules, fleet string, addr func() (string, error)) (*Layout, error) {
 	l := &Layout{Relays: map[[2]int]*link.Relay{}}
 	for i := range n {
@@ -118,7 +119,7 @@
 	return l, nil
 }
 
-// Config is the platform's file for router i of n.
+// Config returns the platform's configuration file for router i of n.
 func (e *Emulator) Config(n, i int, rules Rules) ([]byte, error) {
 	roles, kinds, memory := []string{}, []string{}, []float64{}
 	for k, kind := range e.cfg.Kinds {
@@ -156,7 +157,7 @@
 	})
 }
 
-// Loopback listens on addresses of 127.0.0.1, or again on a given one.
+// Loopback listens on addr, or on a free port of 127.0.0.1 if addr is empty.
 func Loopback(addr string) (net.Listener, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -1,12 +1,12 @@
-// Package engine is a model of the servers of a disaggregated model service: readers that
-// read prompts one by one and keep texts and read states, writers that write many answers
-// at once out of a bounded memory, mixed servers that do both. Servers start cold and fall
-// over when they are pushed while they are. The shapes are those of the brief's section on
-// the fleet; the figures are the caller's.
+// Package engine models the servers of a disaggregated model service: readers that read prompts one
+// after the other and keep cached texts and read states, writers that write many answers at once
+// within a limited memory, and mixed servers that do both. Servers start cold, and crash if they
+// are overloaded while they are cold. The behaviour follows the platform's description of its
+// fleet; the caller supplies the rates and sizes.
 //
-// It is a model, not a server: nothing is timed but by the clock that is handed in, so the
-// same model stands behind sockets (lab/emulator) and in virtual time (lab/virtual). A Site
-// is not safe for concurrent use.
+// The model keeps no clock: each call passes the time. The same model therefore runs behind sockets
+// in real time (lab/emulator) and in virtual time (lab/virtual). A Site is not safe for concurrent
+// use.
 package engine
 
 import (
@@ -20,44 +20,46 @@
 	"lichenshelf/logic"
 )
 
-// Kind holds the figures of one kind of server. Rates are those of a warm one.
+// Kind holds the rates and sizes of one kind of server. Rates are those of a warm server.
 type Kind struct {
-	Role       logic.Role
-	ReadRate   float64       // prompt tokens a second
-	ReadBase   time.Duration // of each read, whatever its length
-	Queue      int           // reads that may wait; more are turned away
-	Keep       float64       // tokens of texts that it keeps, the least recently used go first
-	States     float64       // tokens of read states that may wait there; more are turned away
-	FetchRate  float64       // tokens of a state that a writer takes over a second
-	Step       time.Duration // of one token of each running answer, with few of them
-	StepDouble float64       // so many running answers double the step
-	Memory     float64       // tokens of running answers and their prompts
-	Wait       int           // answers that may wait for memory; more are turned away
-}
-
-// Cold says how servers start and what pushes them over.
+	Role        logic.Role
+	ReadRate    float64       // prompt tokens a second
+	ReadBase    time.Duration // fixed part of each read, whatever the prompt's length
+	ReadQueue   int           // reads in the queue; more are rejected
+	CacheTokens float64       // size of the cache of texts, which evicts by least recent use
+	StateTokens float64       // size of the held read states; more are rejected; 0: no limit
+	FetchRate   float64       // tokens of a read state that a writer fetches in a second
+	Step        time.Duration // time for one token of each running answer, with few of them
+	StepDouble  float64       // number of running answers that doubles the step
+	Memory      float64       // tokens of running answers and their prompts; 0: no limit
+	WriteQueue  int           // answers that may wait for memory; more are rejected
+}
+
+// Cold describes how servers warm up and when they crash.
 type Cold struct {
-	Share        float64       // of its capacity that a server has at its start
-	WarmWithin   time.Duration // all of it after this
-	FallMultiple float64       // of what it bears at present, for FallAfter: it falls over
-	FallAfter    time.Duration
-	Down         time.Duration // until it starts again
+	Share        float64       // part of its capacity that a server has at its start
+	WarmWithin   time.Duration // from the start until it has all of its capacity
+	FallMultiple float64       // load at which a cold server crashes, relative to its capacity
+	FallAfter    time.Duration // for which the load must be over FallMultiple
+	Downtime     time.Duration // after a crash, until the server starts again
 }
 
-// Fault is what is wrong with a server. The zero value is nothing.
+// Fault is a fault injected into a server. The zero value is no fault.
 type Fault struct {
-	Errors bool    // answers everything with an error at once
-	Silent bool    // takes everything and does nothing
-	Slow   float64 // times as slow; 0 and 1 are not
-	Spoil  float64 // part of the answers that break off after they have begun
+	Errors     bool    // responds to each job with an error at once
+	Silent     bool    // accepts jobs and makes no progress
+	Slow       float64 // factor by which it is slower; 0 and 1: not slowed
+	BreakShare float64 // part of the answers that break off after they have begun
 }
 
-// Spec is one server of a site.
+// Spec describes one server of a site.
 type Spec struct {
 	Name       string
-	Kind       int // of Config.Kinds
+	Kind       int // index in Config.Kinds
 	Zone, Cell int
-	Started    time.Duration // on the site's clock; cold from then on. Negative by WarmWithin or more: warm
+	// Started is on the site's clock, and the server is cold from then on. A server that started
+	// WarmWithin or more before time 0 is warm.
+	Started time.Duration
 }
 
 // Config describes a site.
@@ -67,7 +69,7 @@
 	Servers []Spec
 }
 
-// Zones is how many zones the servers are in.
+// Zones returns the number of zones that the servers are in.
 func (c *Config) Zones() int {
 	n := 1
 	for _, s := range c.Servers {
@@ -76,40 +78,40 @@
 	return n
 }
 
-// Job is a prompt with the answer that it will have.
+// Job is a prompt with the length of the answer that it will get.
 type Job struct {
 	ID              string
-	Prefix, Session uint64 // texts that it shares; 0: none
+	Prefix, Session uint64 // keys of the texts that it shares with other jobs; 0: none
 	PrefixTokens    float64
 	PromptTokens    float64
 	AnswerTokens    int
 }
 
-// Answer is what a server says at once.
-type Answer uint8
+// Reply is a server's immediate response to a job.
+type Reply uint8
 
-// What a server may say at once.
+// The immediate responses.
 const (
-	Taken   Answer = iota
-	Full           // not run: no room
-	NoState        // not run: the read state is nowhere
-	Failed         // an error
-	Unheard        // nobody is there
+	Accepted    Reply = iota
+	Full              // not run: queue or memory is full
+	NoState           // not run: no server holds the read state
+	Failed            // an error
+	Unreachable       // the server is down or unknown
 )
 
-// EventKind says what has happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// What may happen to a job that was taken.
+// The events of an accepted job.
 const (
-	Read  EventKind = iota // the state waits at the reader; Kept prompt tokens were there
-	First                  // the first token is written
-	Token                  // Tokens more are
-	Done                   // the answer is whole; Kept holds if this server read the prompt
-	Lost                   // the server broke off
+	Read       EventKind = iota // the reader holds the state; Kept prompt tokens were cached
+	FirstToken                  // the first token is written
+	Token                       // Tokens more are written
+	Done                        // the answer is complete; Kept is set if this server read the prompt
+	Lost                        // the server broke off the job
 )
 
-// Event is something that happened at a server.
+// Event is a step of a job at a server.
 type Event struct {
 	At     time.Duration
 	Server string
@@ -119,40 +121,40 @@
 	Tokens int
 }
 
-// Line is what discovery says of a server.
-type Line struct {
+// ListedServer is the entry of a server in discovery's list.
+type ListedServer struct {
 	Spec
 	Up    bool
-	Since time.Duration
+	Since time.Duration // its latest start
 }
 
-// Site is all servers together with the states between them.
+// Site is the set of servers with the read states that they hold.
 type Site struct {
-	cfg     Config
-	rng     *rand.Rand
-	servers []*server
-	byName  map[string]*server
-	states  map[string]*server // where the state of a job waits
-	sizes   map[string]float64
-	changes int
-	Fell    int // times that a server was pushed over
+	cfg             Config
+	rng             *rand.Rand
+	servers         []*server
+	byName          map[string]*server
+	states          map[string]*server // holder of each job's read state
+	sizes           map[string]float64 // of the states, in tokens
+	changes         int
+	OverloadCrashes int // crashes of cold servers under overload
 }
 
 type server struct {
 	Spec
-	kind    *Kind
-	fault   Fault
-	at      time.Duration // advanced so far
-	down    time.Duration // until when; 0: up
-	since   time.Duration
-	over    time.Duration // for how long it has been pushed
-	reads   []*job        // the first one is being read
-	writes  []*job
-	waits   []*job // for memory
-	memory  float64
-	waiting float64 // tokens of states
-	texts   map[uint64]*text
-	kept    float64
+	kind          *Kind
+	fault         Fault
+	advancedTo    time.Duration // the model's time for this server
+	downUntil     time.Duration // 0: up
+	since         time.Duration // its latest start
+	overloadedFor time.Duration
+	reads         []*job // the first one is being read
+	writes        []*job
+	queued        []*job  // answers that wait for memory
+	memory        float64 // in use, in tokens
+	stateTokens   float64 // size of the held read states
+	texts         map[uint64]*text
+	cachedTokens  float64 // size of texts
 }
 
 type text struct {
@@ -162,15 +164,15 @@
 
 type job struct {
 	Job
-	kept   float64
-	left   float64 // seconds of reading or fetching at full speed
-	tokens float64 // still to be written
-	told   int     // tokens that were told of
-	begun  bool
-	spoilt int // it breaks off once so many tokens are written; 0: never
+	cached     float64
+	remaining  float64 // seconds of reading or fetching left at full speed
+	unwritten  float64 // tokens of the answer still to be written
+	reported   int     // tokens of the answer in the events so far
+	begun      bool
+	breakAfter int // number of tokens after which the answer breaks off; 0: never
 }
 
-// New returns a site at time 0.
+// New returns a site at time 0; the seed determines which answers break off.
 func New(cfg Config, seed uint64) *Site {
 	s := &Site{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 11)), byName: map[string]*server{}, states: map[string]*server{}, sizes: map[string]float64{}}
 	for _, spec := range cfg.Servers {
@@ -181,36 +183,36 @@
 	return s
 }
 
-// Changes counts what discovery has to tell: it grows with each start and fall.
+// Changes counts the changes of discovery's list: each restart and each crash.
 func (s *Site) Changes() int { return s.changes }
 
-// List is what discovery says.
-func (s *Site) List() []Line {
-	out := make([]Line, len(s.servers))
+// List returns discovery's list.
+func (s *Site) List() []ListedServer {
+	out := make([]ListedServer, len(s.servers))
 	for i, v := range s.servers {
-		out[i] = Line{v.Spec, v.down == 0, v.since}
+		out[i] = ListedServer{v.Spec, v.downUntil == 0, v.since}
 	}
 	return out
 }
 
-// Set gives a server a fault, or with its zero value takes it away.
+// Set injects a fault into a server; the zero Fault clears it.
 func (s *Site) Set(name string, f Fault) {
 	if v := s.byName[name]; v != nil {
 		v.fault = f
 	}
 }
 
-// Kill ends a server for a while; what it had is lost, and it starts again cold.
-func (s *Site) Kill(name string, now, down time.Duration) []Event {
+// Kill stops a server for downtime. Its jobs, states and texts are lost, and it starts again cold.
+func (s *Site) Kill(name string, now, downtime time.Duration) []Event {
 	v := s.byName[name]
-	if v == nil || v.down != 0 {
+	if v == nil || v.downUntil != 0 {
 		return nil
 	}
-	return s.fall(v, now, down, nil)
+	return s.crash(v, now, downtime, nil)
 }
 
-func (s *Site) fall(v *server, now, down time.Duration, out []Event) []Event {
-	for _, jobs := range [][]*job{v.reads, v.writes, v.waits} {
+func (s *Site) crash(v *server, now, downtime time.Duration, out []Event) []Event {
+	for _, jobs := range [][]*job{v.reads, v.writes, v.queued} {
 		for _, j := range jobs {
 			out = append(out, Event{At: now, Server: v.Name, Job: j.ID, Kind: Lost})
 		}
@@ -221,14 +223,14 @@
 			delete(s.sizes, id)
 		}
 	}
-	v.reads, v.writes, v.waits, v.memory, v.waiting, v.kept, v.over = nil, nil, nil, 0, 0, 0, 0
+	v.reads, v.writes, v.queued, v.memory, v.stateTokens, v.cachedTokens, v.overloadedFor = nil, nil, nil, 0, 0, 0, 0
 	clear(v.texts)
-	v.down = now + down
+	v.downUntil = now + downtime
 	s.changes++
 	return out
 }
 
-// capacity is the part of its full speed that a server has.
+// capacity returns the present speed of a server as a part of its full speed.
 func (s *Site) capacity(v *server, now time.Duration) float64 {
 	c, age := s.cfg.Cold, now-v.since
 	part := 1.0
@@ -243,39 +245,39 @@
 
 func (s *Site) cold(v *server, now time.Duration) bool { return now-v.since < s.cfg.Cold.WarmWithin }
 
-// pushed is how many times what it bears at present a server is asked for.
-func (s *Site) pushed(v *server, now time.Duration) float64 {
+// overload returns a server's load relative to its present capacity.
+func (s *Site) overload(v *server, now time.Duration) float64 {
 	c := s.capacity(v, now)
 	backlog := 0.0
 	for _, j := range v.reads {
-		backlog += j.left
+		backlog += j.remaining
 	}
-	push := 0.0
+	load := 0.0
 	if span := s.cfg.Cold.FallAfter.Seconds(); span > 0 {
-		push = backlog / c / span
+		load = backlog / c / span
 	}
 	if v.kind.StepDouble > 0 {
-		push = max(push, float64(len(v.writes)+len(v.waits))/(c*v.kind.StepDouble))
+		load = max(load, float64(len(v.writes)+len(v.queued))/(c*v.kind.StepDouble))
 	}
-	return push
+	return load
 }
 
-// Arrive brings a job to a server.
-func (s *Site) Arrive(name string, j Job, now time.Duration) Answer {
+// Arrive submits a job to a server.
+func (s *Site) Arrive(name string, j Job, now time.Duration) Reply {
 	v := s.byName[name]
 	switch {
-	case v == nil || v.down != 0:
-		return Unheard
+	case v == nil || v.downUntil != 0:
+		return Unreachable
 	case v.fault.Errors:
 		return Failed
 	}
-	w := &job{Job: j, tokens: float64(max(j.AnswerTokens, 1))}
-	if v.fault.Spoil > 0 && s.rng.Float64() < v.fault.Spoil {
-		w.spoilt = 1 + s.rng.IntN(max(j.AnswerTokens, 1))
+	w := &job{Job: j, unwritten: float64(max(j.AnswerTokens, 1))}
+	if v.fault.BreakShare > 0 && s.rng.Float64() < v.fault.BreakShare {
+		w.breakAfter = 1 + s.rng.IntN(max(j.AnswerTokens, 1))
 	}
 	switch k := v.kind; k.Role {
 	case logic.RoleRead:
-		if len(v.reads) >= k.Queue || k.States > 0 && v.waiting+j.PromptTokens > k.States {
+		if len(v.reads) >= k.ReadQueue || k.StateTokens > 0 && v.stateTokens+j.PromptTokens > k.StateTokens {
 			return Full
 		}
 		s.read(v, w, now)
@@ -284,19 +286,19 @@
 		if from == nil {
 			return NoState
 		}
-		if !v.roomFor(w) && len(v.waits) >= k.Wait {
+		if !v.roomFor(w) && len(v.queued) >= k.WriteQueue {
 			return Full
 		}
-		s.let(j.ID)
-		w.left = j.PromptTokens / k.FetchRate
+		s.dropState(j.ID)
+		w.remaining = j.PromptTokens / k.FetchRate
 		v.write(w)
 	default:
-		if len(v.reads) >= k.Queue {
+		if len(v.reads) >= k.ReadQueue {
 			return Full
 		}
 		s.read(v, w, now)
 	}
-	return Taken
+	return Accepted
 }
 
 func (v *server) size(w *job) float64 { return w.PromptTokens + float64(w.AnswerTokens) }
@@ -307,22 +309,23 @@
 
 func (v *server) write(w *job) {
 	if !v.roomFor(w) {
-		v.waits = append(v.waits, w)
+		v.queued = append(v.queued, w)
 		return
 	}
 	v.memory += v.size(w)
 	v.writes = append(v.writes, w)
 }
 
-// read queues a prompt; what is kept of it now need not be read.
+// read queues a prompt. The part of it that is cached now need not be read.
 func (s *Site) read(v *server, w *job, now time.Duration) {
-	v.keep(w, now)
-	w.left = v.kind.ReadBase.Seconds() + (w.PromptTokens-w.kept)/v.kind.ReadRate
+	v.cache(w, now)
+	w.remaining = v.kind.ReadBase.Seconds() + (w.PromptTokens-w.cached)/v.kind.ReadRate
 	v.reads = append(v.reads, w)
 }
 
-// keep finds what is kept of a job's texts, and keeps them from now on.
-func (v *server) keep(w *job, now time.Duration) {
+// cache sets how much of a job's prompt is cached, adds its texts to the cache, and evicts the
+// least recently used texts while the cache is over its size.
+func (v *server) cache(w *job, now time.Duration) {
 	tokens := w.PrefixTokens
 	for _, key := range [2]uint64{w.Prefix, w.Session} {
 		if key != 0 && tokens > 0 {
@@ -331,41 +334,41 @@
 				t = &text{}
 				v.texts[key] = t
 			}
-			w.kept = max(w.kept, min(t.tokens, tokens))
-			v.kept += max(tokens-t.tokens, 0)
+			w.cached = max(w.cached, min(t.tokens, tokens))
+			v.cachedTokens += max(tokens-t.tokens, 0)
 			t.tokens, t.used = max(tokens, t.tokens), now
 		}
 		tokens = w.PromptTokens
 	}
-	w.kept = min(w.kept, w.PromptTokens)
-	for v.kept > v.kind.Keep && len(v.texts) > 1 {
+	w.cached = min(w.cached, w.PromptTokens)
+	for v.cachedTokens > v.kind.CacheTokens && len(v.texts) > 1 {
 		oldest := slices.MinFunc(slices.Collect(maps.Keys(v.texts)), func(a, b uint64) int {
 			return cmp.Or(cmp.Compare(v.texts[a].used, v.texts[b].used), cmp.Compare(a, b))
 		})
-		v.kept -= v.texts[oldest].tokens
+		v.cachedTokens -= v.texts[oldest].tokens
 		delete(v.texts, oldest)
 	}
 }
 
-// let forgets a state.
-func (s *Site) let(id string) {
+// dropState removes the read state of a job, if a server holds one.
+func (s *Site) dropState(id string) {
 	if v := s.states[id]; v != nil {
-		v.waiting = max(0, v.waiting-s.sizes[id])
+		v.stateTokens = max(0, v.stateTokens-s.sizes[id])
 		delete(s.states, id)
 		delete(s.sizes, id)
 	}
 }
 
-// Release lets go of what is held for a job, wherever that is.
-func (s *Site) Release(id string) { s.let(id) }
+// Release releases the read state of a job, at whichever server holds it.
+func (s *Site) Release(id string) { s.dropState(id) }
 
-// Held is how many states wait.
+// Held returns the number of read states that are held.
 func (s *Site) Held() int { return len(s.states) }
 
-// HeldJobs names the jobs whose states wait, in order.
+// HeldJobs returns the sorted IDs of the jobs whose read states are held.
 func (s *Site) HeldJobs() []string { return slices.Sorted(maps.Keys(s.states)) }
 
-// Cancel takes a job away from a server. It tells whether it was there.
+// Cancel removes a job from a server and reports whether it was there.
 func (s *Site) Cancel(name, id string) bool {
 	v := s.byName[name]
 	if v == nil {
@@ -378,7 +381,7 @@
 		v.admit()
 		return true
 	}
-	for _, jobs := range []*[]*job{&v.reads, &v.waits} {
+	for _, jobs := range []*[]*job{&v.reads, &v.queued} {
 		if i := slices.IndexFunc(*jobs, mine); i >= 0 {
 			*jobs = slices.Delete(*jobs, i, i+1)
 			return true
@@ -387,19 +390,21 @@
 	return false
 }
 
-// admit lets in who waited for memory, in order.
+// admit starts queued answers in order, as far as memory allows.
 func (v *server) admit() {
-	for len(v.waits) > 0 && v.roomFor(v.waits[0]) {
-		w := v.waits[0]
-		v.waits = v.waits[1:]
+	for len(v.queued) > 0 && v.roomFor(v.queued[0]) {
+		w := v.queued[0]
+		v.queued = v.queued[1:]
 		v.write(w)
 	}
 }
 
-// look is how often a cold server is looked at, since its speed and its push change.
-const look = 50 * time.Millisecond
+// coldInterval is the longest step by which a cold server advances, as its speed and its overload
+// change continuously.
+const coldInterval = 50 * time.Millisecond
 
-// Next is when something happens at the latest if nothing is asked for meanwhile.
+// Next returns the time to call Advance at the latest, unless a call changes the site before, and
+// false if nothing is due.
 func (s *Site) Next() (time.Duration, bool) {
 	best, any := time.Duration(math.MaxInt64), false
 	for _, v := range s.servers {
@@ -411,43 +416,43 @@
 }
 
 func (s *Site) next(v *server) (time.Duration, bool) {
-	if v.down != 0 {
-		return v.down, true
+	if v.downUntil != 0 {
+		return v.downUntil, true
 	}
 	if v.fault.Silent || len(v.reads)+len(v.writes) == 0 {
 		return 0, false
 	}
 	wait := math.Inf(1)
 	if len(v.reads) > 0 {
-		wait = v.reads[0].left / s.capacity(v, v.at)
+		wait = v.reads[0].remaining / s.capacity(v, v.advancedTo)
 	}
-	step := s.step(v, v.at)
+	step := s.step(v, v.advancedTo)
 	for _, w := range v.writes {
 		switch {
-		case w.left > 0:
-			wait = min(wait, w.left)
+		case w.remaining > 0:
+			wait = min(wait, w.remaining)
 		case !w.begun:
 			wait = min(wait, step)
 		default:
-			wait = min(wait, w.tokens*step)
-			if w.spoilt > 0 {
-				wait = min(wait, max(float64(w.spoilt-w.told), 0)*step)
+			wait = min(wait, w.unwritten*step)
+			if w.breakAfter > 0 {
+				wait = min(wait, max(float64(w.breakAfter-w.reported), 0)*step)
 			}
 		}
 	}
-	at := v.at + time.Duration(math.Ceil(wait*1e9)) + 1
-	if s.cold(v, v.at) {
-		at = min(at, v.at+look)
+	at := v.advancedTo + time.Duration(math.Ceil(wait*1e9)) + 1
+	if s.cold(v, v.advancedTo) {
+		at = min(at, v.advancedTo+coldInterval)
 	}
 	return at, true
 }
 
-// step is how long one token of each running answer takes by now, in seconds.
+// step returns the time for one token of each running answer at present, in seconds.
 func (s *Site) step(v *server, now time.Duration) float64 {
 	return v.kind.Step.Seconds() * (1 + float64(len(v.writes))/max(v.kind.StepDouble, 1)) / s.capacity(v, now)
 }
 
-// Advance brings all servers up to now and returns what happened, in order.
+// Advance brings all servers up to now and returns the events, ordered by time.
 func (s *Site) Advance(now time.Duration) []Event {
 	var out []Event
 	for _, v := range s.servers {
@@ -458,13 +463,13 @@
 }
 
 func (s *Site) advance(v *server, now time.Duration, out []Event) []Event {
-	for v.at < now {
-		if v.down != 0 {
-			if v.down > now {
-				v.at = now
+	for v.advancedTo < now {
+		if v.downUntil != 0 {
+			if v.downUntil > now {
+				v.advancedTo = now
 				break
 			}
-			v.at, v.since, v.down = v.down, v.down, 0
+			v.advancedTo, v.since, v.downUntil = v.downUntil, v.downUntil, 0
 			s.changes++
 			continue
 		}
@@ -472,60 +477,60 @@
 		if at, ok := s.next(v); ok && at < to {
 			to = at
 		}
-		if s.cold(v, v.at) {
-			to = min(to, v.at+look)
-			if s.pushed(v, v.at) > s.cfg.Cold.FallMultiple {
-				if v.over += to - v.at; v.over >= s.cfg.Cold.FallAfter {
-					s.Fell++
-					out = s.fall(v, to, s.cfg.Cold.Down, out)
-					v.at = to
+		if s.cold(v, v.advancedTo) {
+			to = min(to, v.advancedTo+coldInterval)
+			if s.overload(v, v.advancedTo) > s.cfg.Cold.FallMultiple {
+				if v.overloadedFor += to - v.advancedTo; v.overloadedFor >= s.cfg.Cold.FallAfter {
+					s.OverloadCrashes++
+					out = s.crash(v, to, s.cfg.Cold.Downtime, out)
+					v.advancedTo = to
 					continue
 				}
 			} else {
-				v.over = 0
+				v.overloadedFor = 0
 			}
 		}
 		if !v.fault.Silent {
 			out = s.work(v, to, out)
 		}
-		v.at = to
+		v.advancedTo = to
 	}
 	return out
 }
 
-// work does what a server does up to a time within which its speed is the same.
+// work advances a server's jobs to a time up to which its speed counts as constant.
 func (s *Site) work(v *server, to time.Duration, out []Event) []Event {
 	const tiny = 1e-9
-	span, speed, step := (to - v.at).Seconds(), s.capacity(v, v.at), s.step(v, v.at)
-	// Answers first: one whose prompt is read within the span has not been written at yet.
+	span, speed, step := (to - v.advancedTo).Seconds(), s.capacity(v, v.advancedTo), s.step(v, v.advancedTo)
+	// Answers come before reads: a prompt that is read within the span has no token written yet.
 	var keep []*job
 	for _, w := range v.writes {
-		if w.left > 0 {
-			if w.left -= span; w.left > tiny {
+		if w.remaining > 0 {
+			if w.remaining -= span; w.remaining > tiny {
 				keep = append(keep, w)
 				continue
 			}
-			w.left = 0
+			w.remaining = 0
 		} else {
-			w.tokens -= span / step
+			w.unwritten -= span / step
 		}
-		written := int(float64(w.AnswerTokens) - max(w.tokens, 0) + tiny)
-		if written > w.told && w.tokens > tiny {
+		written := int(float64(w.AnswerTokens) - max(w.unwritten, 0) + tiny)
+		if written > w.reported && w.unwritten > tiny {
 			kind := Token
 			if !w.begun {
-				kind, w.begun = First, true
+				kind, w.begun = FirstToken, true
 			}
-			out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: kind, Tokens: written - w.told})
-			w.told = written
+			out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: kind, Tokens: written - w.reported})
+			w.reported = written
 		}
 		switch {
-		case w.spoilt > 0 && w.told >= w.spoilt && w.begun:
+		case w.breakAfter > 0 && w.reported >= w.breakAfter && w.begun:
 			out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: Lost})
-		case w.tokens <= tiny:
+		case w.unwritten <= tiny:
 			if !w.begun {
-				out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: First, Tokens: 1})
+				out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: FirstToken, Tokens: 1})
 			}
-			out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: Done, Kept: w.kept, Tokens: w.AnswerTokens - w.told})
+			out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: Done, Kept: w.cached, Tokens: w.AnswerTokens - w.reported})
 		default:
 			keep = append(keep, w)
 			continue
@@ -536,19 +541,19 @@
 	v.admit()
 	for left := span * speed; len(v.reads) > 0 && left > 0; {
 		w := v.reads[0]
-		done := min(left, w.left)
-		w.left -= done
+		done := min(left, w.remaining)
+		w.remaining -= done
 		left -= done
-		if w.left > tiny {
+		if w.remaining > tiny {
 			break
 		}
-		w.left = 0
+		w.remaining = 0
 		v.reads = v.reads[1:]
 		if v.kind.Role == logic.RoleRead {
-			s.let(w.ID) // read elsewhere before: that state is of no use any more
+			s.dropState(w.ID) // a state from an earlier read elsewhere is obsolete
 			s.states[w.ID], s.sizes[w.ID] = v, w.PromptTokens
-			v.waiting += w.PromptTokens
-			out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: Read, Kept: w.kept})
+			v.stateTokens += w.PromptTokens
+			out = append(out, Event{At: to, Server: v.Name, Job: w.ID, Kind: Read, Kept: w.cached})
 		} else {
 			v.write(w)
 		}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load draws what clients ask for ahead of time, as an open loop: arrivals never
-// wait for answers, so a service that stalls is not asked for less by it.
+// Package load generates the requests of clients as an open loop: arrivals do not wait for answers,
+// so a service that stalls still gets its full load.
 package load
 
 import (
@@ -12,22 +12,22 @@
 
 // Config describes the clients.
 type Config struct {
-	Rate         float64       // requests a second on the mean, arriving by chance (Poisson)
-	BurstRate    float64       // the same during bursts; 0: none
+	Rate         float64       // mean requests a second; arrivals are a Poisson process
+	BurstRate    float64       // mean requests a second during bursts; 0: no bursts
 	BurstEvery   time.Duration // from the beginning of one burst to the next
 	BurstFor     time.Duration
 	Classes      []float64 // the weight of each class
-	Prefixes     int       // texts that sessions share, by a Zipf law
-	Zipf         float64   // its exponent, over 1
-	PrefixTokens float64   // the mean length of such a text
-	Turns        float64   // of a session on the mean; each adds to its prompt
-	Prompt       float64   // the median of what a turn adds, in tokens, with a heavy tail (log-normal)
-	Answer       float64   // the median of an answer's tokens, likewise
-	Spread       float64   // sigma of both
-	Most         float64   // tokens that a prompt, and a tenth of it that an answer, may have
+	Prefixes     int       // number of shared texts; sessions choose one by a Zipf law
+	Zipf         float64   // exponent of the Zipf law, over 1
+	PrefixTokens float64   // mean length of a shared text
+	Turns        float64   // mean number of turns of a session; each turn adds to its prompt
+	Prompt       float64   // median of the tokens that a turn adds (log-normal)
+	Answer       float64   // median of an answer's tokens (log-normal)
+	Spread       float64   // sigma of Prompt and Answer
+	MaxTokens    float64   // maximum of a prompt's tokens; that of an answer's is a tenth of it
 }
 
-// Request is one of a client's.
+// Request is one request of a client.
 type Request struct {
 	At              time.Duration
 	Class           int
@@ -37,14 +37,14 @@
 	AnswerTokens    int
 }
 
-// Source draws requests in the order of their arrival.
+// Source generates requests in the order of their arrival.
 type Source struct {
 	cfg      Config
 	rng      *rand.Rand
 	zipf     *rand.Zipf
 	prompt   distuv.LogNormal
 	answer   distuv.LogNormal
-	lengths  []float64 // of the shared texts
+	lengths  []float64 // of the shared texts, in tokens
 	sessions []session
 	at       time.Duration
 	last     uint64
@@ -55,10 +55,10 @@
 	tokens     float64
 }
 
-// mostSessions bounds the sessions that may have a further turn.
-const mostSessions = 256
+// maxSessions is the maximum number of sessions that may have a further turn.
+const maxSessions = 256
 
-// New returns a source; the same seed draws the same requests.
+// New returns a source. The same seed generates the same requests.
 func New(cfg Config, seed uint64) *Source {
 	src := rand.NewPCG(seed, 29)
 	s := &Source{cfg: cfg, rng: rand.New(src)}
@@ -71,7 +71,7 @@
 	return s
 }
 
-// rate is how many requests a second come at a time.
+// rate returns the mean requests a second at a time.
 func (s *Source) rate(at time.Duration) float64 {
 	if s.cfg.BurstRate > 0 && s.cfg.BurstEvery > 0 && at%s.cfg.BurstEvery < s.cfg.BurstFor {
 		return s.cfg.BurstRate
@@ -79,9 +79,9 @@
 	return s.cfg.Rate
 }
 
-// Next draws the next request.
+// Next returns the next request.
 func (s *Source) Next() Request {
-	// Thinned from the highest rate, so that bursts begin on time.
+	// Arrivals are drawn at the highest rate and thinned, so that bursts begin on time.
 	highest := max(s.cfg.Rate, s.cfg.BurstRate)
 	for {
 		s.at += time.Duration(s.rng.ExpFloat64() / highest * 1e9)
@@ -91,11 +91,11 @@
 	}
 	r := Request{At: s.at, Class: s.class()}
 	v := s.session()
-	v.tokens = min(v.tokens+s.prompt.Rand(), s.cfg.Most)
+	v.tokens = min(v.tokens+s.prompt.Rand(), s.cfg.MaxTokens)
 	r.Session, r.Prefix = v.id, v.prefix
 	r.PrefixTokens = min(s.lengths[v.prefix-1], v.tokens)
 	r.PromptTokens = v.tokens
-	r.AnswerTokens = 1 + int(min(s.answer.Rand(), s.cfg.Most/10))
+	r.AnswerTokens = 1 + int(min(s.answer.Rand(), s.cfg.MaxTokens/10))
 	return r
 }
 
@@ -113,7 +113,7 @@
 	return 0
 }
 
-// session is one that goes on, or a new one.
+// session returns a session that continues, or a new one.
 func (s *Source) session() *session {
 	if n := len(s.sessions); n > 0 && s.rng.Float64() < 1-1/max(s.cfg.Turns, 1) {
 		return &s.sessions[s.rng.IntN(n)]
@@ -121,11 +121,11 @@
 	s.last++
 	prefix := 1 + s.zipf.Uint64()
 	v := session{id: s.last<<20 | 1, prefix: prefix, tokens: s.lengths[prefix-1]}
-	if len(s.sessions) < mostSessions {
+	if len(s.sessions) < maxSessions {
 		s.sessions = append(s.sessions, v)
 		return &s.sessions[len(s.sessions)-1]
 	}
-	i := s.rng.IntN(mostSessions)
+	i := s.rng.IntN(maxSessions)
 	s.sessions[i] = v
 	return &s.sessions[i]
 }
--- a/lab/replay/replay.go
+++ b/lab/replay/replay.go
@@ -1,5 +1,6 @@
-// Package replay records what an instance of the decision module was told and what it did, and compares a later
-// version of the module with that, action by action. It is the net under changes that must not change a decision.
+// Package replay records the events and actions of an instance of the decision module, and compares
+// the actions of a later version of the module with the recorded ones. It guards changes that must
+// not change a decision.
 package replay
 
 import (
@@ -14,21 +15,22 @@
 	"lichenshelf/logic"
 )
 
-// Step is one call of the module: what it was told at a time, and what it did.
+// Step is one call of the module: the events that it handled at a time, and the actions that it
+// returned.
 type Step struct {
 	Now     logic.Time
 	Events  []logic.Event
 	Actions []logic.Action
 }
 
-// Recording is the life of one instance.
+// Recording has all calls of one instance of the module since its start.
 type Recording struct {
 	Settings logic.Settings
 	Seed     uint64
 	Steps    []Step
 }
 
-// Add records one call. Events and actions are copied: their owners use them again.
+// Add records one call. It copies the events and actions, as the caller reuses them.
 func (r *Recording) Add(now logic.Time, events []logic.Event, actions []logic.Action) {
 	events = slices.Clone(events)
 	for i := range events {
@@ -37,24 +39,25 @@
 	r.Steps = append(r.Steps, Step{now, events, slices.Clone(actions)})
 }
 
-// ErrDiffers is what Compare wraps where the module has done something else than was recorded.
-var ErrDiffers = errors.New("the module decides otherwise than was recorded")
+// ErrDiffers is wrapped by the error of Compare when an action differs from the recorded one.
+var ErrDiffers = errors.New("decision differs from the recording")
 
-// Compare tells the module all that was recorded, and returns an error for the first action that is not the recorded one.
+// Compare replays the recorded events to a new instance of the module, and returns an error for the
+// first action that differs from the recorded one.
 func (r *Recording) Compare() error {
 	module := logic.New(r.Settings, r.Seed)
 	for i, step := range r.Steps {
 		got := module.Handle(step.Now, step.Events, nil)
 		for j := range max(len(got), len(step.Actions)) {
 			if j >= len(got) || j >= len(step.Actions) || got[j] != step.Actions[j] {
-				return fmt.Errorf("%w: step %d of %d, action %d: %s, recorded %s", ErrDiffers, i, len(r.Steps), j, at(got, j), at(step.Actions, j))
+				return fmt.Errorf("%w: step %d of %d, action %d: %s, recorded %s", ErrDiffers, i, len(r.Steps), j, actionAt(got, j), actionAt(step.Actions, j))
 			}
 		}
 	}
 	return nil
 }
 
-func at(actions []logic.Action, i int) string {
+func actionAt(actions []logic.Action, i int) string {
 	if i >= len(actions) {
 		return "none"
 	}
@@ -73,13 +76,14 @@
 	return nil
 }
 
-// Read reads what Write has written. Fields that this version of the module does not know are an error.
+// Read reads a recording that Write has written. It returns an error for a field that this version
+// of the module does not have.
 func Read(r io.Reader) (*Recording, error) {
 	z, err := gzip.NewReader(r)
 	if err != nil {
 		return nil, fmt.Errorf("read recording: %w", err)
 	}
-	mode, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxArrayElements: mostSteps}.DecMode()
+	mode, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxArrayElements: maxSteps}.DecMode()
 	if err != nil {
 		return nil, fmt.Errorf("read recording: %w", err)
 	}
@@ -90,10 +94,10 @@
 	return &rec, nil
 }
 
-// mostSteps bounds the calls that a recording may hold.
-const mostSteps = 1 << 20
+// maxSteps is the maximum number of calls in a recording.
+const maxSteps = 1 << 20
 
-// Kinds counts the actions of each kind, by which one sees what a recording covers.
+// Kinds counts the actions of each kind, which shows what the recording covers.
 func (r *Recording) Kinds() map[logic.ActionKind]int {
 	kinds := map[logic.ActionKind]int{}
 	for _, step := range r.Steps {
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -17,9 +17,9 @@
 	"lichenshelf/logic"
 )
 
-var record = flag.Bool("record", false, "write the recordings anew from runs in virtual time")
+var record = flag.Bool("record", false, "overwrite the recordings with new runs in virtual time")
 
-// deployment is a run of which the first router is recorded.
+// deployment describes a run whose first router is recorded.
 type deployment struct {
 	site     engine.Config
 	routers  int
@@ -28,7 +28,7 @@
 	faults   []virtual.Fault
 }
 
-// only is the demonstration's site with the servers of some roles alone.
+// only returns the demonstration's site with the servers of some roles only.
 func only(roles ...logic.Role) engine.Config {
 	site := demo.Site()
 	var servers []engine.Spec
@@ -43,7 +43,8 @@
 	return site
 }
 
-// uneven has readers and writers in cells of different sizes, and some servers that have just started.
+// uneven returns a site with readers and writers in cells of different sizes, and some servers that
+// have just started.
 func uneven() engine.Config {
 	site := only(logic.RoleRead, logic.RoleWrite)
 	for i := range site.Servers {
@@ -66,7 +67,8 @@
 	return virtual.Fault{At: at, Do: func(w *virtual.World) { w.Site.Set(name, f) }}
 }
 
-// deployments cover roles, effects of a class, fleets that are seen well and hardly at all, cold servers and faults.
+// deployments cover all roles, the effects of classes, routers that see most and hardly any of a
+// fleet's requests, cold servers, and faults.
 var deployments = map[string]deployment{
 	"readers-writers": {site: uneven(), routers: 2, rate: 32, faults: []virtual.Fault{
 		kill(2*time.Second, "reader-0"), fault(3*time.Second, "writer-1", engine.Fault{Silent: true}), fault(5*time.Second, "writer-2", engine.Fault{Errors: true}),
@@ -74,7 +76,7 @@
 	"all-roles-alone": {site: demo.Site(), routers: 1, rate: 20, settings: func(s *logic.Settings) { s.Resume, s.Weights = true, true }, faults: []virtual.Fault{
 		fault(time.Second, "reader-1", engine.Fault{Slow: 6}), kill(3*time.Second, "writer-0"), fault(4*time.Second, "mixed-0", engine.Fault{Errors: true})}},
 	"mixed": {site: only(logic.RoleBoth), routers: 2, rate: 5, settings: func(s *logic.Settings) { s.WritersRead = true }, faults: []virtual.Fault{
-		kill(3*time.Second, "mixed-1"), fault(6*time.Second, "mixed-0", engine.Fault{Spoil: 0.3})}},
+		kill(3*time.Second, "mixed-1"), fault(6*time.Second, "mixed-0", engine.Fault{BreakShare: 0.3})}},
 	"many-routers-by-key": {site: only(logic.RoleRead, logic.RoleWrite), routers: 40, rate: 40, settings: func(s *logic.Settings) {
 		s.Classes[0].Effect, s.Classes[0].Group, s.Classes[0].RepeatWindow = logic.EffectByKey, logic.GroupCell, 2*time.Second
 		s.Tenants = []logic.Tenant{{QuotaPerSecond: 20}}
@@ -100,9 +102,9 @@
 	return rec
 }
 
-// What was decided is decided again, action by action. A change that is meant to change decisions makes the recordings anew:
-// go test ./lab/replay -record
-func TestDecisionsAreThoseRecorded(t *testing.T) {
+// The module's decisions are the recorded ones, action by action. After an intended change of
+// decisions, write new recordings with: go test ./lab/replay -record
+func TestDecisionsMatchRecordings(t *testing.T) {
 	for name, d := range deployments {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join("testdata", name+".cbor.gz")
@@ -121,8 +123,8 @@
 	}
 }
 
-// The comparison finds one action that is another, one too many and one too few.
-func TestCompareFindsOneOtherAction(t *testing.T) {
+// Compare finds a changed, a missing and an additional action.
+func TestCompareFindsDifferences(t *testing.T) {
 	rec := deployments["mixed"].run(t)
 	require.NoError(t, rec.Compare())
 	for _, change := range []func(*replay.Step){
--- a/lab/virtual/exchange.go
+++ b/lab/virtual/exchange.go
@@ -14,20 +14,20 @@
 	"lichenshelf/logic"
 )
 
-// exchange is one request in hand.
+// exchange is a request that is open at a router.
 type exchange struct {
-	of       *gateway
-	id       logic.RequestID
-	job      engine.Job
-	arrived  time.Duration
-	sends    int
-	reads    int
-	readIn   int // the zone of the latest read
-	class    int
-	attempt  *attempt
-	last     logic.Status
-	closed   bool
-	answered bool
+	router     *gateway
+	id         logic.RequestID
+	job        engine.Job
+	arrived    time.Duration
+	sends      int
+	reads      int
+	readZone   int // zone of the server of the latest read
+	class      int
+	attempt    *attempt
+	lastStatus logic.Status
+	closed     bool
+	answered   bool
 }
 
 type attempt struct {
@@ -41,8 +41,8 @@
 
 func (r *gateway) arrive(q load.Request) {
 	w := r.w
-	r.last++
-	ex := &exchange{of: r, id: r.last, arrived: w.now, class: q.Class, last: logic.NotSent, job: engine.Job{ID: fmt.Sprintf("%s-%d", r.name, r.last),
+	r.lastID++
+	ex := &exchange{router: r, id: r.lastID, arrived: w.now, class: q.Class, lastStatus: logic.NotSent, job: engine.Job{ID: fmt.Sprintf("%s-%d", r.name, r.lastID),
 		Prefix: q.Prefix, Session: q.Session, PrefixTokens: q.PrefixTokens, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens}}
 	r.open[ex.id] = ex
 	w.jobs[ex.job.ID] = ex
@@ -50,7 +50,7 @@
 	if r.node != nil {
 		r.node.ObserveArrival(w.now)
 	}
-	if w.now >= w.cfg.Warm {
+	if w.now >= w.cfg.MeasureFrom {
 		w.Result.Asked++
 	}
 	r.push(logic.Event{Kind: logic.Arrived, Request: logic.Request{ID: ex.id, Class: q.Class, Session: logic.Key(q.Session), Prefix: logic.Key(q.Prefix),
@@ -92,7 +92,7 @@
 		return
 	}
 	ex.closed = true
-	if ex.arrived >= r.w.cfg.Warm {
+	if ex.arrived >= r.w.cfg.MeasureFrom {
 		*counter++
 	}
 	r.forget(ex)
@@ -111,9 +111,9 @@
 
 func (r *gateway) send(ex *exchange, server logic.ServerID, wait time.Duration) {
 	w := r.w
-	at := &attempt{number: ex.sends, server: server, name: r.lines[server].Name, since: r.lines[server].Since, sent: w.now}
+	at := &attempt{number: ex.sends, server: server, name: r.listed[server].Name, since: r.listed[server].Since, sent: w.now}
 	if r.front != nil {
-		switch r.front.Allow(at.name, ex.sends > 0 && ex.last != logic.PromptRead, w.now) {
+		switch r.front.Allow(at.name, ex.sends > 0 && ex.lastStatus != logic.PromptRead, w.now) {
 		case attempts.TooCold:
 			ex.sends++
 			r.report(ex, at, logic.Full, 0)
@@ -125,24 +125,24 @@
 		at.work = r.front.Work(at.name, &logic.Request{PromptTokens: ex.job.PromptTokens, MaxTokens: 2 * float64(ex.job.AnswerTokens)})
 		r.node.Charge(at.name, at.work)
 	}
-	if w.now >= w.cfg.Warm {
+	if w.now >= w.cfg.MeasureFrom {
 		w.Result.Sent++
-		w.Result.At[at.name]++
-		if ex.sends > 0 && ex.last != logic.PromptRead {
+		w.Result.Attempts[at.name]++
+		if ex.sends > 0 && ex.lastStatus != logic.PromptRead {
 			w.Result.Repeats++
 		}
 	}
 	spec := w.cfg.Site.Servers[server]
 	if reads := w.cfg.Site.Kinds[spec.Kind].Role != logic.RoleWrite; reads {
 		r.balance.Sent(spec.Zone, spec.Zone+1, traffic.Time(w.now))
-		ex.readIn = spec.Zone
+		ex.readZone = spec.Zone
 		if s := w.second(ex.arrived); ex.reads == 0 && ex.sends == 0 && spec.Zone == r.zone {
 			s.Near++
 		} else if ex.reads == 0 && ex.sends == 0 {
 			s.Far++
 		}
-	} else if ex.readIn != spec.Zone && w.now >= w.cfg.Warm {
-		w.Result.Moved += ex.job.PromptTokens
+	} else if ex.readZone != spec.Zone && w.now >= w.cfg.MeasureFrom {
+		w.Result.MovedTokens += ex.job.PromptTokens
 	}
 	ex.sends++
 	ex.attempt = at
@@ -151,30 +151,30 @@
 		if ex.attempt != at {
 			return
 		}
-		w.settle()
+		w.advanceSite()
 		w.Result.Arrivals[at.name] = append(w.Result.Arrivals[at.name], w.now)
-		says := w.Site.Arrive(at.name, ex.job, w.now)
-		w.look()
-		if says == engine.Taken {
+		reply := w.Site.Arrive(at.name, ex.job, w.now)
+		w.scheduleSite()
+		if reply == engine.Accepted {
 			return
 		}
 		w.after(w.cfg.Hop, func() {
-			switch says {
+			switch reply {
 			case engine.Full:
 				r.end(ex, at, logic.Full, 0)
 			case engine.NoState:
 				r.end(ex, at, logic.Full, 1)
 			case engine.Failed:
 				r.end(ex, at, logic.ServerError, 0)
-			case engine.Unheard:
+			case engine.Unreachable:
 				r.end(ex, at, logic.ConnectFailed, 0)
 			}
 		})
 	})
 }
 
-// happened takes a server's event, a hop later.
-func (r *gateway) happened(ex *exchange, e engine.Event) {
+// handleServerEvent handles a server's event one hop later.
+func (r *gateway) handleServerEvent(ex *exchange, e engine.Event) {
 	at := ex.attempt
 	if at == nil || at.name != e.Server {
 		return
@@ -186,7 +186,7 @@
 		switch e.Kind {
 		case engine.Read:
 			r.end(ex, at, logic.PromptRead, uint32(e.Kept))
-		case engine.First:
+		case engine.FirstToken:
 			r.started(ex, at)
 		case engine.Done:
 			r.end(ex, at, logic.Served, uint32(e.Kept))
@@ -202,19 +202,19 @@
 	c := w.cfg.Settings.Classes[ex.class]
 	if w.now-ex.arrived <= c.Aim+time.Duration(float64(c.AimPer1000)*ex.job.PromptTokens/1000) {
 		w.second(ex.arrived).InTime++
-	} else if ex.arrived >= w.cfg.Warm {
+	} else if ex.arrived >= w.cfg.MeasureFrom {
 		w.Result.Late++
 	}
-	if ex.arrived >= w.cfg.Warm {
-		_ = w.Result.First.RecordValue(max((w.now - ex.arrived).Microseconds(), 1))
+	if ex.arrived >= w.cfg.MeasureFrom {
+		_ = w.Result.FirstToken.RecordValue(max((w.now - ex.arrived).Microseconds(), 1))
 	}
-	r.charge(at, counts.Work{Unread: at.work.Unread})
+	r.releaseWork(at, counts.Work{Unread: at.work.Unread})
 	r.push(logic.Event{Kind: logic.AnswerStarted, ID: ex.id, Attempt: at.number, Server: at.server, Latency: w.now - at.sent})
 	r.run()
 }
 
-// charge takes work off the board.
-func (r *gateway) charge(at *attempt, done counts.Work) {
+// releaseWork takes completed work off the router's shared counts.
+func (r *gateway) releaseWork(at *attempt, done counts.Work) {
 	if r.node != nil {
 		r.node.Charge(at.name, counts.Work{Unread: -done.Unread, Held: -done.Held})
 	}
@@ -222,27 +222,27 @@
 	at.work.Held -= done.Held
 }
 
-// end takes the first of the ways in which an attempt ends.
+// end ends an attempt; only the first call for an attempt counts.
 func (r *gateway) end(ex *exchange, at *attempt, status logic.Status, kept uint32) {
 	w := r.w
 	if ex.attempt != at || status == logic.TimedOut && ex.answered {
 		return
 	}
-	ex.attempt, ex.last = nil, status
-	if status == logic.PromptRead && w.now >= w.cfg.Warm {
-		w.Result.Prompt += ex.job.PromptTokens
-		w.Result.Kept += float64(kept)
+	ex.attempt, ex.lastStatus = nil, status
+	if status == logic.PromptRead && w.now >= w.cfg.MeasureFrom {
+		w.Result.PromptTokens += ex.job.PromptTokens
+		w.Result.CachedTokens += float64(kept)
 		ex.reads++
 	}
-	if status == logic.Served && w.now >= w.cfg.Warm {
-		w.Result.Wasted += ex.reads - 1
+	if status == logic.Served && w.now >= w.cfg.MeasureFrom {
+		w.Result.WastedReads += ex.reads - 1
 	}
-	r.charge(at, at.work)
+	r.releaseWork(at, at.work)
 	if r.node != nil {
 		if status == logic.PromptRead {
 			r.front.Kept(ex.job.PromptTokens, float64(kept))
 		}
-		if fault, says := node.FaultOf(status); says {
+		if fault, counted := node.FaultOf(status); counted {
 			r.node.Observe(at.name, at.since, fault, w.now)
 			if w.cfg.Zones != nil {
 				r.node.ObserveZoneAttempt(w.cfg.Zones.Judge.Zones[w.cfg.Site.Servers[at.server].Zone], fault != outlier.None, w.now)
@@ -251,12 +251,12 @@
 	}
 	if status == logic.TimedOut || status == logic.Cancelled {
 		w.after(w.cfg.Hop, func() {
-			w.settle()
+			w.advanceSite()
 			w.Site.Cancel(at.name, ex.job.ID)
-			w.look()
+			w.scheduleSite()
 		})
 	}
-	if ex.answered && ex.arrived >= w.cfg.Warm {
+	if ex.answered && ex.arrived >= w.cfg.MeasureFrom {
 		if status == logic.Served {
 			w.Result.Served++
 		} else {
--- a/lab/virtual/queue.go
+++ b/lab/virtual/queue.go
@@ -30,7 +30,7 @@
 	return x
 }
 
-// after plans something.
+// after schedules a function to run after a delay.
 func (w *World) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + max(d, 0), w.seq, do})
--- a/lab/virtual/router.go
+++ b/lab/virtual/router.go
@@ -13,7 +13,7 @@
 	"lichenshelf/logic"
 )
 
-// gateway is one router: its decisions, its part in the fleet, and what it has in hand.
+// gateway is one router: its decisions, its fleet node and its open requests.
 type gateway struct {
 	w       *World
 	i       int
@@ -21,18 +21,18 @@
 	decide  *logic.Gateway
 	pending []logic.Event
 	open    map[logic.RequestID]*exchange
-	last    logic.RequestID
+	lastID  logic.RequestID
 	members []logic.Member
-	lines   []node.ListedWorker
+	listed  []node.ListedWorker
 	node    *node.Node
 	front   *node.Front
-	parts   map[string]float64
+	shares  map[string]float64
 	running bool
 	zone    int
 	balance traffic.Balance
 }
 
-// RouterSeed is the seed of a router's decisions in a run.
+// RouterSeed returns the seed of a router's decisions in a run.
 func RouterSeed(seed uint64, router int) uint64 { return seed*1000 + uint64(router) }
 
 func (w *World) newGateway(i int) (*gateway, error) {
@@ -45,8 +45,8 @@
 		set.Zone = r.zone
 	}
 	r.decide = logic.New(set, RouterSeed(w.cfg.Seed, i))
-	if w.cfg.Near > 0 {
-		figures := slices.Repeat([]float64{w.cfg.Near}, zones)
+	if w.cfg.FarFigure > 0 {
+		figures := slices.Repeat([]float64{w.cfg.FarFigure}, zones)
 		figures[r.zone] = 1
 		r.decide.SetZones(figures)
 	}
@@ -71,51 +71,52 @@
 		}
 	}
 	r.front = r.node.Front(node.FrontConfig{Name: "lab", Settings: set}, 0)
-	w.after(time.Duration(w.rng.IntN(int(r.every()))), r.tick)
+	w.after(time.Duration(w.rng.IntN(int(r.tickInterval()))), r.tick)
 	return r, nil
 }
 
-func (r *gateway) every() time.Duration {
-	d := r.w.cfg.Fleet.Lease / perTTL
+func (r *gateway) tickInterval() time.Duration {
+	d := r.w.cfg.Fleet.Lease / ticksPerLease
 	if c := r.w.cfg.Fleet.CountsPeriod; c > 0 {
 		d = min(d, c)
 	}
 	return d
 }
 
-// tick is what the fleet's agent does on its ticker.
+// tick does what the fleet's agent does on each tick.
 func (r *gateway) tick() {
 	w := r.w
-	r.post(r.node.Tick(w.now))
-	parts, told := r.node.EvaluateWorkers([][]node.ListedWorker{r.lines}, w.now)
-	r.gate(r.spread(parts))
-	if told != nil {
-		for _, t := range told[0] {
+	r.sendMessages(r.node.Tick(w.now))
+	shares, reports := r.node.EvaluateWorkers([][]node.ListedWorker{r.listed}, w.now)
+	r.applyShares(r.applyZones(shares))
+	if reports != nil {
+		for _, t := range reports[0] {
 			r.push(logic.Event{Kind: logic.LoadReported, Server: t.Server, Load: t.Load})
 		}
 	}
 	r.run()
 	r.node.Notices()
 	if w.now < w.cfg.For+w.cfg.Patience {
-		w.after(r.every(), r.tick)
+		w.after(r.tickInterval(), r.tick)
 	}
 }
 
-// spread is what the fleet's agent does with the map: it tells the node of the zones' workers, takes those of barred zones out,
-// and hands a figure for each zone to the decisions.
-func (r *gateway) spread(parts map[string]float64) map[string]float64 {
-	way, ok := r.node.ZoneRouting(r.w.now)
+// applyZones does what the fleet's agent does with the zone map: it reports the capacity of the
+// zones' workers to the node, sets the share of workers in barred zones to 0, and passes a figure
+// for each zone to the decisions.
+func (r *gateway) applyZones(shares map[string]float64) map[string]float64 {
+	routing, ok := r.node.ZoneRouting(r.w.now)
 	if !ok {
-		return parts
+		return shares
 	}
-	parts = maps.Clone(parts)
-	if parts == nil {
-		parts = map[string]float64{}
+	shares = maps.Clone(shares)
+	if shares == nil {
+		shares = map[string]float64{}
 	}
 	up, all := map[string]float64{}, map[string]float64{}
 	cold := r.w.cfg.Site.Cold
 	for _, m := range r.members {
-		zone := way.Names[m.Zone]
+		zone := routing.Names[m.Zone]
 		all[zone]++
 		if m.Health == logic.Ready {
 			warm := 1.0
@@ -124,61 +125,61 @@
 			}
 			up[zone] += warm
 		}
-		if way.Barred[m.Zone] {
-			parts[r.lines[m.Server].Name] = 0
+		if routing.Barred[m.Zone] {
+			shares[r.listed[m.Server].Name] = 0
 		}
 	}
 	for zone, n := range all {
 		up[zone] /= n
 	}
 	r.node.SetZoneServing(up)
-	r.decide.SetZones(r.balance.Figures(way.Shares, way.Usable, way.Own, traffic.Time(r.w.now)))
-	return parts
+	r.decide.SetZones(r.balance.Figures(routing.Shares, routing.Usable, routing.Own, traffic.Time(r.w.now)))
+	return shares
 }
 
-func (r *gateway) post(out []node.Envelope) {
+func (r *gateway) sendMessages(messages []node.Envelope) {
 	w := r.w
-	for _, e := range out {
-		if frame, err := link.Encode(e); err == nil && w.now >= w.cfg.Warm {
+	for _, message := range messages {
+		if frame, err := link.Encode(message); err == nil && w.now >= w.cfg.MeasureFrom {
 			w.Result.Messages++
 			w.Result.Bytes += len(frame)
 		}
 		to := 0
-		_, _ = fmt.Sscanf(e.To, "r-%d", &to)
+		_, _ = fmt.Sscanf(message.To, "r-%d", &to)
 		if w.rng.Float64() < w.cfg.Loss || w.Cut != nil && w.Cut(r.i, to) {
 			continue
 		}
 		w.after(w.cfg.Hop, func() {
 			peer := w.routers[to]
-			peer.post(peer.node.Receive(e, w.now))
+			peer.sendMessages(peer.node.Receive(message, w.now))
 		})
 	}
 }
 
-func (r *gateway) listed(members []logic.Member, lines []node.ListedWorker, whole bool) {
-	r.members, r.lines = members, lines
+func (r *gateway) updateServers(members []logic.Member, listed []node.ListedWorker, whole bool) {
+	r.members, r.listed = members, listed
 	if r.front != nil {
-		r.front.UpdateWorkers(lines, whole, int64(epoch)+int64(r.w.now), r.w.now)
+		r.front.UpdateWorkers(listed, whole, int64(epoch)+int64(r.w.now), r.w.now)
 	}
-	r.hand()
+	r.pushMembers()
 }
 
-// gate takes workers out, or gives them a part, as cordon.Gate does.
-func (r *gateway) gate(parts map[string]float64) {
-	same := len(parts) == len(r.parts)
-	for name, p := range parts {
-		old, ok := r.parts[name]
+// applyShares removes workers from routing or reduces their weight, as cordon.Gate does.
+func (r *gateway) applyShares(shares map[string]float64) {
+	same := len(shares) == len(r.shares)
+	for name, p := range shares {
+		old, ok := r.shares[name]
 		same = same && ok && old == p
 	}
-	if r.parts = parts; !same {
-		r.hand()
+	if r.shares = shares; !same {
+		r.pushMembers()
 	}
 }
 
-func (r *gateway) hand() {
+func (r *gateway) pushMembers() {
 	members := append([]logic.Member(nil), r.members...)
 	for i := range members {
-		if p, ok := r.parts[r.lines[i].Name]; ok && members[i].Health == logic.Ready {
+		if p, ok := r.shares[r.listed[i].Name]; ok && members[i].Health == logic.Ready {
 			if members[i].Weight *= p; p == 0 {
 				members[i].Health = logic.Draining
 			}
@@ -190,9 +191,9 @@
 
 func (r *gateway) push(e logic.Event) { r.pending = append(r.pending, e) }
 
-// run lets the router decide until nothing new comes of it.
+// run makes decisions until no events are pending.
 func (r *gateway) run() {
-	if r.running { // who is deciding takes what came of it next
+	if r.running { // the outer call handles the pending events
 		return
 	}
 	r.running = true
--- a/lab/virtual/virtual.go
+++ b/lab/virtual/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual runs many routers' decisions, with the fleet's parts between them or
-// without, against the model of the servers in virtual time. It is deterministic from its
-// seed. What it leaves out is I/O: connections cost nothing and never go stale.
+// Package virtual runs the decisions of many routers against the model of the servers in virtual
+// time, with or without fleet nodes that exchange state between the routers. A run is determined by
+// its seed. It does not model I/O: connections cost nothing and never go stale.
 package virtual
 
 import (
@@ -17,8 +17,10 @@
 )
 
 const (
-	epoch  = logic.Time(1000 * time.Hour) // the wall clock at the beginning
-	perTTL = 16                           // ticks of the fleet's part in a lease, or more where work is told
+	epoch = logic.Time(1000 * time.Hour) // the wall clock at the start of a run
+	// ticksPerLease is the number of ticks of a fleet node in a lease. Nodes that exchange counts
+	// more often tick once per counts period.
+	ticksPerLease = 16
 )
 
 // Config describes a run.
@@ -28,48 +30,54 @@
 	Load     load.Config
 	Settings logic.Settings
 	Patience time.Duration
-	Skew     float64       // part of the requests that come to the first router; the rest are even
-	Hop      time.Duration // one way between two processes
-	Fleet    *node.Config  // its terms; nil: routers share nothing
-	Loss     float64       // part of the fleet's messages that vanish
-	Zoned    bool          // router i is of zone i modulo their number; else all are of the first
-	// Zones makes the fleet judge zones and move traffic between them, where it is Zoned; nil: that is each router's own matter.
-	// The site's zones are its Judge.Zones by index.
+	Skew     float64       // part of the requests that go to router 0; the rest are spread evenly
+	Hop      time.Duration // latency of one way between two processes
+	Fleet    *node.Config  // nil: routers share nothing
+	Loss     float64       // part of the fleet's messages that are lost
+	Zoned    bool          // router i is in zone i modulo the number of zones; else all are in zone 0
+	// Zones, with Zoned, makes the fleet judge zones and move traffic between them; nil: each
+	// router decides on its own. The site's zones are its Judge.Zones by index.
 	Zones *node.ZoneConfig
-	// Near, without Zones, is a figure for the zones that are not a router's own in place of the usual one; 0: the usual one.
-	Near   float64
-	Warm   time.Duration // nothing is counted before
-	For    time.Duration
-	Seed   uint64
-	Faults []Fault
-	// Record, if set, is told of each call of a router's decisions: its number, what it was told and what it did.
+	// FarFigure, without Zones, is the figure of all zones but a router's own; 0: the default
+	// figure.
+	FarFigure   float64
+	MeasureFrom time.Duration // totals leave out what happens before
+	For         time.Duration // requests arrive for so long
+	Seed        uint64
+	Faults      []Fault
+	// Record, if set, receives each call of a router's decisions: the router's number, the events
+	// that it handled and the actions that it returned.
 	Record func(router int, now logic.Time, events []logic.Event, actions []logic.Action)
 }
 
-// Fault begins or ends something at a time.
+// Fault is a change of the world at a time, such as the begin or the end of a fault.
 type Fault struct {
 	At time.Duration
 	Do func(w *World)
 }
 
-// Result is what clients and servers saw.
+// Result is what clients and servers observed in a run.
 type Result struct {
 	Asked, Served, Broken, Refused, Failed int
-	First                                  *hdrhistogram.Histogram // microseconds until the first token, of what was served
-	At                                     map[string]int          // attempts by server
-	Arrivals                               map[string][]time.Duration
-	Sent, Repeats                          int     // attempts, and those that followed a failed one
-	Messages, Bytes                        int     // between routers
-	Prompt, Kept                           float64 // tokens of the prompts that were read, and of them that were found kept
-	Wasted                                 int     // reads whose answer nobody got
-	Moved                                  float64 // tokens of read states that were fetched from another zone
-	Late                                   int     // served, with the first token after its class's aim
-	Seconds                                []Second
-	Fell                                   int
-	Held                                   int // states left when all had ended
+	// FirstToken has the times until the first token of answers, in microseconds.
+	FirstToken *hdrhistogram.Histogram
+	Attempts   map[string]int             // by server
+	Arrivals   map[string][]time.Duration // of attempts, by server, over the whole run
+	// Sent counts attempts, and Repeats those that followed a failed one.
+	Sent, Repeats              int
+	Messages, Bytes            int     // between routers
+	PromptTokens, CachedTokens float64 // tokens of prompts read, and the cached part of them
+	// WastedReads counts reads whose state was not used for a served answer.
+	WastedReads     int
+	MovedTokens     float64 // tokens of read states fetched from another zone
+	Late            int     // answers whose first token came after the class's aim
+	Seconds         []Second
+	OverloadCrashes int
+	Held            int // read states left at the end of the run
 }
 
-// Second is what became of the requests that came in one second of a run, and where their first reads went.
+// Second has the outcome of the requests that arrived in one second of a run, and where their first
+// reads went: to the router's own zone or to another one.
 type Second struct{ Asked, InTime, Near, Far int }
 
 func (w *World) second(at time.Duration) *Second {
@@ -79,38 +87,39 @@
 	return &w.Result.Seconds[at/time.Second]
 }
 
-// Busiest is the part of all attempts at servers of a kind that went to the busiest one.
-func (r *Result) Busiest(site engine.Config, kind int) float64 {
+// BusiestShare returns the busiest server's share of all attempts at servers of a kind.
+func (r *Result) BusiestShare(site engine.Config, kind int) float64 {
 	all, most := 0, 0
 	for _, s := range site.Servers {
 		if s.Kind == kind {
-			all += r.At[s.Name]
-			most = max(most, r.At[s.Name])
+			all += r.Attempts[s.Name]
+			most = max(most, r.Attempts[s.Name])
 		}
 	}
 	return float64(most) / float64(max(all, 1))
 }
 
-// World is a run under way.
+// World is the state of a run.
 type World struct {
 	cfg     Config
 	now     time.Duration
 	seq     int
 	queue   events
 	Site    *engine.Site
-	site    int // number of the look that is planned
-	changes int
+	wakeup  int // number of the latest scheduled advance; earlier ones are obsolete
+	changes int // Site.Changes at the latest publication
 	routers []*gateway
 	rng     *rand.Rand
 	jobs    map[string]*exchange
 	Result  Result
-	Cut     func(from, to int) bool // whether a message between two routers is lost
+	Cut     func(from, to int) bool // if set, whether messages from one router to another are lost
 }
 
-// Run plays a run to its end: no arrivals after For, and all that is in hand ended.
+// Run runs a simulation to its end. No requests arrive after For, and the run goes on until the
+// open ones have had time to end.
 func Run(cfg Config) (*Result, error) {
 	w := &World{cfg: cfg, Site: engine.New(cfg.Site, cfg.Seed), rng: rand.New(rand.NewPCG(cfg.Seed, 5)), jobs: map[string]*exchange{},
-		Result: Result{First: hdrhistogram.New(1, 120_000_000, 3), At: map[string]int{}, Arrivals: map[string][]time.Duration{}}}
+		Result: Result{FirstToken: hdrhistogram.New(1, 120_000_000, 3), Attempts: map[string]int{}, Arrivals: map[string][]time.Duration{}}}
 	for i := range cfg.Routers {
 		r, err := w.newGateway(i)
 		if err != nil {
@@ -118,11 +127,11 @@
 		}
 		w.routers = append(w.routers, r)
 	}
-	w.list(true)
+	w.publishServers(true)
 	source := load.New(cfg.Load, cfg.Seed)
 	w.arrivals(source)
 	for _, f := range cfg.Faults {
-		w.after(f.At, func() { f.Do(w); w.look() })
+		w.after(f.At, func() { f.Do(w); w.scheduleSite() })
 	}
 	end := cfg.For + cfg.Patience + 2*time.Minute
 	for len(w.queue) > 0 && w.queue[0].at <= end {
@@ -130,7 +139,7 @@
 		w.now = e.at
 		e.do()
 	}
-	w.Result.Fell, w.Result.Held = w.Site.Fell, w.Site.Held()
+	w.Result.OverloadCrashes, w.Result.Held = w.Site.OverloadCrashes, w.Site.Held()
 	return &w.Result, nil
 }
 
@@ -149,48 +158,51 @@
 	})
 }
 
-// Kill ends a server for a while.
+// Kill stops a server for a while.
 func (w *World) Kill(name string, down time.Duration) {
-	w.settle()
+	w.advanceSite()
 	for _, e := range w.Site.Kill(name, w.now, down) {
-		w.happened(e)
+		w.dispatch(e)
 	}
 }
 
-// settle takes what the servers did, and plans the next look at them.
-func (w *World) settle() {
+// advanceSite brings the servers up to now, dispatches their events and publishes changes of their
+// list.
+func (w *World) advanceSite() {
 	for _, e := range w.Site.Advance(w.now) {
-		w.happened(e)
+		w.dispatch(e)
 	}
 	if c := w.Site.Changes(); c != w.changes {
 		w.changes = c
-		w.list(false)
+		w.publishServers(false)
 	}
 }
 
-func (w *World) look() {
-	w.settle()
+// scheduleSite advances the servers and schedules their next advance.
+func (w *World) scheduleSite() {
+	w.advanceSite()
 	at, ok := w.Site.Next()
 	if !ok {
 		return
 	}
-	w.site++
-	mine := w.site
+	w.wakeup++
+	wakeup := w.wakeup
 	w.after(at-w.now, func() {
-		if mine == w.site {
-			w.look()
+		if wakeup == w.wakeup {
+			w.scheduleSite()
 		}
 	})
 }
 
-func (w *World) happened(e engine.Event) {
+func (w *World) dispatch(e engine.Event) {
 	if ex := w.jobs[e.Job]; ex != nil {
-		ex.of.happened(ex, e)
+		ex.router.handleServerEvent(ex, e)
 	}
 }
 
-// list tells all routers what discovery says by now, each a moment later.
-func (w *World) list(whole bool) {
+// publishServers sends discovery's present list to all routers: at once if it is a whole list, else
+// to each router after a delay of its own.
+func (w *World) publishServers(whole bool) {
 	var members []logic.Member
 	var lines []node.ListedWorker
 	for i, l := range w.Site.List() {
@@ -205,10 +217,10 @@
 		lines = append(lines, node.ListedWorker{Name: l.Name, Server: m.Server, Since: int64(m.Since), Kind: l.Kind, Cell: l.Cell, Removed: !l.Up})
 	}
 	for _, r := range w.routers {
-		late := time.Duration(0)
+		delay := time.Duration(0)
 		if !whole {
-			late = 50*time.Millisecond + time.Duration(w.rng.IntN(int(200*time.Millisecond)))
+			delay = 50*time.Millisecond + time.Duration(w.rng.IntN(int(200*time.Millisecond)))
 		}
-		w.after(late, func() { r.listed(members, lines, whole) })
+		w.after(delay, func() { r.updateServers(members, lines, whole) })
 	}
 }
