--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -132,7 +132,7 @@
 // Report is the result of a demonstration.
 type Report struct {
 	Seconds         []emulator.Second
-	Twice           int // requests with more than one final answer
+	AnsweredTwice   int // requests with more than one final answer
 	Repeats         int // repeated attempts of requests, as recorded by the workers
 	OverloadCrashes int // crashes of cold workers under overload
 	Held            int // read states left at the end
@@ -311,10 +311,10 @@
 			s.mark("router r-1 is started again")
 		}
 	case FaultLink:
-		s.layout.Between(func(from, to int) bool { return from%2 != to%2 }, link.Fault{Refuse: true, Drop: [2]bool{true, true}})
+		s.layout.SetFaults(func(from, to int) bool { return from%2 != to%2 }, link.Fault{Refuse: true, Drop: [2]bool{true, true}})
 		s.mark("every second router hears nothing of the others")
 		if sleep(ctx, third) {
-			s.layout.Between(func(int, int) bool { return false }, link.Fault{})
+			s.layout.SetFaults(func(int, int) bool { return false }, link.Fault{})
 			s.mark("all routers hear each other again")
 		}
 	}
@@ -368,10 +368,10 @@
 	for i := range s.processes { // an orderly shutdown, in which routers release held read states
 		s.endRouter(i, syscall.SIGTERM)
 	}
-	r := &Report{Seconds: s.clients.Seconds(), Repeats: len(emulator.Again(s.site.Record(), Site())), OverloadCrashes: s.site.Fell(), Held: s.site.Held(), marks: s.marks}
+	r := &Report{Seconds: s.clients.Seconds(), Repeats: len(emulator.Repeats(s.site.Record(), Site())), OverloadCrashes: s.site.OverloadCrashes(), Held: s.site.Held(), marks: s.marks}
 	for _, n := range s.clients.Answers() {
 		if n > 1 {
-			r.Twice++
+			r.AnsweredTwice++
 		}
 	}
 	if err := r.print(s.out); err != nil {
@@ -389,24 +389,24 @@
 
 func (s *demonstration) printSecond(i int, v *emulator.Second) {
 	sum := 0
-	for _, n := range v.Fates {
+	for _, n := range v.Outcomes {
 		sum += n
 	}
-	f := v.Fates
+	f := v.Outcomes
 	fmt.Fprintf(s.out, "%4d s  %5d  %5d  %5d   %5d  %5d   %5d %4d   %7.0f ms %7.0f ms   %7d %7d\n", i, sum, f[emulator.Served], f[emulator.Broken],
-		f[emulator.Refused], f[emulator.Failed], f[emulator.Unheard], f[emulator.Late], ms(v.FirstToken, 50), ms(v.FirstToken, 99), s.site.Up(), s.up.Load())
+		f[emulator.Refused], f[emulator.Failed], f[emulator.Unreached], f[emulator.Late], ms(v.FirstToken, 50), ms(v.FirstToken, 99), s.site.Up(), s.up.Load())
 }
 
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
 // print writes the summary.
 func (r *Report) print(w io.Writer) error {
-	var sum [emulator.Fates]int
+	var sum [emulator.NumOutcomes]int
 	all := 0
 	first := hdrhistogram.New(1, 120_000_000, 3)
 	for _, s := range r.Seconds {
 		first.Merge(s.FirstToken)
-		for f, n := range s.Fates {
+		for f, n := range s.Outcomes {
 			sum[f] += n
 			all += n
 		}
@@ -422,6 +422,6 @@
 	}
 	_, err := fmt.Fprintf(w, "first token: p50 %.0f ms, p90 %.0f ms, p99 %.0f ms\n"+
 		"as the workers saw it: %d attempts sent again, %d cold workers pushed over, %d read states left; %d requests answered twice\n",
-		ms(first, 50), ms(first, 90), ms(first, 99), r.Repeats, r.OverloadCrashes, r.Held, r.Twice)
+		ms(first, 50), ms(first, 90), ms(first, 99), r.Repeats, r.OverloadCrashes, r.Held, r.AnsweredTwice)
 	return err
 }
--- a/lab/demo/plot.go
+++ b/lab/demo/plot.go
@@ -27,12 +27,12 @@
 	fates, first := plot.New(), plot.New()
 	fates.Title.Text, first.Title.Text = "requests a second by fate", "first token, ms"
 	first.X.Label.Text = "seconds"
-	for f := range emulator.Fates {
+	for f := range emulator.NumOutcomes {
 		points := make(plotter.XYs, len(r.Seconds))
 		seen := false
 		for i, s := range r.Seconds {
-			points[i] = plotter.XY{X: float64(i), Y: float64(s.Fates[f])}
-			seen = seen || s.Fates[f] > 0
+			points[i] = plotter.XY{X: float64(i), Y: float64(s.Outcomes[f])}
+			seen = seen || s.Outcomes[f] > 0
 		}
 		if !seen {
 			continue
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -23,12 +23,12 @@
 
 // The outcomes of a request.
 const (
-	Served  Outcome = iota
-	Broken          // the answer began and broke off
-	Refused         // rejected with a Retry-After header
-	Failed          // answered with any other status than 200
-	Unheard         // no router was reached
-	Late            // no answer within the client's patience
+	Served    Outcome = iota
+	Broken            // the answer began and broke off
+	Refused           // rejected with a Retry-After header
+	Failed            // answered with any other status than 200
+	Unreached         // no router was reached
+	Late              // no answer within the client's patience
 )
 
 // String implements fmt.Stringer.
@@ -36,12 +36,12 @@
 	return [...]string{"served", "broken", "refused", "failed", "unheard", "late"}[min(f, Late)]
 }
 
-// Fates is the number of outcomes.
-const Fates = int(Late) + 1
+// NumOutcomes is the number of outcomes.
+const NumOutcomes = int(Late) + 1
 
 // Second has the outcomes of the requests that clients sent in one second.
 type Second struct {
-	Fates      [Fates]int
+	Outcomes   [NumOutcomes]int
 	FirstToken *hdrhistogram.Histogram // microseconds until the first token
 }
 
@@ -56,12 +56,12 @@
 	mu       sync.Mutex
 	seconds  []Second
 	answers  map[string]int // number of final answers by request
-	trips    map[string][]Trip
+	trips    map[string][]Transmission
 	patience time.Duration
 }
 
-// Trip is one transmission of a request to a router, until it ended.
-type Trip struct {
+// Transmission is one transmission of a request to a router, until it ended.
+type Transmission struct {
 	Router   int
 	From, To time.Time
 }
@@ -72,7 +72,7 @@
 // NewClients returns clients of routers that wait for patience for the beginning of an answer.
 func NewClients(routers []string, patience time.Duration) *Clients {
 	return &Clients{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, routers: routers,
-		avoided: make([]atomic.Bool, len(routers)), answers: map[string]int{}, trips: map[string][]Trip{}, patience: patience, start: time.Now()}
+		avoided: make([]atomic.Bool, len(routers)), answers: map[string]int{}, trips: map[string][]Transmission{}, patience: patience, start: time.Now()}
 }
 
 // Avoid makes clients skip a router, or use it again. They still try an avoided router if it is the
@@ -105,7 +105,7 @@
 func (c *Clients) ask(n, first int, q load.Request) {
 	id := fmt.Sprintf("%s-%d", ClientsPrefix, n)
 	at := time.Now()
-	outcome, firstToken := Unheard, time.Duration(0)
+	outcome, firstToken := Unreached, time.Duration(0)
 	for i := range c.routers {
 		router := (first + i) % len(c.routers)
 		if c.avoided[router].Load() && i < len(c.routers)-1 {
@@ -115,7 +115,7 @@
 		from := time.Now()
 		outcome, firstToken, sent = c.try(id, c.routers[router], at, q)
 		c.mu.Lock()
-		c.trips[id] = append(c.trips[id], Trip{router, from, time.Now()})
+		c.trips[id] = append(c.trips[id], Transmission{router, from, time.Now()})
 		c.mu.Unlock()
 		if sent {
 			break
@@ -128,8 +128,8 @@
 		c.seconds = append(c.seconds, Second{FirstToken: hdrhistogram.New(1, 120_000_000, 3)})
 	}
 	s := &c.seconds[second]
-	s.Fates[outcome]++
-	if outcome != Unheard && outcome != Late {
+	s.Outcomes[outcome]++
+	if outcome != Unreached && outcome != Late {
 		c.answers[id]++
 	}
 	if firstToken > 0 {
@@ -163,7 +163,7 @@
 		if ctx.Err() != nil {
 			return Late, 0, true
 		}
-		return Unheard, 0, false
+		return Unreached, 0, false
 	}
 	patienceTimer.Stop()
 	defer resp.Body.Close()
@@ -199,16 +199,16 @@
 	defer c.mu.Unlock()
 	out := make([]Second, len(c.seconds))
 	for i, s := range c.seconds {
-		out[i] = Second{s.Fates, hdrhistogram.Import(s.FirstToken.Export())}
+		out[i] = Second{s.Outcomes, hdrhistogram.Import(s.FirstToken.Export())}
 	}
 	return out
 }
 
-// Trips returns the transmissions of a request.
-func (c *Clients) Trips(id string) []Trip {
+// Transmissions returns the transmissions of a request.
+func (c *Clients) Transmissions(id string) []Transmission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Trip(nil), c.trips[id]...)
+	return append([]Transmission(nil), c.trips[id]...)
 }
 
 // Answers returns the number of final answers of each request that got one.
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -145,8 +145,8 @@
 	return e.site.HeldJobs()
 }
 
-// Fell returns the number of crashes of cold workers under overload.
-func (e *Emulator) Fell() int {
+// OverloadCrashes returns the number of crashes of cold workers under overload.
+func (e *Emulator) OverloadCrashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.site.OverloadCrashes
@@ -470,9 +470,9 @@
 	return v
 }
 
-// Again returns the arrival times of repeated attempts. A job's attempts at readers and those at
+// Repeats returns the arrival times of repeated attempts. A job's attempts at readers and those at
 // other workers count separately, so that the write that follows a read is no repeat.
-func Again(record []Arrival, cfg engine.Config) []time.Time {
+func Repeats(record []Arrival, cfg engine.Config) []time.Time {
 	readers := map[string]bool{}
 	for _, s := range cfg.Servers {
 		readers[s.Name] = cfg.Kinds[s.Kind].Role == logic.RoleRead
--- a/lab/emulator/layout.go
+++ b/lab/emulator/layout.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// Between sets a fault on the relay of each ordered pair that pick selects, and clears it on the
+// SetFaults sets a fault on the relay of each ordered pair that pick selects, and clears it on the
 // others.
-func (l *Layout) Between(pick func(from, to int) bool, f link.Fault) {
+func (l *Layout) SetFaults(pick func(from, to int) bool, f link.Fault) {
 	for pair, r := range l.Relays {
 		if pick(pair[0], pair[1]) {
 			r.Set(f)
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -43,33 +43,33 @@
 
 // Limits are the tolerances of the rules.
 type Limits struct {
-	Answer time.Duration // how long after the client's deadline a final answer may come
-	Grace  time.Duration // how long attempts may still go to a worker after its leaving is known
-	Held   time.Duration // how long a read state may be held with no attempt that uses it
-	Told   time.Duration // by how much the time given to a worker may exceed what is left
-	Gone   time.Duration // how long after its client left or was answered an attempt may arrive
-	Copies time.Duration // how long a worker may take to see that an attempt was cancelled
-	Window time.Duration // how long after its first run a by-key request may be repeated
-	Slack  time.Duration // added to each bound, for scheduling delays of the test machine
-	Cold   Cold
+	Answer     time.Duration // how long after the client's deadline a final answer may come
+	Grace      time.Duration // how long attempts may still go to a worker after its leaving is known
+	Held       time.Duration // how long a read state may be held with no attempt that uses it
+	TimeBudget time.Duration // by how much the time given to a worker may exceed what is left
+	AfterEnd   time.Duration // how long after its client left or was answered an attempt may arrive
+	Overlap    time.Duration // how long a worker may take to see that an attempt was cancelled
+	Window     time.Duration // how long after its first run a by-key request may be repeated
+	Slack      time.Duration // added to each bound, for scheduling delays of the test machine
+	Cold       Cold
 }
 
-// Final is how a request ended for its client.
-type Final uint8
+// Outcome is how a request ended for its client.
+type Outcome uint8
 
 // The ways in which a request ends.
 const (
-	Served     Final = iota
-	Broken           // the answer began and ended without its last part
-	Refused          // not run, so the client may repeat it safely
-	Failed           // may have run
-	Unanswered       // the router closed the connection without an answer
+	Served     Outcome = iota
+	Broken             // the answer began and ended without its last part
+	Refused            // not run, so the client may repeat it safely
+	Failed             // may have run
+	Unanswered         // the router closed the connection without an answer
 )
 
 var finals = [...]string{"served", "broken", "refused", "failed", "unanswered"}
 
 // String implements fmt.Stringer.
-func (f Final) String() string { return finals[f] }
+func (f Outcome) String() string { return finals[f] }
 
 // AttemptOutcome is how an attempt ended at its worker.
 type AttemptOutcome uint8
@@ -90,7 +90,7 @@
 	answerBegan   time.Time // when the client received its first part; zero: not yet
 	answering     bool      // a worker has begun an answer
 	router        string
-	finals        []Final
+	finals        []Outcome
 	ended         time.Time // time of the first of finals
 	clientLeft    time.Time // zero: the client has not disconnected
 	excused       bool
@@ -182,7 +182,7 @@
 }
 
 // Final records the end of a request for its client.
-func (j *Judge) Final(id string, end Final, at time.Time) {
+func (j *Judge) Final(id string, end Outcome, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
@@ -277,13 +277,13 @@
 	if from, ok := j.leaving[exclusion{r.router, worker, true}]; ok && at.Sub(from) > j.limits.Grace+j.limits.Slack {
 		j.violate(r, Drain, "%s sent to %s %v after it confirmed the worker's suspension", r.router, worker, at.Sub(from))
 	}
-	if !r.clientLeft.IsZero() && at.Sub(r.clientLeft) > j.limits.Gone+j.limits.Slack {
+	if !r.clientLeft.IsZero() && at.Sub(r.clientLeft) > j.limits.AfterEnd+j.limits.Slack {
 		j.violate(r, AfterEnd, "arrived at %s %v after its client had disconnected", worker, at.Sub(r.clientLeft))
 	}
-	if !r.ended.IsZero() && at.Sub(r.ended) > j.limits.Gone+j.limits.Slack {
+	if !r.ended.IsZero() && at.Sub(r.ended) > j.limits.AfterEnd+j.limits.Slack {
 		j.violate(r, AfterEnd, "arrived at %s %v after its final answer", worker, at.Sub(r.ended))
 	}
-	if left := r.deadline.Sub(at); sentTimeout > left+j.limits.Told+j.limits.Slack && r.clientLeft.IsZero() {
+	if left := r.deadline.Sub(at); sentTimeout > left+j.limits.TimeBudget+j.limits.Slack && r.clientLeft.IsZero() {
 		j.violate(r, TimeBudget, "%s was given %v by %s with %v left, %v after the request was sent", worker, sentTimeout, r.router, left, at.Sub(r.sent))
 	}
 	for _, other := range r.openAttempts {
@@ -344,7 +344,7 @@
 	if a.disconnected {
 		return
 	}
-	if !a.nextArrived.IsZero() && at.Sub(a.nextArrived) > j.limits.Copies+j.limits.Slack {
+	if !a.nextArrived.IsZero() && at.Sub(a.nextArrived) > j.limits.Overlap+j.limits.Slack {
 		j.violate(r, Duplicate, "open at %s for %v beside another attempt", a.worker, at.Sub(a.nextArrived))
 	}
 	if outcome == NeverRan && !a.reader {
@@ -409,9 +409,9 @@
 	j.releaseState(r, at) // a state that an open attempt uses is not affected
 }
 
-// Verdict returns all violations, sorted by rule and request. It is called after the last
+// Violations returns all violations, sorted by rule and request. It is called after the last
 // observation.
-func (j *Judge) Verdict(now time.Time) []Violation {
+func (j *Judge) Violations(now time.Time) []Violation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range j.requests {
@@ -434,10 +434,10 @@
 }
 
 // Counts returns the number of requests and of attempts, and how many requests ended in each way.
-func (j *Judge) Counts() (requests, attempts int, ends map[Final]int) {
+func (j *Judge) Counts() (requests, attempts int, ends map[Outcome]int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	ends = map[Final]int{}
+	ends = map[Outcome]int{}
 	for _, r := range j.requests {
 		for _, f := range r.finals {
 			ends[f]++
--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -10,8 +10,8 @@
 	"lichenshelf/logic"
 )
 
-var limits = Limits{Answer: 500 * time.Millisecond, Grace: 300 * time.Millisecond, Held: 600 * time.Millisecond, Told: 150 * time.Millisecond,
-	Gone: 100 * time.Millisecond, Copies: 50 * time.Millisecond, Window: 2 * time.Second, Slack: 10 * time.Millisecond}
+var limits = Limits{Answer: 500 * time.Millisecond, Grace: 300 * time.Millisecond, Held: 600 * time.Millisecond, TimeBudget: 150 * time.Millisecond,
+	AfterEnd: 100 * time.Millisecond, Overlap: 50 * time.Millisecond, Window: 2 * time.Second, Slack: 10 * time.Millisecond}
 
 const patience = time.Second
 
@@ -64,17 +64,17 @@
 		"two attempts open at once": {play: func(j *Judge) {
 			first := j.Arrived("a", "w", false, start, patience)
 			second := j.Arrived("a", "v", false, start, patience)
-			first.Ended(MayHaveRun, at(limits.Copies+over))
-			second.Ended(Began, at(limits.Copies+over))
-			j.Released("a", at(limits.Copies+over))
+			first.Ended(MayHaveRun, at(limits.Overlap+over))
+			second.Ended(Began, at(limits.Overlap+over))
+			j.Released("a", at(limits.Overlap+over))
 			j.Final("a", Served, start)
 		}, want: []Rule{Duplicate}},
 		"two attempts one after the other": {play: func(j *Judge) {
 			first := j.Arrived("a", "w", false, start, patience)
 			second := j.Arrived("a", "v", false, start, patience)
-			first.Ended(MayHaveRun, at(limits.Copies))
+			first.Ended(MayHaveRun, at(limits.Overlap))
 			second.Ended(Began, at(time.Hour))
-			j.Released("a", at(limits.Copies))
+			j.Released("a", at(limits.Overlap))
 			j.Final("a", Served, start)
 		}},
 		"sent to a worker that leaves": {play: func(j *Judge) {
@@ -156,16 +156,16 @@
 			j.Final("a", Refused, start)
 		}, want: []Rule{Pinned}},
 		"given too much time": {play: func(j *Judge) {
-			j.Arrived("a", "w", false, at(patience/2), patience/2+limits.Told+over).Ended(Began, start)
+			j.Arrived("a", "w", false, at(patience/2), patience/2+limits.TimeBudget+over).Ended(Began, start)
 			j.Final("a", Served, start)
 		}, want: []Rule{TimeBudget}},
 		"attempt after the final answer": {play: func(j *Judge) {
 			j.Final("a", Failed, start)
-			j.Arrived("a", "w", false, at(limits.Gone+over), 0).Ended(Began, start)
+			j.Arrived("a", "w", false, at(limits.AfterEnd+over), 0).Ended(Began, start)
 		}, want: []Rule{AfterEnd}},
 		"attempt after the client left": {play: func(j *Judge) {
 			j.Left("a", start)
-			j.Arrived("a", "w", false, at(limits.Gone+over), 0).Ended(Began, start)
+			j.Arrived("a", "w", false, at(limits.AfterEnd+over), 0).Ended(Began, start)
 		}, want: []Rule{AfterEnd}},
 		"answer cut off by the router": {play: func(j *Judge) {
 			a := j.Arrived("a", "w", false, start, patience)
@@ -199,7 +199,7 @@
 			j.Sent("a", c.effect, "n", start, patience)
 			c.play(j)
 			var got []Rule
-			for _, v := range j.Verdict(at(2 * time.Hour)) {
+			for _, v := range j.Violations(at(2 * time.Hour)) {
 				got = append(got, v.Rule)
 			}
 			require.Equal(t, c.want, got)
@@ -208,7 +208,7 @@
 	j := New(limits)
 	require.Nil(t, j.Arrived("unknown", "w", false, start, 0))
 	j.Arrived("unknown", "w", false, start, 0).Ended(Began, start)
-	require.Empty(t, j.Verdict(start))
+	require.Empty(t, j.Violations(start))
 }
 
 // A worker that an operator has suspended counts as leaving, whatever discovery reports.
@@ -234,7 +234,7 @@
 		c.play(j)
 		j.Arrived("a", "w", false, late, 0).Ended(Began, late)
 		j.Final("a", Served, late)
-		require.Len(t, j.Verdict(late), c.want, name)
+		require.Len(t, j.Violations(late), c.want, name)
 	}
 }
 
@@ -249,7 +249,7 @@
 		}
 		j.ExcuseUnread("a")
 		j.Final("a", Unanswered, start)
-		require.Equal(t, seen, len(j.Verdict(start)) > 0)
+		require.Equal(t, seen, len(j.Violations(start)) > 0)
 	}
 }
 
@@ -284,7 +284,7 @@
 			send(fmt.Sprint("cold", i), "w", start.Add(c.after).Add(time.Duration(i)*10*time.Millisecond))
 		}
 		broken := 0
-		for _, v := range j.Verdict(start) {
+		for _, v := range j.Violations(start) {
 			if v.Rule == Failback {
 				broken++
 			}
--- a/test/audit_test.go
+++ b/test/audit_test.go
@@ -44,7 +44,7 @@
 	l := newLabRig(t, n, labFleet+fmt.Sprintf("repeats_per_s = %g\ntrail = %q\n", labRepeats, dir), 25, 11)
 	began := time.Now()
 	l.site.Kill("reader-0", time.Second)
-	l.layout.Between(func(from, to int) bool { return (from < 2) != (to < 2) }, relay.Fault{Refuse: true, Drop: [2]bool{true, true}})
+	l.layout.SetFaults(func(from, to int) bool { return (from < 2) != (to < 2) }, relay.Fault{Refuse: true, Drop: [2]bool{true, true}})
 	l.routers[1].signal(syscall.SIGSTOP)
 	l.clients.Avoid(1, true)
 	l.site.Kill("writer-1", time.Second)
--- a/test/lab_test.go
+++ b/test/lab_test.go
@@ -112,11 +112,11 @@
 }
 
 // stopClients ends new requests, waits for the open ones, and counts the outcomes of all.
-func (l *labRig) stopClients() (fates [emulator.Fates]int, all int) {
+func (l *labRig) stopClients() (fates [emulator.NumOutcomes]int, all int) {
 	l.stop()
 	<-l.done
 	for _, s := range l.clients.Seconds() {
-		for f, n := range s.Fates {
+		for f, n := range s.Outcomes {
 			fates[f] += n
 			all += n
 		}
@@ -127,7 +127,7 @@
 // repeatsExcess returns by how many the repeated attempts that workers received exceed the limit in
 // the worst time window; 0 or less means that they don't.
 func (l *labRig) repeatsExcess() float64 {
-	return limitExcess(emulator.Again(l.site.Record(), demo.Site()), labRepeats, 1, len(l.routers), lateness)
+	return limitExcess(emulator.Repeats(l.site.Record(), demo.Site()), labRepeats, 1, len(l.routers), lateness)
 }
 
 // arrivalsWhileCold returns the times of the attempts that a worker received while it was cold,
@@ -166,7 +166,7 @@
 				l.site.Set(name, engine.Fault{Errors: true})
 			}
 			cut := func(from, to int) bool { return (from < 2) != (to < 2) }
-			l.layout.Between(cut, relay.Fault{Refuse: true, Drop: [2]bool{true, true}})
+			l.layout.SetFaults(cut, relay.Fault{Refuse: true, Drop: [2]bool{true, true}})
 			before := len(l.site.Record())
 			if !bound {
 				eventually(t, func() bool { return l.repeatsExcess() > 0 }, "the check finds repeats over the limit")
@@ -175,7 +175,7 @@
 			}
 			eventually(t, func() bool { return len(l.site.Record()) > before+400 }, "the workers receive attempts")
 			require.LessOrEqual(t, l.repeatsExcess(), 0.0, "partitioned in two")
-			l.layout.Between(func(int, int) bool { return false }, relay.Fault{})
+			l.layout.SetFaults(func(int, int) bool { return false }, relay.Fault{})
 			for _, s := range demo.Site().Servers {
 				l.site.Set(s.Name, engine.Fault{})
 			}
@@ -193,7 +193,7 @@
 			cold := l.arrivalsWhileCold("reader-0", up)
 			require.LessOrEqual(t, limitExcess(cold, labCold, 1, 5, lateness), 0.0, "%d attempts while it was cold", len(cold))
 			require.LessOrEqual(t, l.repeatsExcess(), 0.0)
-			require.Zero(t, fates[emulator.Unheard]+fates[emulator.Late])
+			require.Zero(t, fates[emulator.Unreached]+fates[emulator.Late])
 			l.requireOneAnswerEach()
 			eventually(t, func() bool { return l.site.Held() == 0 }, "the states held by readers are released")
 			out, err := command(t, "fleet", "budgets", "--operator", l.layout.Routers[0].Operator)
@@ -228,7 +228,7 @@
 	require.Less(t, took, 30*time.Second)
 	require.LessOrEqual(t, l.repeatsExcess(), 0.0)
 	require.Greater(t, float64(fates[emulator.Served]), 0.8*float64(all))
-	require.Zero(t, fates[emulator.Unheard], "at least one router listens at any time")
+	require.Zero(t, fates[emulator.Unreached], "at least one router listens at any time")
 	l.requireOneAnswerEach()
 }
 
@@ -303,7 +303,7 @@
 				Router: []string{binary}}, &out)
 			require.NoError(t, err, out.String())
 			require.Contains(t, out.String(), "REQUESTS")
-			require.Zero(t, r.Twice)
+			require.Zero(t, r.AnsweredTwice)
 			picture, err := os.ReadFile(plot)
 			require.NoError(t, err)
 			require.True(t, bytes.HasPrefix(picture, []byte("\x89PNG")))
@@ -356,15 +356,15 @@
 		i, s := rng.IntN(n), servers[rng.IntN(len(servers))].Name
 		switch kind {
 		case "drop":
-			l.layout.Between(pick, relay.Fault{Drop: [2]bool{true, true}})
+			l.layout.SetFaults(pick, relay.Fault{Drop: [2]bool{true, true}})
 		case "one way":
-			l.layout.Between(pick, relay.Fault{Drop: [2]bool{true, false}})
+			l.layout.SetFaults(pick, relay.Fault{Drop: [2]bool{true, false}})
 		case "late":
-			l.layout.Between(pick, relay.Fault{Delay: time.Duration(rng.IntN(int(2 * time.Second)))})
+			l.layout.SetFaults(pick, relay.Fault{Delay: time.Duration(rng.IntN(int(2 * time.Second)))})
 		case "refuse":
-			l.layout.Between(pick, relay.Fault{Refuse: true})
+			l.layout.SetFaults(pick, relay.Fault{Refuse: true})
 		case "heal":
-			l.layout.Between(func(int, int) bool { return false }, relay.Fault{})
+			l.layout.SetFaults(func(int, int) bool { return false }, relay.Fault{})
 		case "stop":
 			l.routers[i].signal(syscall.SIGSTOP)
 			time.Sleep(time.Duration(rng.IntN(int(3 * time.Second))))
@@ -390,21 +390,21 @@
 		time.Sleep(time.Duration(rng.IntN(int(time.Second))))
 	}
 	fates, all := l.stopClients()
-	repeats := emulator.Again(l.site.Record(), demo.Site())
+	repeats := emulator.Repeats(l.site.Record(), demo.Site())
 	worst := -1e9
 	for _, s := range starts {
 		worst = max(worst, limitExcess(l.arrivalsWhileCold(s.name, s.up), labCold, 1, n, lateness))
 	}
 	t.Logf("faults %v; %d requests: %d served, %d broken, %d refused, %d failed, %d unheard, %d late; %d repeats, over the limit by %.1f; "+
 		"%d cold starts, over their limit by %.1f at worst; %d cold workers fell", faults, all, fates[0], fates[1], fates[2], fates[3], fates[4], fates[5],
-		len(repeats), l.repeatsExcess(), len(starts), worst, l.site.Fell())
+		len(repeats), l.repeatsExcess(), len(starts), worst, l.site.OverloadCrashes())
 	require.LessOrEqual(t, l.repeatsExcess(), 0.0)
 	require.LessOrEqual(t, worst, 0.0)
 	l.requireOneAnswerEach()
 	// A router that was killed can't release the states of its open or just answered requests; all
 	// others must.
 	ofKilledRouter := func(id string) bool {
-		for _, trip := range l.clients.Trips(id) {
+		for _, trip := range l.clients.Transmissions(id) {
 			for _, k := range kills {
 				if k.router == trip.Router && k.at.After(trip.From.Add(-time.Second)) && k.at.Before(trip.To.Add(time.Second)) {
 					return true
--- a/test/overlap_clients_test.go
+++ b/test/overlap_clients_test.go
@@ -189,7 +189,7 @@
 
 // end notes the end of a request, unless its router was killed meanwhile. While idle clients have its descriptors, a router may
 // shut a new connection that it has not read.
-func (c *overlapClient) end(to *overlapRouter, q asked, end judge.Final) {
+func (c *overlapClient) end(to *overlapRouter, q asked, end judge.Outcome) {
 	if end == judge.Unanswered && to.crowds.Load() != 0 {
 		c.rig.judge.ExcuseUnread(q.id)
 	}
--- a/test/overlap_test.go
+++ b/test/overlap_test.go
@@ -218,8 +218,8 @@
 	library, err := clockLibrary()
 	require.NoError(t, err)
 	r := &overlapRig{t: t, rng: rand.New(rand.NewPCG(seed, 0)), library: library, leaving: map[*overlapWorker]string{}, toldAt: map[*overlapWorker]time.Time{}, played: map[string]int{},
-		judge: judge.New(judge.Limits{Answer: 500 * time.Millisecond, Grace: 300 * time.Millisecond, Held: 600 * time.Millisecond, Told: toldSlack,
-			Gone: 100 * time.Millisecond, Copies: 50 * time.Millisecond, Window: 2 * time.Second, Slack: overlapSlack,
+		judge: judge.New(judge.Limits{Answer: 500 * time.Millisecond, Grace: 300 * time.Millisecond, Held: 600 * time.Millisecond, TimeBudget: toldSlack,
+			AfterEnd: 100 * time.Millisecond, Overlap: 50 * time.Millisecond, Window: 2 * time.Second, Slack: overlapSlack,
 			Cold: judge.Cold{Share: 0.3, Within: 10 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond}})} // as settings
 	if r.cantVanish = link.CanBlackhole(); r.cantVanish != nil {
 		t.Logf("not played: machines that vanish: %v", r.cantVanish)
@@ -357,7 +357,7 @@
 	clients.Wait()
 	time.Sleep(2 * time.Second) // what is held is let go of by then
 	r.finish()
-	broken := r.judge.Verdict(time.Now())
+	broken := r.judge.Violations(time.Now())
 	requests, attempts, ends := r.judge.Counts()
 	t.Logf("seed %d: %d requests, %d attempts, ends %v, troubles %v", seed, requests, attempts, ends, r.played)
 	for _, f := range r.faults {
--- a/test/zone_test.go
+++ b/test/zone_test.go
@@ -224,17 +224,17 @@
 	eventually(t, z0Unused, "z0 receives nothing because of its old map")
 
 	ofZ1 := func(i int) bool { return i%zones == 1 }
-	z.layout.Between(func(from, to int) bool { return ofZ1(from) && !ofZ1(to) }, relay.Fault{Drop: [2]bool{true, false}})
+	z.layout.SetFaults(func(from, to int) bool { return ofZ1(from) && !ofZ1(to) }, relay.Fault{Drop: [2]bool{true, false}})
 	setFailing(false)
 	for i := range all {
 		eventually(t, func() bool { z.epochs(last); return z.state(i, "z0") == "healthy" }, fmt.Sprintf("z0 is back at router %d", i))
 	}
-	z.layout.Between(func(int, int) bool { return true }, relay.Fault{Delay: 2 * time.Second})
+	z.layout.SetFaults(func(int, int) bool { return true }, relay.Fault{Delay: 2 * time.Second})
 	for until := z.seconds() + 5; z.seconds() < until; {
 		z.epochs(last)
 		time.Sleep(soon)
 	}
-	z.layout.Between(func(int, int) bool { return false }, relay.Fault{})
+	z.layout.SetFaults(func(int, int) bool { return false }, relay.Fault{})
 	z.waitForState("z0", "healthy")
 	eventually(t, func() bool { z.epochs(last); return slices.Equal(deciders(all), []int{0}) }, "the first router decides again")
 	t0 := time.Now()
