--- a/test/clocks_test.go
+++ b/test/clocks_test.go
@@ -12,43 +12,44 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hour is a step of a clock, as when it is set by hand to the time of another place.
-const hour = time.Hour
+// clockStep is the size of a clock step, as when a clock is set to the wrong time zone.
+const clockStep = time.Hour
 
-// A worker that has just started is sent to as a cold one, whatever the router's wall clock, or that of the others, says.
-func TestNoClockMakesAFreshWorkerWarm(t *testing.T) {
-	const most = 0.25 // of the answers; a warm one has half of them
+// Guards against a router that treats a worker which has just started as warm because its own wall
+// clock, or the one from which the start time was taken, is wrong by an hour.
+func TestClockErrorsDoNotMakeNewWorkerWarm(t *testing.T) {
+	const maxShare = 0.25 // of the answers; a warm worker has half of them
 	for name, off := range map[string]struct{ router, others time.Duration }{
 		"all clocks right":          {0, 0},
-		"all stepped back":          {-hour, -hour},
-		"all stepped forward":       {hour, hour},
-		"the router's stepped back": {-hour, 0},
-		"the router's forward":      {hour, 0},
-		"the others' stepped back":  {0, -hour},
-		"the others' forward":       {0, hour},
+		"all stepped back":          {-clockStep, -clockStep},
+		"all stepped forward":       {clockStep, clockStep},
+		"the router's stepped back": {-clockStep, 0},
+		"the router's forward":      {clockStep, 0},
+		"the others' stepped back":  {0, -clockStep},
+		"the others' forward":       {0, clockStep},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, w := pair(t, nil)
 			other := newWorker(t, "s-00000003", "writer", nil)
-			p, wall, d := platformSteppable(t, r, w, other)
-			stop := traffic(p)
+			p, wall, d := platformWithClock(t, r, w, other)
+			stop := sendTraffic(p)
 			defer stop()
 			eventually(t, func() bool { return posts(w) > 50 && posts(other) > 50 }, "both writers are in use")
 			require.NoError(t, wall.Set(off.router))
 			d.list(false, "terminated", w)
 			time.Sleep(300 * time.Millisecond)
 			fresh, warm := posts(w), posts(other)
-			p.told(d.listSince(w, time.Now().Add(off.others)))
+			p.told(d.addWorkerStartedAt(w, time.Now().Add(off.others)))
 			time.Sleep(time.Second)
 			fresh, warm = posts(w)-fresh, posts(other)-warm
-			t.Logf("%d answers of the fresh worker, %d of the other", fresh, warm)
-			require.Less(t, float64(fresh)/float64(fresh+warm), most)
+			t.Logf("%d answers of the new worker, %d of the other", fresh, warm)
+			require.Less(t, float64(fresh)/float64(fresh+warm), maxShare)
 		})
 	}
 }
 
-// lineBegun reads an answer's head and its first event.
-func lineBegun(t *testing.T, br *bufio.Reader) {
+// readFirstEvent reads an answer up to its first event.
+func readFirstEvent(t *testing.T, br *bufio.Reader) {
 	for {
 		line, err := br.ReadString('\n')
 		require.NoError(t, err)
@@ -58,9 +59,10 @@
 	}
 }
 
-// A client's time runs from the last byte of its request, also where that was sent while the answer before it was still
-// going on. A worker is never told that more is left than the client has, and the answer comes in the client's time.
-func TestTheTimeOfARequestSentAheadRunsFromItsArrival(t *testing.T) {
+// The deadline of a request runs from its last byte, also if the request is pipelined behind one
+// that is still being answered. The router must not state more time left to a worker than the
+// client has.
+func TestDeadlineOfPipelinedRequestRunsFromArrival(t *testing.T) {
 	more := make(chan struct{})
 	k := newWorker(t, "s-00000001", "mixed", held(more))
 	p, _ := platform(t, k)
@@ -69,7 +71,7 @@
 	defer c.Close()
 	br := bufio.NewReader(c)
 	require.NoError(t, p.request("query", newID(), 3*time.Second).Write(c))
-	lineBegun(t, br)
+	readFirstEvent(t, br)
 	second := newID()
 	require.NoError(t, p.request("query", second, time.Second).Write(c))
 	sent := time.Now()
@@ -78,11 +80,11 @@
 	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 2 }, "the second request is sent on")
 	got := k.got(http.MethodPost)[1]
 	require.Equal(t, second, got.id)
-	told, err := strconv.Atoi(got.header.Get("X-Time-Left-Ms"))
+	stated, err := strconv.Atoi(got.header.Get("X-Time-Left-Ms"))
 	require.NoError(t, err)
 	left := time.Second - got.at.Sub(sent)
-	require.LessOrEqual(t, time.Duration(told)*time.Millisecond, left+toldSlack)
+	require.LessOrEqual(t, time.Duration(stated)*time.Millisecond, left+timeLeftTolerance)
 }
 
-// toldSlack is how much more time than is left a worker may be told.
-const toldSlack = 150 * time.Millisecond
+// timeLeftTolerance is how much X-Time-Left-Ms may exceed the time that is left.
+const timeLeftTolerance = 150 * time.Millisecond
--- a/test/crossings_test.go
+++ b/test/crossings_test.go
@@ -19,11 +19,13 @@
 	"lichenshelf/internal/standin/link"
 )
 
-// told6 is the time after which a change counts as told, whatever failed before.
-const told6 = 6 * time.Second
+// maxListDelay is the time after which a change counts as announced to a router, whatever failed
+// before.
+const maxListDelay = 6 * time.Second
 
-// asking makes a program's configuration one of a deployment where lists are asked for.
-func asking(t *testing.T, file string) {
+// setSubscribeMode sets membership-mode subscribe in a program's configuration file: the router
+// then requests lists itself.
+func setSubscribeMode(t *testing.T, file string) {
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	changed := strings.Replace(string(text), `"balancers":`, `"membership-mode":"subscribe","balancers":`, 1)
@@ -31,9 +33,10 @@
 	require.NoError(t, os.WriteFile(file, []byte(changed), 0o600))
 }
 
-// Where lists are asked for, a leaving counts as told 6 s after discovery could be reached again, whatever it did until
-// then and however many routers ask it.
-func TestAskedListsAreToldIn6Seconds(t *testing.T) {
+// With membership-mode subscribe, a router must have a new list within 6 s after discovery is
+// reachable again, whatever failed before and however many routers there are. The fault lasts 9 s,
+// after which retry delays have reached their maximum.
+func TestSubscribedListsArriveWithin6Seconds(t *testing.T) {
 	for name, fault := range map[string]func(d *discovery, r *link.Relay) (over func()){
 		"refuses": func(_ *discovery, r *link.Relay) func() {
 			r.Set(link.Fault{Refuse: true})
@@ -60,26 +63,26 @@
 			require.NoError(t, err)
 			defer relay.Close()
 			addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
-			among(t, file, 300)
-			asking(t, file)
+			setRouterCount(t, file, 300)
+			setSubscribeMode(t, file)
 			p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "ROUTER_DISCOVERY=" + relay.Addr(),
 				"ROUTER_CONFIG=" + file}, "serve").waitReady()
-			stop := traffic(p)
+			stop := sendTraffic(p)
 			defer stop()
 			eventually(t, func() bool { return posts(w) > 0 && posts(other) > 0 }, "both writers are in use")
 			over := fault(d, relay)
-			time.Sleep(9 * time.Second) // waits have grown by then as far as they do
+			time.Sleep(9 * time.Second) // retry delays have reached their maximum by then
 			generation := d.list(false, "terminating", w)
 			over()
 			from := time.Now()
-			eventually(t, func() bool { return p.logged(fmt.Sprintf("generation=%d ", generation)) }, "it is told")
-			require.Less(t, time.Since(from), told6)
+			eventually(t, func() bool { return p.logged(fmt.Sprintf("generation=%d ", generation)) }, "the list is received")
+			require.Less(t, time.Since(from), maxListDelay)
 		})
 	}
 }
 
-// raw opens a connection to a program and sends text.
-func (p *program) raw(text string) net.Conn {
+// sendRaw opens a connection to the program and sends text.
+func (p *program) sendRaw(text string) net.Conn {
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(p.t, err)
 	p.t.Cleanup(func() { _ = c.Close() })
@@ -88,31 +91,32 @@
 	return c
 }
 
-// text is a request as it goes over a connection.
-func (p *program) text(class, id string, patience time.Duration) string {
+// requestText returns a request in HTTP/1.1 wire format.
+func (p *program) requestText(class, id string, patience time.Duration) string {
 	req := p.request(class, id, patience)
 	var b strings.Builder
 	require.NoError(p.t, req.Write(&b))
 	return b.String()
 }
 
-// A client that closes its connection has gone: no attempt begins for it 0.1 s later, wherever its request stands, and
-// none for what it has sent ahead.
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
-	const gone = 100 * time.Millisecond
+// Guards against work for clients that have disconnected: 0.1 s after a client closes, resets or
+// half-closes its connection no attempt may start for its request, at whatever stage that is, and
+// none at all for pipelined requests.
+func TestNoAttemptStartsForDisconnectedClient(t *testing.T) {
+	const disconnectDelay = 100 * time.Millisecond
 	slow := func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(700 * time.Millisecond)
 		read(w, r)
 	}
 	for name, tc := range map[string]struct {
-		reader func(http.ResponseWriter, *http.Request)
-		deaf   int // writers that don't come up
-		ahead  int // requests behind the first
+		reader      func(http.ResponseWriter, *http.Request)
+		unreachable int // unreachable writers, in place of a reachable one
+		ahead       int // pipelined requests behind the first
 	}{
 		"while it is read":                {reader: slow},
 		"with one request ahead":          {reader: slow, ahead: 1},
 		"with more than the server reads": {reader: slow, ahead: 40},
-		"while a writer is reached":       {deaf: 3},
+		"while a writer is reached":       {unreachable: 3},
 	} {
 		for way, leave := range map[string]func(*net.TCPConn) error{
 			"close": (*net.TCPConn).Close,
@@ -123,29 +127,30 @@
 				t.Parallel()
 				r := newWorker(t, "s-00000001", "reader", tc.reader)
 				workers := []*worker{r}
-				if tc.deaf == 0 {
+				if tc.unreachable == 0 {
 					workers = append(workers, newWorker(t, "s-00000002", "writer", nil))
 				}
 				p, d := platform(t, workers...)
-				for i := range tc.deaf {
-					addr, _ := deafWorker(t)
-					d.listAt(fmt.Sprintf("s-000002%02x", i), "writer", addr)
+				for i := range tc.unreachable {
+					addr, _ := unreachableWorker(t)
+					d.addWorkerAt(fmt.Sprintf("s-000002%02x", i), "writer", addr)
 				}
-				p.told(1 + tc.deaf)
+				p.told(1 + tc.unreachable)
 				ids := []string{newID()}
-				text := p.text("query", ids[0], patience)
+				text := p.requestText("query", ids[0], patience)
 				for range tc.ahead {
 					ids = append(ids, newID())
-					text += p.text("query", ids[len(ids)-1], patience)
+					text += p.requestText("query", ids[len(ids)-1], patience)
 				}
-				c := p.raw(text)
-				eventually(t, func() bool { return posts(r) > 0 }, "the first is at work")
+				c := p.sendRaw(text)
+				eventually(t, func() bool { return posts(r) > 0 }, "the first request is at the reader")
 				require.NoError(t, leave(c.(*net.TCPConn)))
 				left := time.Now()
-				time.Sleep(1500 * time.Millisecond) // an attempt would begin as the first one's answer comes
+				// The next attempt would start when the reader answers, after 0.7 s.
+				time.Sleep(1500 * time.Millisecond)
 				for _, k := range workers {
 					for _, got := range k.got(http.MethodPost) {
-						require.Less(t, got.at.Sub(left), gone, "%s at %s", got.id, k.name)
+						require.Less(t, got.at.Sub(left), disconnectDelay, "%s at %s", got.id, k.name)
 						require.Equal(t, ids[0], got.id, "a request behind the first, at %s", k.name)
 					}
 				}
@@ -154,14 +159,15 @@
 	}
 }
 
-// Idle clients that fill the descriptors, while discovery is down, leave it, workers and the console theirs: the list is
-// heard as soon as it is told, clients that ask are served, and what is held is let go of.
-func TestIdleClientsLeaveDescriptorsToOthers(t *testing.T) {
+// Guards against idle clients that use up all descriptors while discovery is down. Descriptors must
+// be left for discovery, workers and the console: the router receives the list as soon as discovery
+// answers, serves clients and releases held states.
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	const sockets = 256
 	r := newWorker(t, "s-00000001", "reader", nil)
-	gone := newWorker(t, "s-00000002", "writer", cut)
+	failing := newWorker(t, "s-00000002", "writer", cut)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, gone)
+	d.list(true, "in_service", r, failing)
 	addr, console, file := ownAddr(t), ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -179,10 +185,10 @@
 		defer c.Close()
 		idle = append(idle, c)
 	}
-	d.CloseClientConnections() // what asks discovery needs a new one now
+	d.CloseClientConnections() // the router now needs a new connection to discovery
 	id := newID()
-	require.NotEqual(t, 200, p.ask("query", id, time.Second).status, "its writer breaks off")
-	eventually(t, func() bool { return released(id, r, gone) }, "what is held is let go of")
+	require.NotEqual(t, 200, p.ask("query", id, time.Second).status, "its writer closes the connection")
+	eventually(t, func() bool { return released(id, r, failing) }, "the held state is released")
 	writer := newWorker(t, "s-00000003", "writer", nil)
 	generation := d.list(false, "in_service", writer)
 	up()
@@ -194,25 +200,26 @@
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	require.Equal(t, 200, resp.StatusCode)
-	_, open := used(t, p.cmd.Process.Pid)
+	_, open := processUsage(t, p.cmd.Process.Pid)
 	t.Logf("%d idle clients, %d descriptors of %d", len(idle), open, sockets)
 	require.LessOrEqual(t, open, sockets)
 }
 
-// Thirty processes that start together are ready in time, whatever discovery does just then.
-func TestProcessesAreReadyWhateverDiscoveryDoes(t *testing.T) {
-	const processes, within = 30, 10 * time.Second
+// Thirty processes that start together must be ready within 10 s (90 % of them) if discovery is
+// unreachable, refuses connections or does not answer.
+func TestProcessesBecomeReadyWithoutDiscovery(t *testing.T) {
+	const processes, timeout = 30, 10 * time.Second
 	r, w := pair(t, nil)
-	mute, _ := deafWorker(t)
+	mute, _ := unreachableWorker(t)
 	dead := ownAddr(t)
-	slow, err := net.Listen("tcp", "127.0.0.1:0") // it takes calls, and says nothing
+	slow, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	require.NoError(t, err)
 	defer slow.Close()
 	var all sync.WaitGroup
 	var programs []*program
 	for i := range processes {
 		addr, file := ownAddr(t), config(t, listText(0, true, "in_service", r, w), connIdle)
-		among(t, file, processes)
+		setRouterCount(t, file, processes)
 		programs = append(programs, start(t, addr, []string{"ROUTER_LISTEN=" + addr, fmt.Sprintf("ROUTER_NAME=n%d", i),
 			"ROUTER_DISCOVERY=" + []string{mute, dead, slow.Addr().String()}[i%3], "ROUTER_CONFIG=" + file}, "serve"))
 	}
@@ -229,7 +236,7 @@
 	all.Wait()
 	inTime := 0
 	for _, d := range took {
-		if d < within {
+		if d < timeout {
 			inTime++
 		}
 	}
@@ -238,28 +245,28 @@
 	require.Equal(t, 200, programs[0].ask("query", newID(), patience).status)
 }
 
-// step by step: a writer goes on only when its client has got what it wrote last.
-type inStep struct {
-	mu  sync.Mutex
-	got map[string]chan struct{} // by request, a word for each event that its client has
+// lockstep makes a writer send an event only after the client has received the one before.
+type lockstep struct {
+	mu   sync.Mutex
+	acks map[string]chan struct{} // by request id, a message per event received
 }
 
-func (s *inStep) of(id string) chan struct{} {
+func (s *lockstep) acksOf(id string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.got[id] == nil {
-		s.got[id] = make(chan struct{}, 100)
+	if s.acks[id] == nil {
+		s.acks[id] = make(chan struct{}, 100)
 	}
-	return s.got[id]
+	return s.acks[id]
 }
 
-// serve writes events one by one, each when the one before has arrived.
-func (s *inStep) serve(events int) func(http.ResponseWriter, *http.Request) {
+// serve writes events one by one, each when the client has received the one before.
+func (s *lockstep) serve(events int) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		begin(w)
 		for range events {
 			select {
-			case <-s.of(r.Header.Get("X-Correlation-Id")):
+			case <-s.acksOf(r.Header.Get("X-Correlation-Id")):
 			case <-r.Context().Done():
 				return
 			}
@@ -270,9 +277,9 @@
 	}
 }
 
-// follow asks for streams all at once and returns how many began and how many came to their end, where no event may take
-// longer than most after the one before.
-func (s *inStep) follow(p *program, addr string, streams int, most time.Duration) (begun, ended int) {
+// follow requests streams concurrently and returns how many began and how many were completed. It
+// ends a stream in which an event comes later than maxGap after the one before.
+func (s *lockstep) follow(p *program, addr string, streams int, maxGap time.Duration) (begun, ended int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for range streams {
@@ -291,7 +298,7 @@
 			mu.Lock()
 			begun++
 			mu.Unlock()
-			late := time.AfterFunc(most, func() { _ = resp.Body.Close() })
+			late := time.AfterFunc(maxGap, func() { _ = resp.Body.Close() })
 			defer late.Stop()
 			for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 				if text := lines.Text(); text == "data: [DONE]" {
@@ -299,8 +306,8 @@
 					ended++
 					mu.Unlock()
 				} else if text != "" {
-					late.Reset(most)
-					s.of(id) <- struct{}{}
+					late.Reset(maxGap)
+					s.acksOf(id) <- struct{}{}
 				}
 			}
 		})
@@ -309,11 +316,12 @@
 	return begun, ended
 }
 
-// Events are passed on one by one as they come, beside clients that read nothing of long streams: none waits for the
-// one behind it. The check fails where they are held back.
-func TestEventsArePassedOnOneByOne(t *testing.T) {
+// Guards against events that are held back until the next one comes. Writers send an event only
+// after the client has received the one before, beside clients that read nothing of long streams. A
+// link with a delay of 200 ms shows that the check can fail.
+func TestEventsAreForwardedImmediately(t *testing.T) {
 	const streams, stuck, each = 200, 10, 8
-	steps := &inStep{got: map[string]chan struct{}{}}
+	steps := &lockstep{acks: map[string]chan struct{}{}}
 	r := newWorker(t, "s-00000001", "reader", nil)
 	w := newWorker(t, "s-00000002", "writer", func(rw http.ResponseWriter, req *http.Request) {
 		if req.Header.Get("X-Stuck") == "" {
@@ -321,7 +329,7 @@
 			return
 		}
 		begin(rw)
-		for range 100 { // more than a connection holds
+		for range 100 { // more than the buffers of a connection hold
 			if _, err := io.WriteString(rw, "data: "+strings.Repeat("x", 64<<10)+"\n\n"); err != nil {
 				return
 			}
@@ -329,7 +337,7 @@
 	})
 	p, _ := platform(t, r, w)
 	for range stuck {
-		p.raw(strings.Replace(p.text("query", newID(), patience), "\r\n", "\r\nX-Stuck: 1\r\n", 1))
+		p.sendRaw(strings.Replace(p.requestText("query", newID(), patience), "\r\n", "\r\nX-Stuck: 1\r\n", 1))
 	}
 	eventually(t, func() bool { return posts(w) > 0 }, "long streams have begun")
 	var begun, ended int
@@ -337,7 +345,7 @@
 		b, e := steps.follow(p, p.addr, 50, patient)
 		begun, ended = begun+b, ended+e
 	}
-	require.GreaterOrEqual(t, ended, begun*19/20, "streams that came to their end in step, of %d", begun)
+	require.GreaterOrEqual(t, ended, begun*19/20, "streams completed in lockstep, of %d", begun)
 
 	relay, err := link.New(p.addr)
 	require.NoError(t, err)
@@ -350,8 +358,9 @@
 	require.Zero(t, ended, "the check can fail")
 }
 
-// Signals that cross: each process ends in good order, and what it has in hand is answered.
-func TestSignalsThatCross(t *testing.T) {
+// A process that receives several signals in quick succession must exit cleanly, complete its open
+// requests and close connections with partial requests without a reset.
+func TestSignalsInQuickSuccession(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"SIGTERM twice":       {syscall.SIGTERM, syscall.SIGTERM},
 		"SIGHUP then SIGTERM": {syscall.SIGHUP, syscall.SIGTERM},
@@ -365,8 +374,8 @@
 			answers := make(chan answer, 1)
 			go func() { answers <- p.ask("query", newID(), patience) }()
 			eventually(t, func() bool { return posts(w) == 1 }, "the answer has begun")
-			half := p.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Le")
-			body := p.raw(p.text("query", newID(), patience)[:400])
+			half := p.sendRaw("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Le")
+			body := p.sendRaw(p.requestText("query", newID(), patience)[:400])
 			for _, s := range signals {
 				p.signal(s)
 			}
@@ -378,14 +387,14 @@
 			for _, c := range []net.Conn{half, body} {
 				require.NoError(t, c.SetReadDeadline(time.Now().Add(patient)))
 				_, err := io.ReadAll(c)
-				require.NoError(t, err, "half a request is not reset")
+				require.NoError(t, err, "a connection with a partial request is reset")
 			}
 			p.waitExit()
 		})
 	}
 }
 
-// Told to end before it is ready, a process ends at once and in good order.
+// A process that receives SIGTERM before it is ready must exit cleanly.
 func TestSIGTERMBeforeReady(t *testing.T) {
 	slow, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/test/disk_hang_test.go
+++ b/test/disk_hang_test.go
@@ -13,8 +13,9 @@
 	"lichenshelf/internal/standin/syscalls"
 )
 
-// hastyPut writes to the store, and tells whether that was acknowledged in hasty's time.
-func hastyPut(t *testing.T, url, body string) bool {
+// putWithinTimeout writes to the store and reports whether the write was acknowledged within the
+// timeout of the client hasty.
+func putWithinTimeout(t *testing.T, url, body string) bool {
 	req, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
 	require.NoError(t, err)
 	resp, err := hasty.Do(req)
@@ -25,25 +26,26 @@
 	return resp.StatusCode == http.StatusNoContent
 }
 
-// A leader whose disk no longer answers gives way: the others go on taking writes. It can be stopped, and has all of them once it
-// runs again on a disk that answers.
-func TestALeaderWhoseDiskHangsGivesWay(t *testing.T) {
+// Guards against a store that is blocked by a leader whose disk hangs. Another replica must take
+// over and accept writes; the old leader must stop on SIGTERM, and have all writes after a restart
+// on a disk that works.
+func TestLeaderWithHungDiskIsReplaced(t *testing.T) {
 	var disks []*syscalls.Faults
 	programs, apis, _, _ := replicasStarted(t, "", false, func(addr string, args ...string) *program {
-		p, faults := startTrapped(t, []int{syscalls.Fdatasync}, addr, nil, args...)
+		p, faults := startWithFaults(t, []int{syscalls.Fdatasync}, addr, nil, args...)
 		disks = append(disks, faults)
 		return p
 	})
 	status, _ := storeCall(t, http.MethodPost, "http://"+apis[0]+"/v1/nodes/n", "before")
 	require.Equal(t, http.StatusCreated, status)
-	_, told := storeCall(t, http.MethodGet, "http://"+apis[0]+"/v1/leader", "")
-	leader := slices.Index([]string{"r0", "r1", "r2"}, fmt.Sprint(told["leader"]))
-	require.NotEqual(t, -1, leader, "%v", told)
+	_, leaderInfo := storeCall(t, http.MethodGet, "http://"+apis[0]+"/v1/leader", "")
+	leader := slices.Index([]string{"r0", "r1", "r2"}, fmt.Sprint(leaderInfo["leader"]))
+	require.NotEqual(t, -1, leader, "%v", leaderInfo)
 
 	disks[leader].Set(syscalls.Hang(syscalls.Fdatasync))
-	require.False(t, hastyPut(t, "http://"+apis[leader]+"/v1/nodes/n", "never"), "acknowledged, and on no disk")
+	require.False(t, putWithinTimeout(t, "http://"+apis[leader]+"/v1/nodes/n", "never"), "acknowledged, and on no disk")
 	other := (leader + 1) % len(programs)
-	eventually(t, func() bool { return hastyPut(t, "http://"+apis[other]+"/v1/nodes/n", "beside") }, "the others take writes")
+	eventually(t, func() bool { return putWithinTimeout(t, "http://"+apis[other]+"/v1/nodes/n", "beside") }, "the other replicas accept writes")
 
 	stuck := programs[leader]
 	stuck.signal(syscall.SIGTERM)
@@ -52,20 +54,20 @@
 	eventually(t, func() bool {
 		_, n := storeCall(t, http.MethodGet, "http://"+apis[leader]+"/v1/nodes/n", "")
 		return n["data"] == "beside"
-	}, "what was acknowledged meanwhile is there")
+	}, "the write acknowledged meanwhile is present")
 }
 
-// A router whose store's disk does not answer as it starts can be stopped.
-func TestAStartOnADiskThatHangsCanBeStopped(t *testing.T) {
+// A router whose store's disk hangs during the start must exit on SIGTERM.
+func TestStartWithHungDiskCanBeStopped(t *testing.T) {
 	var disks []*syscalls.Faults
 	programs, _, _, _ := replicasStarted(t, "", false, func(addr string, args ...string) *program {
-		p, faults := startTrapped(t, []int{syscalls.Fdatasync}, addr, nil, args...)
+		p, faults := startWithFaults(t, []int{syscalls.Fdatasync}, addr, nil, args...)
 		faults.Set(syscalls.Hang(syscalls.Fdatasync))
 		disks = append(disks, faults)
 		return p
 	})
 	for i, p := range programs {
-		eventually(t, func() bool { return disks[i].Calls(syscalls.Fdatasync) > 0 }, "the disk was asked")
+		eventually(t, func() bool { return disks[i].Calls(syscalls.Fdatasync) > 0 }, "a sync has been attempted")
 		p.signal(syscall.SIGTERM)
 		p.waitExit()
 	}
--- a/test/erring_worker_test.go
+++ b/test/erring_worker_test.go
@@ -11,10 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A writer that answers errors at once holds nothing and looks the best of all: it is asked by trials, not for each request, and
-// what may run once only fails by it no more than by those.
-func TestAWorkerThatErrsAtOnceIsAskedSeldom(t *testing.T) {
-	const askFor, mostTrials = 3 * time.Second, 8 // of each class: the first two errors, and trials 2 s and more apart
+// Guards against a fast-failing worker that attracts all requests: a writer that answers errors at
+// once has no open requests, which makes it look the least loaded. It must receive trial requests
+// only, and requests that may run only once must fail no more often than those trials.
+func TestFastFailingWorkerReceivesOnlyTrials(t *testing.T) {
+	// Per class: the first two errors, and trials at least 2 s apart.
+	const askFor, maxTrials = 3 * time.Second, 8
 	var erred atomic.Int64
 	streams := func(w http.ResponseWriter, _ *http.Request) {
 		begin(w)
@@ -44,12 +46,12 @@
 			}
 		}
 	}
-	repeatable := askUntil(asking, 4, 10*time.Millisecond, ask("query"))
-	once := askUntil(asking, 2, 10*time.Millisecond, ask("file"))
+	repeatable := askRepeatedly(asking, 4, 10*time.Millisecond, ask("query"))
+	once := askRepeatedly(asking, 2, 10*time.Millisecond, ask("file"))
 	repeatable.Wait()
 	once.Wait()
 	t.Logf("%d served, %d failed, %d errors", served.Load(), failed.Load(), erred.Load())
-	require.Less(t, erred.Load(), int64(2*mostTrials))
-	require.Less(t, failed.Load(), int64(mostTrials))
+	require.Less(t, erred.Load(), int64(2*maxTrials))
+	require.Less(t, failed.Load(), int64(maxTrials))
 	require.Greater(t, served.Load(), int64(20))
 }
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -21,21 +21,21 @@
 	"lichenshelf/internal/standin/syscalls"
 )
 
-// running fails the test if the program has ended.
-func (p *program) running() {
+// requireRunning fails the test if the program has exited.
+func (p *program) requireRunning() {
 	p.t.Helper()
 	select {
 	case err := <-p.exit:
-		p.t.Fatalf("the program has ended: %v", err)
+		p.t.Fatalf("the program has exited: %v", err)
 	default:
 	}
 }
 
-// Linux may answer an accept with an error of the network or of the machine's resources that is over a moment later. The
-// listener goes on: none of them ends the router.
-func TestARouterOutlivesFailedAccepts(t *testing.T) {
+// Guards against a router that exits because accept failed. Linux reports temporary errors of the
+// network and of the machine's resources from accept; the listener must continue after all of them.
+func TestRouterSurvivesFailedAccepts(t *testing.T) {
 	r, w := pair(t, nil)
-	p, faults, _ := platformTrapped(t, []int{syscalls.Accept4}, r, w)
+	p, faults, _ := platformWithFaults(t, []int{syscalls.Accept4}, r, w)
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET,
 		syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ETIMEDOUT} {
@@ -47,13 +47,14 @@
 		require.NoError(t, a.err, errno.Error())
 		require.Equal(t, http.StatusOK, a.status, errno.Error())
 		require.Greater(t, faults.Failed(syscalls.Accept4), failed, errno.Error())
-		p.running()
+		p.requireRunning()
 	}
 }
 
-// A disk that takes no write for some seconds ends no router: the replica takes no write meanwhile and comes back by itself,
-// with all that was acknowledged. The rest of the router goes on all the while.
-func TestARouterOutlivesTheDiskOfItsStore(t *testing.T) {
+// Guards against a router that exits when the disk of its store rejects writes for some seconds.
+// The replica must acknowledge no write meanwhile and recover by itself with all acknowledged data;
+// the rest of the router must continue to serve.
+func TestRouterSurvivesStoreDiskFailure(t *testing.T) {
 	for name, down := range map[string]syscalls.Decide{
 		"no sync":  syscalls.Always(syscall.EIO, syscalls.Fdatasync, syscalls.Fsync),
 		"no space": syscalls.Always(syscall.ENOSPC, syscalls.Pwrite64),
@@ -62,7 +63,7 @@
 			b := newWorker(t, "m-a", "model", model)
 			var disks []*syscalls.Faults
 			programs, apis, front, _ := replicasStarted(t, backendFile(b), false, func(addr string, args ...string) *program {
-				p, faults := startTrapped(t, []int{syscalls.Fdatasync, syscalls.Fsync, syscalls.Pwrite64}, addr, nil, args...)
+				p, faults := startWithFaults(t, []int{syscalls.Fdatasync, syscalls.Fsync, syscalls.Pwrite64}, addr, nil, args...)
 				disks = append(disks, faults)
 				return p
 			})
@@ -93,13 +94,13 @@
 			for end := time.Now().Add(4 * time.Second); time.Now().Before(end); {
 				require.Equal(t, http.StatusOK, a.post(embedPath, "", embedBody).status)
 				for _, p := range programs {
-					p.running()
+					p.requireRunning()
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 			asked.Wait()
 			last := programs[2]
-			last.signal(syscall.SIGTERM) // a replica that waits for its disk can be stopped
+			last.signal(syscall.SIGTERM) // a replica that waits for its disk must stop on SIGTERM
 			last.waitExit()
 			for _, d := range disks {
 				d.Set(nil)
@@ -111,20 +112,21 @@
 				eventually(t, func() bool {
 					_, n := storeCall(t, http.MethodGet, "http://"+apis[i]+"/v1/nodes/n", "")
 					return n["data"] == "after"
-				}, "each replica has come back")
-				programs[i].running()
+				}, "each replica has recovered")
+				programs[i].requireRunning()
 			}
 		})
 	}
 }
 
-// Syncs that fail now and then, a few at a time, while each replica is written to, end no router and lose nothing that was
-// acknowledged; a router that is started again afterwards has all of it.
-func TestSyncsThatFailNowAndThenEndNoRouter(t *testing.T) {
-	const lasts, mostFailing = 8 * time.Second, 8 // syncs in a row
+// Guards against exits and lost data when up to 8 syncs in a row fail at random while all replicas
+// are written to. No router may exit, and all replicas, one of them restarted, must have every
+// acknowledged write.
+func TestRouterSurvivesIntermittentSyncFailures(t *testing.T) {
+	const duration, maxFailing = 8 * time.Second, 8 // syncs in a row
 	var disks []*syscalls.Faults
 	programs, apis, _, _ := replicasStarted(t, "", false, func(addr string, args ...string) *program {
-		p, faults := startTrapped(t, []int{syscalls.Fdatasync}, addr, nil, args...)
+		p, faults := startWithFaults(t, []int{syscalls.Fdatasync}, addr, nil, args...)
 		disks = append(disks, faults)
 		return p
 	})
@@ -132,7 +134,7 @@
 		status, _ := storeCall(t, http.MethodPost, "http://"+apis[i]+fmt.Sprintf("/v1/nodes/n%d", i), "0")
 		require.Equal(t, http.StatusCreated, status)
 	}
-	until := time.Now().Add(lasts)
+	until := time.Now().Add(duration)
 	var all sync.WaitGroup
 	acknowledged := make([]int, 3)
 	for i := range 3 {
@@ -152,14 +154,14 @@
 			rng := rand.New(rand.NewPCG(1, uint64(i)))
 			for time.Now().Before(until) {
 				time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
-				disks[i].Set(syscalls.Next(syscalls.Fdatasync, 1+rng.IntN(mostFailing), syscall.EIO))
+				disks[i].Set(syscalls.Next(syscalls.Fdatasync, 1+rng.IntN(maxFailing), syscall.EIO))
 			}
 			disks[i].Set(nil)
 		})
 	}
 	all.Wait()
 	for _, p := range programs {
-		p.running()
+		p.requireRunning()
 	}
 	again := programs[2]
 	again.signal(syscall.SIGTERM)
@@ -171,23 +173,25 @@
 				_, node := storeCall(t, http.MethodGet, fmt.Sprintf("http://%s/v1/nodes/n%d", apis[at], i), "")
 				text, _ := node["data"].(string)
 				n, err := strconv.Atoi(text)
-				return err == nil && n >= acknowledged[i] // a write without an answer may be there as well
-			}, fmt.Sprintf("what was acknowledged last (%d) is at replica %d", acknowledged[i], at))
+				// An unanswered write may be stored as well.
+				return err == nil && n >= acknowledged[i]
+			}, fmt.Sprintf("the last acknowledged write (%d) is at replica %d", acknowledged[i], at))
 		}
 		require.Positive(t, disks[i].Failed(syscalls.Fdatasync))
 	}
 	t.Logf("acknowledged %v", acknowledged)
 }
 
-// backendFile is what a model API's file says of a backend.
+// backendFile returns the part of a model API's configuration file that describes a backend.
 func backendFile(b *worker) string {
 	return fmt.Sprintf("[[backend]]\nname = %q\naddr = %q\n", b.name, b.Listener.Addr())
 }
 
-// What the router's own machine lacks for a moment is no fault of the worker to which a connection was being opened.
-func TestAFailedDialForLackOfItsOwnIsNoFaultOfAWorker(t *testing.T) {
+// A connect or socket call that fails because the router's own machine lacks resources must not
+// count as a failure of the worker.
+func TestLocalDialFailureDoesNotCountAgainstWorker(t *testing.T) {
 	r, w := pair(t, nil)
-	p, faults, _ := platformTrapped(t, []int{syscalls.Connect, syscalls.Socket}, r, w)
+	p, faults, _ := platformWithFaults(t, []int{syscalls.Connect, syscalls.Socket}, r, w)
 	for call, errnos := range map[int][]syscall.Errno{
 		syscalls.Connect: {syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EAGAIN, syscall.EPERM},
 		syscalls.Socket:  {syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE},
@@ -195,7 +199,7 @@
 		for _, errno := range errnos {
 			r.CloseClientConnections()
 			w.CloseClientConnections()
-			time.Sleep(20 * time.Millisecond) // the router has seen them end
+			time.Sleep(20 * time.Millisecond) // the router has noticed the closes
 			failed := faults.Failed(call)
 			faults.Set(syscalls.Next(call, 2, errno))
 			require.Equal(t, http.StatusOK, p.ask("query", newID(), 3*time.Second).status, errno.Error())
@@ -205,39 +209,44 @@
 	require.False(t, p.logged("outcome=connect_failed"), "a worker was blamed")
 }
 
-// A client that leaves behind more than is read ahead is seen to leave, also where the look at its connection is interrupted.
-func TestAnInterruptedLookMissesNoLeaving(t *testing.T) {
-	for _, ahead := range []int{280 << 10, 400 << 10} { // just more than is read ahead, and much more
-		t.Run(fmt.Sprint(ahead), func(t *testing.T) { leaveBehind(t, ahead) })
+// Guards against a missed disconnect: once a client has sent more than the router reads ahead, the
+// router polls the connection to notice the close, and a poll that fails with EINTR must be
+// repeated.
+func TestInterruptedPollDetectsDisconnect(t *testing.T) {
+	// Slightly more than the router reads ahead, and much more.
+	for _, ahead := range []int{280 << 10, 400 << 10} {
+		t.Run(fmt.Sprint(ahead), func(t *testing.T) { testDisconnectAfterWrites(t, ahead) })
 	}
 }
 
-func leaveBehind(t *testing.T, ahead int) {
+func testDisconnectAfterWrites(t *testing.T, ahead int) {
 	ended := make(chan struct{})
 	k := newWorker(t, "s-00000001", "mixed", func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(ended)
 	})
-	p, faults, _ := platformTrapped(t, []int{syscalls.Ppoll}, k)
+	p, faults, _ := platformWithFaults(t, []int{syscalls.Ppoll}, k)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	require.NoError(t, p.request("file", newID(), 30*time.Second).Write(c))
-	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 1 }, "it is in hand")
+	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 1 }, "the worker has the request")
 	_, err = c.Write(make([]byte, ahead))
 	require.NoError(t, err)
-	time.Sleep(100 * time.Millisecond) // it is read ahead, and looked at from then on
+	// The router has read ahead and polls the connection from then on.
+	time.Sleep(100 * time.Millisecond)
 	faults.Set(syscalls.Next(syscalls.Ppoll, 1, syscall.EINTR))
 	require.NoError(t, c.Close())
 	select {
 	case <-ended:
 	case <-time.After(loaded):
-		t.Fatal("the attempt goes on for a client that has gone")
+		t.Fatal("the attempt continues after its client has disconnected")
 	}
 	require.Equal(t, 1, faults.Failed(syscalls.Ppoll))
 }
 
-// A replica whose disk takes no writes as its router starts is waited for: the start does not end, and goes on with the disk.
-func TestAStartOutlivesTheDiskOfItsStore(t *testing.T) {
+// A router whose store can't write to its disk at the start must wait and retry, and continue once
+// the disk accepts writes.
+func TestStartWaitsForStoreDisk(t *testing.T) {
 	own := filepath.Join(t.TempDir(), "store.toml")
 	api := ownAddr(t)
 	text := fmt.Sprintf("id = \"r0\"\ndata_dir = %q\n[[peer]]\nid = \"r0\"\nraft = %q\napi = %q\n", filepath.Join(t.TempDir(), "data"), ownAddr(t), api)
@@ -246,8 +255,8 @@
 	require.NoError(t, err)
 	disk.Set(syscalls.Always(syscall.ENOSPC, syscalls.Pwrite64))
 	p := startCommand(t, cmd, api, nil)
-	eventually(t, func() bool { return disk.Failed(syscalls.Pwrite64) > 1 }, "it has tried more than once")
-	p.running()
+	eventually(t, func() bool { return disk.Failed(syscalls.Pwrite64) > 1 }, "the write was retried")
+	p.requireRunning()
 	disk.Set(nil)
 	status, _ := storeCall(t, http.MethodPost, "http://"+api+"/v1/nodes/n", "0")
 	require.Equal(t, http.StatusCreated, status)
@@ -255,23 +264,25 @@
 	p.waitExit()
 }
 
-// A look at a connection that fails for want of memory does not make a client look gone that is still there: it has its answer.
-func TestAFailedLookEndsNobodysRequest(t *testing.T) {
+// A poll of a connection that fails with ENOMEM must not count as a disconnect: the client, which
+// is still connected, must receive its answer.
+func TestFailedPollDoesNotEndRequest(t *testing.T) {
 	more := make(chan struct{})
 	k := newWorker(t, "s-00000001", "mixed", func(w http.ResponseWriter, r *http.Request) {
 		<-more
 		write(w, r)
 	})
-	p, faults, _ := platformTrapped(t, []int{syscalls.Ppoll}, k)
+	p, faults, _ := platformWithFaults(t, []int{syscalls.Ppoll}, k)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, p.request("file", newID(), 10*time.Second).Write(c))
-	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 1 }, "it is in hand")
+	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 1 }, "the worker has the request")
 	faults.Set(syscalls.Next(syscalls.Ppoll, 3, syscall.ENOMEM))
-	_, err = c.Write(make([]byte, 280<<10)) // more than is read ahead: the connection is looked at from then on
+	// More than the router reads ahead: it polls the connection from then on.
+	_, err = c.Write(make([]byte, 280<<10))
 	require.NoError(t, err)
-	eventually(t, func() bool { return faults.Failed(syscalls.Ppoll) > 0 }, "a look has failed")
+	eventually(t, func() bool { return faults.Failed(syscalls.Ppoll) > 0 }, "a poll has failed")
 	time.Sleep(50 * time.Millisecond)
 	close(more)
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(patient)))
--- a/test/hand_test.go
+++ b/test/hand_test.go
@@ -11,9 +11,9 @@
 	"lichenshelf/internal/standin/syscalls"
 )
 
-// What an operator takes out at one process is out at the other one of an upgrade too, also where that could open no file
-// for a moment just then.
-func TestAWorkerOutByHandStaysOutWhereNoFileOpensForAMoment(t *testing.T) {
+// During an upgrade, a worker that an operator suspends at one process must be suspended at the
+// other one too, even if that process can't open files for a moment.
+func TestSuspensionReachesProcessThatCannotOpenFiles(t *testing.T) {
 	r, w := pair(t, nil)
 	out := newWorker(t, "s-00000003", "writer", nil)
 	d := newDiscovery(t)
@@ -22,16 +22,16 @@
 	env := []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "TMPDIR=" + t.TempDir(), "ROUTER_DISCOVERY=" + d.Listener.Addr().String(),
 		"ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)}
 	old := start(t, addr, append(env, "ROUTER_CONSOLE="+first), "serve").waitReady()
-	next, faults := startTrapped(t, []int{syscalls.Openat}, addr, append(env, "ROUTER_CONSOLE="+second), "serve")
+	next, faults := startWithFaults(t, []int{syscalls.Openat}, addr, append(env, "ROUTER_CONSOLE="+second), "serve")
 	operator := &program{t: t, addr: second}
 	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 200 }, "the new process is ready")
 
 	faults.Set(syscalls.Always(syscall.ENFILE, syscalls.Openat))
 	operator.addr = first
 	require.Equal(t, 200, operator.status(http.MethodPost, "/v1/workers/s-00000003/suspend"))
-	eventually(t, func() bool { return faults.Failed(syscalls.Openat) > 0 }, "the new process has looked, and could not")
+	eventually(t, func() bool { return faults.Failed(syscalls.Openat) > 0 }, "the new process has failed to open the file")
 	faults.Set(nil)
-	time.Sleep(time.Second) // within it the operator's yes binds everywhere
+	time.Sleep(time.Second) // the suspension must be effective everywhere by then
 	old.signal(syscall.SIGTERM)
 	old.waitExit()
 	for range 30 {
@@ -40,8 +40,8 @@
 	require.Zero(t, posts(out))
 }
 
-// Sockets that can't be had for a moment delay a start, and don't end it.
-func TestAStartOutlivesFailedSockets(t *testing.T) {
+// Socket, bind and listen calls that fail for one second must delay a start and not end it.
+func TestStartRetriesFailedSockets(t *testing.T) {
 	for name, c := range map[string]struct {
 		call  int
 		errno syscall.Errno
@@ -69,7 +69,7 @@
 			p := startCommand(t, cmd, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "ROUTER_CONSOLE=" + console,
 				"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)})
 			for from := time.Now(); time.Since(from) < 10*time.Second && p.status(http.MethodGet, "/healthz") != 200; time.Sleep(soon) {
-				p.running()
+				p.requireRunning()
 			}
 			require.Equal(t, http.StatusOK, p.ask("query", newID(), patience).status)
 			require.Equal(t, http.StatusOK, (&program{t: t, addr: console}).status(http.MethodGet, "/v1/readyz"))
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,5 +1,5 @@
-// Package test starts the real program as a process and talks to it as clients,
-// workers and discovery would.
+// Package test runs the built program as a process and talks to it as clients, workers and
+// discovery do.
 package test
 
 import (
@@ -27,17 +27,20 @@
 	"lichenshelf/internal/standin/clock"
 	"lichenshelf/internal/standin/syscalls"
 
-	// The program is built by a command, which go test does not see: without this
-	// it would repeat an old verdict after a change of the program.
+	// The tests build the program with a command, which go test does not track: without this import
+	// it would reuse cached results after a change to the program.
 	_ "lichenshelf/internal/cli"
 )
 
 const (
-	patient = 20 * time.Second // for what must happen at last
+	// patient is the time limit for conditions that must hold eventually.
+	patient = 20 * time.Second
 	// goroutineDumpTimeout is how long a program may take to write the trace of its goroutines.
 	goroutineDumpTimeout = 5 * time.Second
-	soon                 = 2 * time.Millisecond
-	loaded               = 2 * time.Second // how late a machine with other work may be
+	// soon is the interval between checks of a condition.
+	soon = 2 * time.Millisecond
+	// loaded is the delay allowed for a machine that is busy with other work.
+	loaded = 2 * time.Second
 )
 
 var binary string
@@ -53,7 +56,8 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
-	// A program built with the race detector waits a second at its end for reports that are still being made.
+	// A program built with the race detector sleeps for one second at exit by default, to let
+	// reports finish.
 	if err := os.Setenv("GORACE", "atexit_sleep_ms=50"); err != nil {
 		panic(err)
 	}
@@ -62,26 +66,27 @@
 	os.Exit(code)
 }
 
+// eventually fails the test unless f returns true within patient.
 func eventually(t *testing.T, f func() bool, what string) {
 	t.Helper()
 	require.Eventually(t, f, patient, soon, what)
 }
 
-// program is a running lichenshelf.
+// program is a running lichenshelf process.
 type program struct {
 	t    *testing.T
 	addr string
-	file string // the platform's configuration
+	file string // the platform's configuration file
 	cmd  *exec.Cmd
 	mu   sync.Mutex
 	log  bytes.Buffer
 	exit chan error
-	// Of a program whose log is read by readLog:
-	pause   sync.Mutex    // held while nobody reads the log
-	logRead chan struct{} // closed when it has been read to its end; nil: the log is not read so
+	// For a program whose log is read by readLog:
+	logPause   sync.Mutex    // held while reading of the log is suspended
+	logDrained chan struct{} // closed when the log has been read to its end; nil without readLog
 
-	read   int               // of the log, for served
-	served map[string]string // the workers, as the log told of their changes
+	read   int               // bytes of the log already evaluated for served
+	served map[string]string // the current workers, from the changes in the log
 }
 
 func (p *program) Write(b []byte) (int, error) {
@@ -100,8 +105,9 @@
 	return startCommand(t, exec.Command(binary, args...), addr, env)
 }
 
-// startTrapped is start with system calls of the given numbers that can be made to fail.
-func startTrapped(t *testing.T, calls []int, addr string, env []string, args ...string) (*program, *syscalls.Faults) {
+// startWithFaults is like start and returns a handle that makes the system calls with the given
+// numbers fail.
+func startWithFaults(t *testing.T, calls []int, addr string, env []string, args ...string) (*program, *syscalls.Faults) {
 	cmd, faults, err := syscalls.Command(calls, binary, args...)
 	require.NoError(t, err)
 	return startCommand(t, cmd, addr, env), faults
@@ -134,29 +140,29 @@
 	return p
 }
 
-// smallPipe is the least that a pipe holds.
-const smallPipe = 4 << 10
+// smallPipeBytes is the smallest capacity that Linux allows for a pipe.
+const smallPipeBytes = 4 << 10
 
-// newSmallPipe returns both ends of a pipe that holds little.
+// newSmallPipe returns both ends of a pipe with a capacity of smallPipeBytes.
 func newSmallPipe(t *testing.T) (r, w *os.File) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
-	_, err = unix.FcntlInt(w.Fd(), unix.F_SETPIPE_SZ, smallPipe)
+	_, err = unix.FcntlInt(w.Fd(), unix.F_SETPIPE_SZ, smallPipeBytes)
 	require.NoError(t, err)
 	return r, w
 }
 
-// readLog reads the program's log from a pipe, but while pause is held.
+// readLog reads the program's log from a pipe and suspends reading while logPause is held.
 func (p *program) readLog(r *os.File) {
-	p.logRead = make(chan struct{})
+	p.logDrained = make(chan struct{})
 	go func() {
-		defer close(p.logRead)
+		defer close(p.logDrained)
 		defer r.Close()
-		for b := make([]byte, smallPipe); ; {
+		for b := make([]byte, smallPipeBytes); ; {
 			n, err := r.Read(b)
-			p.pause.Lock()
+			p.logPause.Lock()
 			_, _ = p.Write(b[:n])
-			p.pause.Unlock()
+			p.logPause.Unlock()
 			if err != nil {
 				return
 			}
@@ -194,7 +200,8 @@
 	}
 }
 
-// dumpGoroutines has the program end with a trace of all its goroutines in its log, so that a failure shows what it waited for.
+// dumpGoroutines ends the program with SIGQUIT, which writes a trace of all goroutines to its log,
+// so that a failed test shows what the program was waiting for.
 func (p *program) dumpGoroutines() {
 	_ = p.cmd.Process.Signal(syscall.SIGQUIT)
 	select {
@@ -203,7 +210,7 @@
 	}
 }
 
-// call is one call that a worker got, whole.
+// call is a request that a worker has received completely.
 type call struct {
 	method, uri, id string
 	header          http.Header
@@ -211,19 +218,19 @@
 	at              time.Time
 }
 
-// worker is a stand-in for a worker.
+// worker is an HTTP server that stands in for a worker.
 type worker struct {
 	*httptest.Server
 	name, kind string
-	serve      func(w http.ResponseWriter, r *http.Request) // instead of its kind's answer
-	gone       func(id string)                              // told of releases, if it is set
+	serve      func(w http.ResponseWriter, r *http.Request) // replaces the default answer
+	gone       func(id string)                              // called for each release, unless nil
 	mu         sync.Mutex
 	calls      []call
 	conns      int
 	open       int
 }
 
-// What the kinds answer by themselves.
+// The default stream of a worker: its first event and the rest.
 const (
 	events = "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
 	rest   = "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":64}}}\n\ndata: [DONE]\n\n"
@@ -271,24 +278,26 @@
 	}
 }
 
+// read is the default answer of a reader.
 func read(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusAccepted)
 	_, _ = io.WriteString(w, `{"cached_tokens":64}`)
 }
 
+// write is the default answer of writers and mixed workers.
 func write(w http.ResponseWriter, _ *http.Request) {
 	begin(w)
 	_, _ = io.WriteString(w, rest)
 }
 
-// begin sends a stream's first event.
+// begin sends the first event of a stream.
 func begin(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	_, _ = io.WriteString(w, events)
 	w.(http.Flusher).Flush()
 }
 
-// cut ends the connection without another byte.
+// cut closes the connection without sending another byte.
 func cut(w http.ResponseWriter, _ *http.Request) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
@@ -296,9 +305,10 @@
 	}
 }
 
-// silent answers nothing until the router closes the connection.
+// silent sends no answer and returns when the router closes the connection.
 func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
+// got returns the calls received with the method.
 func (k *worker) got(method string) []call {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -311,6 +321,7 @@
 	return out
 }
 
+// posts counts the POST calls that the workers have received.
 func posts(workers ...*worker) (n int) {
 	for _, k := range workers {
 		n += len(k.got(http.MethodPost))
@@ -318,7 +329,7 @@
 	return n
 }
 
-// released tells whether the named request's state was let go of at any of them.
+// released reports whether any of the workers was asked to release the state of the request.
 func released(id string, workers ...*worker) bool {
 	for _, k := range workers {
 		for _, c := range k.got(http.MethodDelete) {
@@ -333,58 +344,59 @@
 // discovery is a stand-in for the discovery agent.
 type discovery struct {
 	*httptest.Server
-	mu    sync.Mutex
-	lines []string      // by generation, from 1
-	more  chan struct{} // closed when a line is added
-	from  []string      // what watches asked for
-	whole string        // the list, where it is asked for
-	mute  int           // watches from before it was counted up say nothing any more
-	fails bool          // calls are answered 503
-	down  chan struct{} // nothing is said to anybody until this is closed; nil: it is up
+	mu        sync.Mutex
+	lines     []string      // by generation, from 1
+	lineAdded chan struct{} // closed and replaced when a line is added
+	from      []string      // the from parameters of the watches
+	fullList  string        // the answer to requests that are not watches
+	silences  int           // calls of silence, which stop the watches opened before
+	refusing  bool          // calls are answered 503
+	downUntil chan struct{} // calls are not answered until it is closed; nil: discovery is up
 }
 
-// silence makes all open watches fall silent; they stay open.
+// silence stops sending on all open watches, which stay open.
 func (d *discovery) silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mute++
-	close(d.more)
-	d.more = make(chan struct{})
+	d.silences++
+	close(d.lineAdded)
+	d.lineAdded = make(chan struct{})
 }
 
-// refuse makes all calls end with 503, or no more.
+// refuse sets whether new calls are answered with 503.
 func (d *discovery) refuse(yes bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fails = yes
+	d.refusing = yes
 }
 
-// stop makes all watches fall silent, and answers none until start.
+// stop stops sending on all open watches and leaves new calls unanswered until start is called.
 func (d *discovery) stop() (start func()) {
 	d.silence()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down = make(chan struct{})
+	d.downUntil = make(chan struct{})
 	return sync.OnceFunc(func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		close(d.down)
-		d.down = nil
+		close(d.downUntil)
+		d.downUntil = nil
 	})
 }
 
 func newDiscovery(t *testing.T) *discovery { return newDiscoveryAt(t, "127.0.0.1:0", "") }
 
-// newDiscoveryAt listens at an address and has a whole list, its first generation.
-func newDiscoveryAt(t *testing.T, addr, whole string) *discovery {
-	d := &discovery{more: make(chan struct{}), whole: whole}
+// newDiscoveryAt returns a discovery that listens at the address. The full list, unless empty, is
+// its first line.
+func newDiscoveryAt(t *testing.T, addr, fullList string) *discovery {
+	d := &discovery{lineAdded: make(chan struct{}), fullList: fullList}
 	d.Server = httptest.NewUnstartedServer(http.HandlerFunc(d.watch))
 	l, err := net.Listen("tcp", addr)
 	require.NoError(t, err)
 	_ = d.Listener.Close()
 	d.Listener = l
-	if whole != "" {
-		d.say(whole)
+	if fullList != "" {
+		d.say(fullList)
 	}
 	d.Start()
 	t.Cleanup(func() { d.CloseClientConnections(); d.Close() })
@@ -393,15 +405,15 @@
 
 func (d *discovery) watch(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	mute, down, fails := d.mute, d.down, d.fails
+	silences, downUntil, refusing := d.silences, d.downUntil, d.refusing
 	d.mu.Unlock()
-	if fails {
+	if refusing {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if down != nil {
+	if downUntil != nil {
 		select {
-		case <-down:
+		case <-downUntil:
 		case <-r.Context().Done():
 			return
 		}
@@ -409,7 +421,7 @@
 	if !r.URL.Query().Has("watch") {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		_, _ = io.WriteString(w, d.whole)
+		_, _ = io.WriteString(w, d.fullList)
 		return
 	}
 	d.mu.Lock()
@@ -420,7 +432,7 @@
 	w.(http.Flusher).Flush()
 	for {
 		d.mu.Lock()
-		lines, more, muted := d.lines, d.more, d.mute != mute
+		lines, lineAdded, muted := d.lines, d.lineAdded, d.silences != silences
 		d.mu.Unlock()
 		if muted {
 			<-r.Context().Done()
@@ -431,7 +443,7 @@
 		}
 		w.(http.Flusher).Flush()
 		select {
-		case <-more:
+		case <-lineAdded:
 		case <-time.After(time.Second):
 			_, _ = io.WriteString(w, "\n")
 		case <-r.Context().Done():
@@ -440,15 +452,16 @@
 	}
 }
 
+// say adds a line, which is sent on all watches.
 func (d *discovery) say(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lines = append(d.lines, line)
-	close(d.more)
-	d.more = make(chan struct{})
+	close(d.lineAdded)
+	d.lineAdded = make(chan struct{})
 }
 
-// list adds a list, or changes to it, and returns its generation.
+// list adds a full list (reset) or changes to it, and returns the generation.
 func (d *discovery) list(reset bool, lifecycle string, workers ...*worker) int {
 	d.mu.Lock()
 	generation := len(d.lines) + 1
@@ -457,14 +470,14 @@
 	return generation
 }
 
-// told waits until the program has been told of a list.
+// told waits until the program has logged the list of a generation and returns the time.
 func (p *program) told(generation int) time.Time {
-	eventually(p.t, func() bool { return p.logged(fmt.Sprintf("generation=%d ", generation)) }, "the list is told")
+	eventually(p.t, func() bool { return p.logged(fmt.Sprintf("generation=%d ", generation)) }, "the list is received")
 	return time.Now()
 }
 
-// listAt adds a worker that is at an address, and no stand-in of this harness.
-func (d *discovery) listAt(name, kind, addr string) int {
+// addWorkerAt adds a line with a worker at any address.
+func (d *discovery) addWorkerAt(name, kind, addr string) int {
 	d.mu.Lock()
 	generation := len(d.lines) + 1
 	d.mu.Unlock()
@@ -473,8 +486,8 @@
 	return generation
 }
 
-// listSince adds a line of a worker that is in service and has started at a time.
-func (d *discovery) listSince(k *worker, since time.Time) int {
+// addWorkerStartedAt adds a line with a worker in service that started at the given time.
+func (d *discovery) addWorkerStartedAt(k *worker, since time.Time) int {
 	d.mu.Lock()
 	generation := len(d.lines) + 1
 	d.mu.Unlock()
@@ -526,7 +539,7 @@
 	return file
 }
 
-// platform starts the program with a discovery that lists the workers.
+// platform starts the program with a discovery that lists the workers, and waits until it is ready.
 func platform(t *testing.T, workers ...*worker) (*program, *discovery) {
 	d := newDiscovery(t)
 	d.list(true, "in_service", workers...)
@@ -537,7 +550,7 @@
 	return platformOf(t, d, config(t, `{"generation":0,"reset":true,"instances":[]}`, idle))
 }
 
-// platformOf starts the program by a configuration's file.
+// platformOf starts the program with a configuration file.
 func platformOf(t *testing.T, d *discovery, file string) *program {
 	addr := ownAddr(t)
 	p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
@@ -546,19 +559,19 @@
 	return p
 }
 
-// platformTrapped is platform with system calls that can be made to fail.
-func platformTrapped(t *testing.T, calls []int, workers ...*worker) (*program, *syscalls.Faults, *discovery) {
+// platformWithFaults is like platform and returns a handle that makes the system calls fail.
+func platformWithFaults(t *testing.T, calls []int, workers ...*worker) (*program, *syscalls.Faults, *discovery) {
 	d := newDiscovery(t)
 	d.list(true, "in_service", workers...)
 	addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
-	p, faults := startTrapped(t, calls, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
+	p, faults := startWithFaults(t, calls, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
 		"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + file}, "serve")
 	p.file = file
 	return p.waitReady(), faults, d
 }
 
-// platformSteppable is platform with a wall clock that can be stepped.
-func platformSteppable(t *testing.T, workers ...*worker) (*program, *clock.Clock, *discovery) {
+// platformWithClock is like platform and returns a handle that steps the program's wall clock.
+func platformWithClock(t *testing.T, workers ...*worker) (*program, *clock.Clock, *discovery) {
 	library, err := clockLibrary()
 	require.NoError(t, err)
 	wall, err := library.New(t.TempDir())
@@ -572,10 +585,10 @@
 	return p.waitReady(), wall, d
 }
 
-// clockLibrary is built once, in the directory of the program.
+// clockLibrary builds the clock library once, in the directory of the program.
 var clockLibrary = sync.OnceValues(func() (clock.Library, error) { return clock.Build(filepath.Dir(binary)) })
 
-// replaceFile puts another text in a file's place, so that nobody reads half of it.
+// replaceFile replaces the content of a file atomically, so that no process reads half of it.
 func replaceFile(path, text string) error {
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
@@ -583,7 +596,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// reconfigure replaces the platform's configuration and has it read again.
+// reconfigure replaces the platform's configuration file and makes the program reload it.
 func (p *program) reconfigure(text string) {
 	require.NoError(p.t, replaceFile(p.file, text))
 	p.signal(syscall.SIGHUP)
@@ -601,12 +614,12 @@
 	return fmt.Sprintf("%016x", ids.last)
 }
 
-// answer is what a client got.
+// answer is the response that a client received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	err    error // met while reading the body
+	err    error // of the call, or of reading the body
 	took   time.Duration
 }
 
@@ -623,9 +636,9 @@
 	return req
 }
 
-// askUntil has clients, each with connections of its own, ask again and again until ctx ends, with a pause after each time. The
-// returned group is done when all have ended.
-func askUntil(ctx context.Context, clients int, pause time.Duration, ask func(*http.Client)) *sync.WaitGroup {
+// askRepeatedly starts clients, each with its own connections, that call ask in a loop until ctx
+// ends, with a pause after each call. The returned group is done when all clients have ended.
+func askRepeatedly(ctx context.Context, clients int, pause time.Duration, ask func(*http.Client)) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for range clients {
 		all.Go(func() {
@@ -655,7 +668,7 @@
 	return answer{resp.StatusCode, resp.Header, string(body), err, time.Since(from)}
 }
 
-// firstLine reads one line of a stream that is still open.
+// firstLine reads the first line of a response body, which may still be open.
 func firstLine(t *testing.T, resp *http.Response) string {
 	line, err := bufio.NewReader(resp.Body).ReadString('\n')
 	require.NoError(t, err)
--- a/test/held_test.go
+++ b/test/held_test.go
@@ -18,117 +18,118 @@
 	"lichenshelf/internal/standin/link"
 )
 
-// mostTries is the settings' bounds.most-tries.
-const mostTries = 5
+// maxAttempts is bounds.most-tries in settings.
+const maxAttempts = 5
 
-// heldWithin is the settings' extra.release-ns, and what the platform adds.
-const heldWithin = 600 * time.Millisecond
+// maxHoldTime is extra.release-ns in settings plus the platform's tolerance.
+const maxHoldTime = 600 * time.Millisecond
 
-// holds is what workers saw of the states that are held for requests, by their names.
+// holds records what workers observe of the read states held for requests, by request id.
 type holds struct {
-	mu    sync.Mutex
-	since map[string]time.Time // held, and no attempt out that has reached a worker
-	out   map[string]int       // attempts that have, at writers
-	begun map[string]bool      // its answer has, which lets go of the rest
-	late  []string
-	read  int
-	most  time.Duration
+	mu       sync.Mutex
+	since    map[string]time.Time // since when a state is held with no attempt at a writer
+	pending  map[string]int       // attempts that have reached a writer and not ended
+	answered map[string]bool      // a writer's answer has begun, which frees the state
+	overdue  []string
+	reads    int
+	maxHeld  time.Duration
 }
 
 func newHolds() *holds {
-	return &holds{since: map[string]time.Time{}, out: map[string]int{}, begun: map[string]bool{}}
+	return &holds{since: map[string]time.Time{}, pending: map[string]int{}, answered: map[string]bool{}}
 }
 
-// left notes that a writer's attempt has ended, and whether its answer had begun.
-func (h *holds) left(id string, began bool) {
+// attemptEnded records that an attempt at a writer has ended, and whether its answer had begun.
+func (h *holds) attemptEnded(id string, began bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.out[id]--
-	h.begun[id] = h.begun[id] || began
-	if h.out[id] == 0 && !h.begun[id] {
+	h.pending[id]--
+	h.answered[id] = h.answered[id] || began
+	if h.pending[id] == 0 && !h.answered[id] {
 		h.since[id] = time.Now()
 	}
 }
 
-// answerLost notes that the answer of a request's read may not have come to the router, for which it is out then.
+// answerLost records that a reader's answer may not have reached the router, for which the read is
+// then still pending.
 func (h *holds) answerLost(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.since, id)
 }
 
-// taken notes that a state was taken or let go of.
-func (h *holds) taken(id string) {
+// stateFreed records that a state was used by a writer or released.
+func (h *holds) stateFreed(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if from, ok := h.since[id]; ok {
 		delete(h.since, id)
-		h.note(id, time.Since(from))
+		h.record(id, time.Since(from))
 	}
 }
 
-func (h *holds) note(id string, d time.Duration) {
-	h.most = max(h.most, d)
-	if d > heldWithin {
-		h.late = append(h.late, fmt.Sprintf("%s after %v", id, d))
+func (h *holds) record(id string, d time.Duration) {
+	h.maxHeld = max(h.maxHeld, d)
+	if d > maxHoldTime {
+		h.overdue = append(h.overdue, fmt.Sprintf("%s after %v", id, d))
 	}
 }
 
-// judge returns the requests whose states were held for too long.
-func (h *holds) judge() []string {
+// check returns the requests whose states were held for longer than maxHoldTime.
+func (h *holds) check() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, from := range h.since {
-		h.note(id, time.Since(from))
+		h.record(id, time.Since(from))
 	}
-	return slices.Clone(h.late)
+	return slices.Clone(h.overdue)
 }
 
-// watched makes a worker tell what it sees of held states.
-func (h *holds) watched(k *worker) *worker {
+// observe makes a worker report held states to h.
+func (h *holds) observe(k *worker) *worker {
 	serve := k.serve
 	k.serve = func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Correlation-Id")
 		if k.kind == "reader" {
 			read(w, r)
 			h.mu.Lock()
-			h.read++
+			h.reads++
 			h.since[id] = time.Now()
 			h.mu.Unlock()
 			return
 		}
-		h.taken(id)
+		h.stateFreed(id)
 		h.mu.Lock()
-		h.out[id]++
+		h.pending[id]++
 		h.mu.Unlock()
-		// A writer that does not begin to answer leaves the state where it is.
-		began := &beginning{ResponseWriter: w}
+		// If the writer does not begin an answer, the reader still holds the state.
+		rw := &recorder{ResponseWriter: w}
 		if serve == nil {
-			write(began, r)
+			write(rw, r)
 		} else {
-			serve(began, r)
+			serve(rw, r)
 		}
-		h.left(id, began.yes)
+		h.attemptEnded(id, rw.began)
 	}
-	k.gone = func(id string) { h.taken(id) }
+	k.gone = func(id string) { h.stateFreed(id) }
 	return k
 }
 
-// beginning notes whether an answer has begun.
-type beginning struct {
+// recorder records whether an answer has begun.
+type recorder struct {
 	http.ResponseWriter
-	yes bool
+	began bool
 }
 
-func (b *beginning) Write(p []byte) (int, error) { b.yes = true; return b.ResponseWriter.Write(p) }
-func (b *beginning) Flush()                      { b.ResponseWriter.(http.Flusher).Flush() }
-func (b *beginning) Hijack() (net.Conn, *bufio.ReadWriter, error) {
+func (b *recorder) Write(p []byte) (int, error) { b.began = true; return b.ResponseWriter.Write(p) }
+func (b *recorder) Flush()                      { b.ResponseWriter.(http.Flusher).Flush() }
+func (b *recorder) Hijack() (net.Conn, *bufio.ReadWriter, error) {
 	return b.ResponseWriter.(http.Hijacker).Hijack()
 }
 
-// deafWorker returns the address of a machine whose connections never come up, until hear is
-// called: then they do, and are ended.
-func deafWorker(t *testing.T) (addr string, hear func()) {
+// unreachableWorker returns an address at which no connection can be established until accept is
+// called, which then accepts and closes all connections.
+func unreachableWorker(t *testing.T) (addr string, accept func()) {
 	l, err := deaf.Listen()
 	require.NoError(t, err)
 	t.Cleanup(l.Close)
@@ -143,50 +144,50 @@
 	}
 }
 
-// What a reader holds for a request is taken by a writer or let go of within the settings'
-// time, and what the platform adds, whatever its writers and its client do: as the
-// workers saw it.
-func TestHeldStatesAreTakenOrLetGoInTime(t *testing.T) {
+// Guards against read states that a reader holds for too long. Each must be used by a writer or
+// released within maxHoldTime, whatever the writers and the client do. The workers' observations
+// decide.
+func TestHeldStatesAreUsedOrReleasedInTime(t *testing.T) {
 	full := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	for name, tc := range map[string]struct {
-		serve   func(http.ResponseWriter, *http.Request) // of half of the writers that come up
-		deaf    int                                      // writers that don't
-		hears   bool                                     // they do a second late
-		leave   time.Duration                            // after which clients go
-		patient time.Duration
-		served  bool // all are, in the end
+		serve       func(http.ResponseWriter, *http.Request) // half of the reachable writers
+		unreachable int                                      // number of unreachable writers
+		lateAccept  bool                                     // they become reachable after one second
+		leave       time.Duration                            // clients disconnect after it, unless 0
+		patient     time.Duration                            // the clients' time limit
+		served      bool                                     // all requests are served in the end
 	}{
-		"writers that can't be reached": {deaf: 6, patient: patience, served: true},
-		"writers that come up late":     {deaf: 6, hears: true, patient: patience, served: true},
-		"no writer can be reached":      {deaf: 8, patient: 2 * time.Second},
+		"writers that can't be reached": {unreachable: 6, patient: patience, served: true},
+		"writers that come up late":     {unreachable: 6, lateAccept: true, patient: patience, served: true},
+		"no writer can be reached":      {unreachable: 8, patient: 2 * time.Second},
 		"writers that turn away":        {serve: full, patient: patience, served: true},
 		"writers that hang":             {serve: silent, patient: time.Second},
 		"writers that break off":        {serve: cut, patient: patience},
-		"clients that leave":            {deaf: 6, serve: silent, leave: 150 * time.Millisecond, patient: patience},
+		"clients that leave":            {unreachable: 6, serve: silent, leave: 150 * time.Millisecond, patient: patience},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			seen := newHolds()
-			workers := []*worker{seen.watched(newWorker(t, "s-00000001", "reader", nil)), seen.watched(newWorker(t, "s-00000002", "reader", nil))}
-			for i := range 8 - tc.deaf {
+			workers := []*worker{seen.observe(newWorker(t, "s-00000001", "reader", nil)), seen.observe(newWorker(t, "s-00000002", "reader", nil))}
+			for i := range 8 - tc.unreachable {
 				serve := tc.serve
 				if i%2 == 0 {
 					serve = nil
 				}
-				workers = append(workers, seen.watched(newWorker(t, fmt.Sprintf("s-000001%02x", i), "writer", serve)))
+				workers = append(workers, seen.observe(newWorker(t, fmt.Sprintf("s-000001%02x", i), "writer", serve)))
 			}
 			p, d := platform(t, workers...)
-			for i := range tc.deaf {
-				addr, hear := deafWorker(t)
-				d.listAt(fmt.Sprintf("s-000002%02x", i), "writer", addr)
-				if tc.hears {
-					time.AfterFunc(time.Second, hear)
+			for i := range tc.unreachable {
+				addr, accept := unreachableWorker(t)
+				d.addWorkerAt(fmt.Sprintf("s-000002%02x", i), "writer", addr)
+				if tc.lateAccept {
+					time.AfterFunc(time.Second, accept)
 				}
 			}
-			p.told(1 + tc.deaf)
+			p.told(1 + tc.unreachable)
 			var all sync.WaitGroup
 			var mu sync.Mutex
 			statuses := map[int]int{}
@@ -220,12 +221,13 @@
 				})
 			}
 			all.Wait()
-			time.Sleep(heldWithin + 100*time.Millisecond)
-			require.Empty(t, seen.judge(), "states held for too long, of %d; answers %v", seen.read, statuses)
-			require.GreaterOrEqual(t, seen.read, 4)
-			t.Logf("%d reads, held for %v at most, answers %v", seen.read, seen.most, statuses)
+			time.Sleep(maxHoldTime + 100*time.Millisecond)
+			require.Empty(t, seen.check(), "states held for too long, of %d; answers %v", seen.reads, statuses)
+			require.GreaterOrEqual(t, seen.reads, 4)
+			t.Logf("%d reads, held for %v at most, answers %v", seen.reads, seen.maxHeld, statuses)
 			if tc.served {
-				for _, id := range refused { // by chance one may meet those that turn away alone
+				// By chance all attempts of a request may go to writers that reject.
+				for _, id := range refused {
 					tries := 0
 					for _, k := range workers {
 						for _, c := range k.got(http.MethodPost) {
@@ -234,7 +236,7 @@
 							}
 						}
 					}
-					require.Equal(t, mostTries, tries, "%s is refused, with tries left", id)
+					require.Equal(t, maxAttempts, tries, "%s is refused with attempts left", id)
 				}
 				require.Equal(t, 20, statuses[200]+len(refused), "answers %v", statuses)
 				require.GreaterOrEqual(t, statuses[200], 5, "answers %v", statuses)
@@ -243,26 +245,27 @@
 	}
 }
 
-// The check fails for what is held for too long, whether it is let go of at last or never.
-func TestTheCheckOfHeldStatesCanFail(t *testing.T) {
+// holds.check must report states that were held for too long, released late or never.
+func TestHoldsCheckReportsOverdueStates(t *testing.T) {
 	h := newHolds()
-	h.since["taken late"] = time.Now().Add(-2 * heldWithin)
-	h.taken("taken late")
-	h.since["never"] = time.Now().Add(-2 * heldWithin)
-	h.out["in time"]++
-	h.left("in time", false)
-	h.taken("in time")
-	require.Len(t, h.judge(), 2)
+	h.since["taken late"] = time.Now().Add(-2 * maxHoldTime)
+	h.stateFreed("taken late")
+	h.since["never"] = time.Now().Add(-2 * maxHoldTime)
+	h.pending["in time"]++
+	h.attemptEnded("in time", false)
+	h.stateFreed("in time")
+	require.Len(t, h.check(), 2)
 }
 
-// A send that has not arrived is not out: it does not stop the clock for what a reader holds. Whether something on the way
-// acknowledges the bytes (the system of a worker that is stopped or cut off, a proxy) makes no difference.
-func TestASendThatNeverArrivesStopsNoClock(t *testing.T) {
+// A request that never arrives at its writer must not stop the release timer of the read state.
+// This holds whether or not something on the way acknowledges the bytes (the kernel of a worker
+// that is stopped or cut off, a proxy).
+func TestUnacknowledgedSendDoesNotStopReleaseTimer(t *testing.T) {
 	require.NoError(t, link.CanBlackhole(), "this system makes the test one for privileged users")
-	sendsThatNeverArrive(t, link.Fault{Blackhole: true})
+	testLostSends(t, link.Fault{Blackhole: true})
 }
 
-func TestASendThatNobodyReadsStopsNoClock(t *testing.T) {
+func TestUnreadSendDoesNotStopReleaseTimer(t *testing.T) {
 	for name, fault := range map[string]link.Fault{
 		"lost on the way there":    {Drop: [2]bool{true, false}},
 		"lost both ways":           {Drop: [2]bool{true, true}},
@@ -271,27 +274,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sendsThatNeverArrive(t, fault)
+			testLostSends(t, fault)
 		})
 	}
 }
 
-// sendsThatNeverArrive plays a writer that is lost behind connections which stay open, and looks at how long its reader holds
-// what was read for it.
-func sendsThatNeverArrive(t *testing.T, fault link.Fault) {
+// testLostSends makes a writer unreachable behind connections that stay open, and checks how long
+// its reader holds read states.
+func testLostSends(t *testing.T, fault link.Fault) {
 	for _, class := range []string{"file", "query"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			h := newHolds()
 			r, w := pair(t, nil)
-			h.watched(r)
-			h.watched(w)
+			h.observe(r)
+			h.observe(w)
 			relay, err := link.New(w.Listener.Addr().String())
 			require.NoError(t, err)
 			t.Cleanup(relay.Close)
 			p, d := platform(t, r)
-			p.told(d.listAt(w.name, w.kind, relay.Addr()))
-			for range 8 { // connections are kept
+			p.told(d.addWorkerAt(w.name, w.kind, relay.Addr()))
+			for range 8 { // opens connections that are kept
 				require.Equal(t, http.StatusOK, p.ask(class, newID(), 3*time.Second).status)
 			}
 			relay.Set(fault)
@@ -300,28 +303,29 @@
 				all.Go(func() { p.ask(class, newID(), 3*time.Second) })
 			}
 			all.Wait()
-			time.Sleep(heldWithin)
-			require.Empty(t, h.judge())
-			require.Greater(t, h.read, 8, "nothing was read while the writer was lost")
+			time.Sleep(maxHoldTime)
+			require.Empty(t, h.check())
+			require.Greater(t, h.reads, 8, "nothing was read while the writer was unreachable")
 		})
 	}
 }
 
-// What is let go of beside an attempt does not disturb it: a writer that takes its time before it answers is waited for.
-func TestASlowWriterIsWaitedForBesideTheRelease(t *testing.T) {
+// The release of a read state must not cancel the attempt that uses it: the router must wait for a
+// writer that takes longer than maxHoldTime to answer.
+func TestReleaseDoesNotCancelSlowWriter(t *testing.T) {
 	h := newHolds()
 	r, w := pair(t, func(w http.ResponseWriter, r *http.Request) {
-		if pause(r, heldWithin) {
+		if sleepUnlessDone(r, maxHoldTime) {
 			write(w, r)
 		}
 	})
-	h.watched(r)
-	h.watched(w)
+	h.observe(r)
+	h.observe(w)
 	p, _ := platform(t, r, w)
 	for _, class := range []string{"file", "query"} {
 		require.Equal(t, http.StatusOK, p.ask(class, newID(), 3*time.Second).status, class)
 	}
-	require.Empty(t, h.judge())
+	require.Empty(t, h.check())
 	require.Len(t, w.got(http.MethodPost), 2, "each was sent to its writer once")
 	require.Len(t, r.got(http.MethodPost), 2, "and read once")
 }
--- a/test/late_arrival_test.go
+++ b/test/late_arrival_test.go
@@ -16,17 +16,19 @@
 )
 
 const (
-	cutFor   = 800 * time.Millisecond
-	shortCut = 180 * time.Millisecond // what is sent in it is sent again, and arrives, by some 0.2 s and 0.4 s
-	cutRest  = 1200 * time.Millisecond
-	cutTwice = 4
+	cutDuration = 800 * time.Millisecond
+	// Data sent during a short cut arrives by TCP retransmissions after about 0.2 s and 0.4 s.
+	shortCutDuration = 180 * time.Millisecond
+	cutPause         = 1200 * time.Millisecond
+	cutRounds        = 4
 
-	cutPatience = 3 * time.Second
+	cutClientTimeout = 3 * time.Second
 )
 
-// What a router calls off while its worker's machine is out of reach must not arrive there when it is back: a client that has
-// gone, another attempt and a released state have nothing to do with it any more. What arrived is told by the workers' handlers.
-func TestWhatIsCalledOffDuringACutDoesNotArriveWhenItHeals(t *testing.T) {
+// Guards against canceled requests that arrive late: when a network cut heals, TCP retransmits what
+// the router sent before it canceled the attempt, although the client has disconnected, another
+// attempt runs or the state is released. The workers' handlers record what arrives.
+func TestCanceledSendsDoNotArriveAfterNetworkCut(t *testing.T) {
 	require.NoError(t, link.CanBlackhole(), "this system makes the test one for privileged users")
 	h := newHolds()
 	var workers []*worker
@@ -34,8 +36,10 @@
 	d := newDiscovery(t)
 	d.list(true, "in_service")
 	var mu sync.Mutex
-	left := map[string]time.Time{}   // clients that have gone
-	var late, beyond []time.Duration // after a client has gone; told beyond what its client had left
+	left := map[string]time.Time{} // when clients disconnected, by request id
+	// late holds times from a disconnect to an arrival; excess how far X-Time-Left-Ms exceeded the
+	// time that was left.
+	var late, excess []time.Duration
 	deadlines := map[string]time.Time{}
 	arrived := func(r *http.Request) {
 		mu.Lock()
@@ -45,21 +49,22 @@
 			late = append(late, time.Since(at))
 		}
 		ms, err := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
-		if over := time.Duration(ms)*time.Millisecond - time.Until(deadlines[id]); err != nil || over > toldSlack {
-			beyond = append(beyond, over)
+		if surplus := time.Duration(ms)*time.Millisecond - time.Until(deadlines[id]); err != nil || surplus > timeLeftTolerance {
+			excess = append(excess, surplus)
 		}
 	}
-	var changes atomic.Int64 // cuts that have begun, and that have ended
+	var changes atomic.Int64 // beginnings and ends of cuts: odd during a cut
 	for i := range 8 {
 		kind := []string{"reader", "writer", "mixed"}[i%3]
-		k := h.watched(newWorker(t, "s-0000000"+string(rune('1'+i)), kind, nil))
+		k := h.observe(newWorker(t, "s-0000000"+string(rune('1'+i)), kind, nil))
 		serve := k.serve
 		k.serve = func(w http.ResponseWriter, r *http.Request) {
 			arrived(r)
 			before := changes.Load()
 			serve(w, r)
-			time.AfterFunc(answerUnderWay, func() {
-				if i > 0 && (before%2 == 1 || changes.Load() != before) { // its answer may be lost, and the attempt is out for its router
+			time.AfterFunc(maxRelayDelay, func() {
+				// The answer may be lost; the router then considers the attempt open.
+				if i > 0 && (before%2 == 1 || changes.Load() != before) {
 					h.answerLost(r.Header.Get("X-Correlation-Id"))
 				}
 			})
@@ -72,7 +77,7 @@
 	p := platformAt(t, d, connIdle).waitReady()
 	generation := 0
 	for i, k := range workers {
-		generation = d.listAt(k.name, k.kind, relays[i].Addr())
+		generation = d.addWorkerAt(k.name, k.kind, relays[i].Addr())
 	}
 	p.told(generation)
 	asking, stop := context.WithCancel(t.Context())
@@ -82,8 +87,8 @@
 			for n := 0; asking.Err() == nil; n++ {
 				id := newID()
 				ctx, end := context.WithCancel(t.Context())
-				if (i+n)%4 == 0 { // these leave in the middle of a cut
-					time.AfterFunc(cutFor/4, func() {
+				if (i+n)%4 == 0 { // these clients disconnect early, often during a cut
+					time.AfterFunc(cutDuration/4, func() {
 						mu.Lock()
 						left[id] = time.Now()
 						mu.Unlock()
@@ -91,9 +96,9 @@
 					})
 				}
 				mu.Lock()
-				deadlines[id] = time.Now().Add(cutPatience)
+				deadlines[id] = time.Now().Add(cutClientTimeout)
 				mu.Unlock()
-				resp, err := http.DefaultClient.Do(p.request("query", id, cutPatience).WithContext(ctx))
+				resp, err := http.DefaultClient.Do(p.request("query", id, cutClientTimeout).WithContext(ctx))
 				if err == nil {
 					_, _ = io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
@@ -108,9 +113,9 @@
 			}
 		})
 	}
-	for range cutTwice {
-		for _, lasts := range []time.Duration{cutFor, shortCut, shortCut} {
-			time.Sleep(cutRest / 2)
+	for range cutRounds {
+		for _, lasts := range []time.Duration{cutDuration, shortCutDuration, shortCutDuration} {
+			time.Sleep(cutPause / 2)
 			changes.Add(1)
 			for _, relay := range relays[1:] {
 				relay.Set(link.Fault{Blackhole: true, Heals: true})
@@ -122,15 +127,15 @@
 			changes.Add(1)
 		}
 	}
-	time.Sleep(cutRest)
+	time.Sleep(cutPause)
 	stop()
 	clients.Wait()
-	time.Sleep(heldWithin + 100*time.Millisecond)
-	t.Logf("%d states held, %v at most; %d requests arrived after their clients had gone, %d were told more time than was left", h.read, h.most, len(late), len(beyond))
-	require.Empty(t, h.judge(), "states held for too long")
+	time.Sleep(maxHoldTime + 100*time.Millisecond)
+	t.Logf("%d states held, %v at most; %d requests arrived after their clients had disconnected, %d with more time than was left", h.reads, h.maxHeld, len(late), len(excess))
+	require.Empty(t, h.check(), "states held for too long")
 	for _, d := range late {
-		require.Less(t, d, 100*time.Millisecond, "an attempt reached its worker so long after its client had gone")
+		require.Less(t, d, 100*time.Millisecond, "time from the disconnect of a client to the arrival of an attempt")
 	}
-	require.Empty(t, beyond, "attempts that told their workers more time than was left, by so much")
-	require.Greater(t, h.read, 200)
+	require.Empty(t, excess, "attempts that stated more time than was left, by this much")
+	require.Greater(t, h.reads, 200)
 }
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -15,11 +15,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// grace is the settings' safety.stop-sending-within-ns, and what the platform adds.
-const grace = 300 * time.Millisecond
+// stopSendingLimit is safety.stop-sending-within-ns in settings plus the platform's tolerance.
+const stopSendingLimit = 300 * time.Millisecond
 
-// among gives a program's configuration a number of routers.
-func among(t *testing.T, file string, routers int) {
+// setRouterCount sets the number of routers in a program's configuration file.
+func setRouterCount(t *testing.T, file string, routers int) {
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	changed := strings.Replace(string(text), `"balancers":1`, fmt.Sprintf(`"balancers":%d`, routers), 1)
@@ -27,8 +27,8 @@
 	require.NoError(t, os.WriteFile(file, []byte(changed), 0o600))
 }
 
-// traffic asks a program for answers until stop is called.
-func traffic(p *program) (stop func()) {
+// sendTraffic sends requests to a program until stop is called.
+func sendTraffic(p *program) (stop func()) {
 	over := make(chan struct{})
 	var all sync.WaitGroup
 	for range 4 {
@@ -46,6 +46,7 @@
 	return sync.OnceFunc(func() { close(over); all.Wait() })
 }
 
+// lastPost returns when the worker received its last POST call.
 func lastPost(w *worker) (at time.Time) {
 	for _, c := range w.got(http.MethodPost) {
 		at = c.at
@@ -53,12 +54,12 @@
 	return at
 }
 
-// Nothing new goes to a worker later than the grace after its leaving counts as told,
-// whatever has become of the watch meanwhile, with as many routers as a fleet has: each
-// of them would otherwise ask discovery again at a time of its own, far too late.
-func TestLeavingIsKeptHoweverDiscoveryFails(t *testing.T) {
+// Guards against requests to a worker later than the grace period after its termination counts as
+// announced, whatever happens to the watch meanwhile. With 300 routers, retries that are spread
+// over the routers of the fleet would come far too late.
+func TestNoRequestsToLeavingWorkerWhenDiscoveryFails(t *testing.T) {
 	const routers = 300
-	for name, leave := range map[string]func(p *program, d *discovery, w *worker) (told time.Time){
+	for name, leave := range map[string]func(p *program, d *discovery, w *worker) (announced time.Time){
 		"reset": func(_ *program, d *discovery, w *worker) time.Time {
 			d.CloseClientConnections()
 			d.list(false, "terminating", w)
@@ -66,13 +67,13 @@
 		},
 		"silent": func(_ *program, d *discovery, w *worker) time.Time {
 			d.silence()
-			told := time.Now().Add(6 * time.Second)
+			announced := time.Now().Add(6 * time.Second)
 			d.list(false, "terminating", w)
-			return told
+			return announced
 		},
 		"down": func(_ *program, d *discovery, w *worker) time.Time {
 			start := d.stop()
-			time.Sleep(7 * time.Second) // past the time at which a silent watch is given up
+			time.Sleep(7 * time.Second) // longer than the timeout of a silent watch
 			d.list(false, "terminating", w)
 			start()
 			return time.Now()
@@ -82,7 +83,8 @@
 			d.say(text[:len(text)/2])
 			time.Sleep(50 * time.Millisecond)
 			d.mu.Lock()
-			d.lines = append(slices.Clone(d.lines[:1]), text) // watches still read the old ones
+			// Open watches still read the old slice.
+			d.lines = append(slices.Clone(d.lines[:1]), text)
 			d.mu.Unlock()
 			d.CloseClientConnections()
 			return time.Now()
@@ -108,31 +110,32 @@
 			d := newDiscovery(t)
 			d.list(true, "in_service", r, w, other)
 			addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
-			among(t, file, routers)
+			setRouterCount(t, file, routers)
 			p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
 				"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + file}, "serve")
 			p.file = file
 			p.waitReady()
-			stop := traffic(p)
+			stop := sendTraffic(p)
 			defer stop()
 			eventually(t, func() bool { return posts(w) > 0 && posts(other) > 0 }, "both writers are in use")
-			told := leave(p, d, w)
-			time.Sleep(time.Until(told.Add(grace + 2*loaded)))
+			announced := leave(p, d, w)
+			time.Sleep(time.Until(announced.Add(stopSendingLimit + 2*loaded)))
 			stop()
-			late := lastPost(w).Sub(told)
-			require.Less(t, late, grace+loaded, "the last send to the worker, after its leaving counted as told")
+			late := lastPost(w).Sub(announced)
+			require.Less(t, late, stopSendingLimit+loaded, "the last send to the worker, after its termination counted as announced")
 		})
 	}
 }
 
-// A process that starts asks before it serves: what its file knew may be old.
-func TestAFreshProcessServesNobodyBeforeItIsTold(t *testing.T) {
+// A new process must fetch the list from discovery before it serves: the list in its configuration
+// file may be outdated.
+func TestNewProcessFetchesListBeforeServing(t *testing.T) {
 	r, w := pair(t, nil)
 	other := newWorker(t, "s-00000003", "writer", nil)
 	d := newDiscovery(t)
 	d.list(true, "in_service", r, other)
 	addr, file := ownAddr(t), config(t, listText(0, true, "in_service", r, w), connIdle)
-	among(t, file, 300)
+	setRouterCount(t, file, 300)
 	p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
 		"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + file}, "serve").waitReady()
 	require.Equal(t, 200, p.ask("query", newID(), patience).status)
@@ -140,8 +143,8 @@
 	require.Equal(t, 1, posts(other))
 }
 
-// A discovery that refuses does not keep a router from hearing of a leaving once it is there.
-func TestDiscoveryThatRefusesIsAskedAgainAtOnce(t *testing.T) {
+// A router must fetch the list promptly once a discovery that refused connections is reachable.
+func TestRefusedDiscoveryIsRetriedPromptly(t *testing.T) {
 	r, w := pair(t, nil)
 	other := newWorker(t, "s-00000003", "writer", nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,14 +152,14 @@
 	at := l.Addr().String()
 	require.NoError(t, l.Close())
 	addr, file := ownAddr(t), config(t, listText(0, true, "in_service", r, w, other), connIdle)
-	among(t, file, 300)
+	setRouterCount(t, file, 300)
 	p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "ROUTER_DISCOVERY=" + at,
 		"ROUTER_CONFIG=" + file}, "serve").waitReady()
-	require.Equal(t, 200, p.ask("query", newID(), patience).status, "it serves by what it knows")
+	require.Equal(t, 200, p.ask("query", newID(), patience).status, "it serves from the list in its file")
 	newDiscoveryAt(t, at, listText(1, true, "in_service", r, other))
 	from := time.Now()
-	eventually(t, func() bool { return p.logged("generation=1 ") }, "it has heard")
-	require.Less(t, time.Since(from), grace+loaded)
+	eventually(t, func() bool { return p.logged("generation=1 ") }, "the list is received")
+	require.Less(t, time.Since(from), stopSendingLimit+loaded)
 	p.signal(syscall.SIGTERM)
 	p.waitExit()
 }
--- a/test/overlap_clients_test.go
+++ b/test/overlap_clients_test.go
@@ -17,30 +17,32 @@
 	"lichenshelf/logic"
 )
 
-// endsHalves is how soon a client that stops within its request and stays has its error or its close.
-const endsHalves = 3 * time.Second
+// partialRequestTimeout is the time limit for the error or the close that a client receives after
+// it has stopped within a request and stays connected.
+const partialRequestTimeout = 3 * time.Second
 
-// eventWithin is how soon an event has to be passed on.
-const eventWithin = 300 * time.Millisecond
+// maxEventDelay is how long a router may take to forward an event.
+const maxEventDelay = 300 * time.Millisecond
 
-// leastPatience is how long clients wait at least.
-const leastPatience = 300 * time.Millisecond
+// minClientTimeout is the shortest time that clients allow for a request.
+const minClientTimeout = 300 * time.Millisecond
 
-// One in largeEvery requests has a body of up to mostLarge bytes; what is longer than atOnce may take its time to be written.
+// One in largeBodyInterval requests has a body of up to maxLargeBody bytes. Writing more than
+// promptWriteSize bytes may take a while.
 const (
-	largeEvery = 25
-	mostLarge  = 200 << 10
-	atOnce     = 16 << 10
+	largeBodyInterval = 25
+	maxLargeBody      = 200 << 10
+	promptWriteSize   = 16 << 10
 )
 
-// overlapClient sends requests to all routers, over connections that it keeps.
+// overlapClient sends requests to the routers over connections that it keeps open.
 type overlapClient struct {
-	rig    *overlapRig
-	rng    *rand.Rand
-	conns  map[*overlapRouter]*clientConn
-	last   int
-	id     int
-	steady *overlapRouter // nil: it asks all of them
+	rig        *overlapRig
+	rng        *rand.Rand
+	conns      map[*overlapRouter]*clientConn
+	lastID     int
+	id         int
+	onlyRouter *overlapRouter // receives all its requests; nil: they go to all routers
 }
 
 // clientConn is a client's connection to a router.
@@ -64,12 +66,12 @@
 	}()
 	for ctx.Err() == nil {
 		to, pause := c.rig.routers[c.rng.IntN(len(c.rig.routers))], 60
-		if c.steady != nil {
-			to, pause = c.steady, 10
+		if c.onlyRouter != nil {
+			to, pause = c.onlyRouter, 10
 		}
 		switch n := c.rng.IntN(40); {
 		case n == 0:
-			c.half(ctx, to)
+			c.sendPartial(ctx, to)
 		case n < 3:
 			c.ask(to, 2, 0)
 		case n < 7:
@@ -81,22 +83,23 @@
 	}
 }
 
-// asked is a request that was sent.
-type asked struct {
+// sentRequest is a request as it was sent.
+type sentRequest struct {
 	id     string
 	effect logic.Effect
 	wire   string
 	kills  int64
 }
 
-// connect gives a kept connection or a new one; nil where the router can't be reached, or new ones may not come any more.
+// connect returns a kept connection or a new one, or nil if the router can't be reached or takes no
+// new connections any more.
 func (c *overlapClient) connect(to *overlapRouter, fresh bool) *clientConn {
 	if conn := c.conns[to]; conn != nil && !fresh {
 		delete(c.conns, to)
 		conn.reused = true
 		return conn
 	}
-	if !to.takesNew() {
+	if !to.acceptsConnections() {
 		return nil
 	}
 	conn, err := net.DialTimeout("tcp", to.addr, time.Second)
@@ -106,25 +109,25 @@
 	return &clientConn{Conn: conn, br: bufio.NewReader(conn)}
 }
 
-// ask sends requests on one connection, one right behind the other, and reads their answers. It leaves after a time, if that
-// is not 0.
-func (c *overlapClient) ask(to *overlapRouter, n int, leave time.Duration) {
-	kills := to.kills.Load() // before the connection: its process may be killed from then on
+// ask sends n pipelined requests on one connection and reads their answers. If leaveAfter is not 0,
+// it closes the connection after that time instead.
+func (c *overlapClient) ask(to *overlapRouter, n int, leaveAfter time.Duration) {
+	kills := to.kills.Load() // before connecting: the process may be killed from then on
 	conn := c.connect(to, false)
 	if conn == nil {
 		return
 	}
-	patience := leastPatience + time.Duration(c.rng.Int64N(max(to.longest.Load()-int64(leastPatience), 1)))
-	var sent []asked
+	patience := minClientTimeout + time.Duration(c.rng.Int64N(max(to.maxDeadline.Load()-int64(minClientTimeout), 1)))
+	var sent []sentRequest
 	var wire strings.Builder
 	for range n {
-		c.last++
+		c.lastID++
 		class := overlapClasses[c.rng.IntN(len(overlapClasses))]
 		text := prompt
-		if c.rng.IntN(largeEvery) == 0 {
-			text = fmt.Sprintf(`{"model":"chat","stream":true,"messages":[{"role":"user","content":%q}]}`, strings.Repeat("x", c.rng.IntN(mostLarge)))
+		if c.rng.IntN(largeBodyInterval) == 0 {
+			text = fmt.Sprintf(`{"model":"chat","stream":true,"messages":[{"role":"user","content":%q}]}`, strings.Repeat("x", c.rng.IntN(maxLargeBody)))
 		}
-		q := asked{id: fmt.Sprintf("%04x%012x", c.id, c.last), effect: class.effect, kills: kills}
+		q := sentRequest{id: fmt.Sprintf("%04x%012x", c.id, c.lastID), effect: class.effect, kills: kills}
 		q.wire = fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Account: acme\r\n"+
 			"X-Session-Key: %x\r\nX-Time-Left-Ms: %d\r\nX-Facts: prompt_len=%d,prefix_len=0,max_out=100\r\nContent-Length: %d\r\n\r\n%s",
 			q.id, class.name, c.rng.IntN(20)+1, patience.Milliseconds(), 100+c.rng.IntN(2000), len(text), text)
@@ -134,16 +137,16 @@
 	}
 	if _, err := io.WriteString(conn, wire.String()); err != nil {
 		_ = conn.Close()
-		c.again(to, sent, conn.reused, patience)
+		c.resend(to, sent, conn.reused, patience)
 		return
 	}
-	if wire.Len() > atOnce { // its time runs from its last byte
+	if wire.Len() > promptWriteSize { // the deadline runs from the last byte of the request
 		for _, q := range sent {
 			c.rig.judge.Sent(q.id, q.effect, to.name, time.Now(), patience)
 		}
 	}
-	if leave > 0 {
-		time.Sleep(leave)
+	if leaveAfter > 0 {
+		time.Sleep(leaveAfter)
 		for _, q := range sent {
 			c.rig.judge.Left(q.id, time.Now())
 		}
@@ -151,29 +154,30 @@
 		return
 	}
 	for i, q := range sent {
-		if again := c.read(to, conn, q, patience, conn.reused || i > 0); again {
+		if resend := c.read(to, conn, q, patience, conn.reused || i > 0); resend {
 			_ = conn.Close()
-			c.again(to, sent[i:], true, patience)
+			c.resend(to, sent[i:], true, patience)
 			return
 		}
 		if conn.Conn == nil {
-			c.again(to, sent[i+1:], true, patience)
+			c.resend(to, sent[i+1:], true, patience)
 			return
 		}
 	}
 	c.conns[to] = conn
 }
 
-// again sends requests once more, each on a new connection, that the router closed a connection over without reading them.
-func (c *overlapClient) again(to *overlapRouter, sent []asked, crossed bool, patience time.Duration) {
+// resend sends requests once more, each on a new connection, if the router may have closed their
+// connection without reading them.
+func (c *overlapClient) resend(to *overlapRouter, sent []sentRequest, mayBeUnread bool, patience time.Duration) {
 	for _, q := range sent {
 		conn := c.connect(to, true)
 		switch {
 		case to.kills.Load() != q.kills:
 			c.rig.judge.Excuse(q.id)
-		case !crossed:
+		case !mayBeUnread:
 			c.end(to, q, judge.Unanswered)
-		case conn == nil: // no other router is asked: a front would
+		case conn == nil: // a front would send it to another router; this client does not
 			c.rig.judge.Excuse(q.id)
 		default:
 			c.rig.judge.Sent(q.id, q.effect, to.name, time.Now(), patience)
@@ -187,9 +191,9 @@
 	}
 }
 
-// end notes the end of a request, unless its router was killed meanwhile. While idle clients have its descriptors, a router may
-// shut a new connection that it has not read.
-func (c *overlapClient) end(to *overlapRouter, q asked, end judge.Final) {
+// end records how a request ended, unless its router was killed meanwhile. While idle clients use
+// up its descriptors, a router may close a new connection before it has read from it.
+func (c *overlapClient) end(to *overlapRouter, q sentRequest, end judge.Final) {
 	if end == judge.Unanswered && to.crowds.Load() != 0 {
 		c.rig.judge.ExcuseUnread(q.id)
 	}
@@ -199,12 +203,13 @@
 	c.rig.judge.Final(q.id, end, time.Now())
 }
 
-// read reads an answer. It tells whether the connection ended over a request that may have crossed its close. A connection
-// that is not to be used again has no Conn after it.
-func (c *overlapClient) read(to *overlapRouter, conn *clientConn, q asked, patience time.Duration, mayCross bool) (again bool) {
+// read reads an answer. It returns true if the connection ended before the answer and mayBeUnread
+// says that the router may have closed it before it read the request. It sets conn.Conn to nil if
+// the connection can't be used again.
+func (c *overlapClient) read(to *overlapRouter, conn *clientConn, q sentRequest, patience time.Duration, mayBeUnread bool) (resend bool) {
 	_ = conn.SetReadDeadline(time.Now().Add(patience + 5*time.Second))
 	if _, err := conn.br.Peek(1); err != nil {
-		if mayCross && !errors.Is(err, os.ErrDeadlineExceeded) {
+		if mayBeUnread && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return true
 		}
 		c.end(to, q, judge.Unanswered)
@@ -222,8 +227,8 @@
 	}
 	body, err := c.stream(resp.Body)
 	switch {
-	case resp.StatusCode == http.StatusOK && err == nil && !wholeStream(body, q.id):
-		c.rig.fault("request %s: what no worker made for it: %.200q", q.id, body)
+	case resp.StatusCode == http.StatusOK && err == nil && !isCompleteStream(body, q.id):
+		c.rig.fault("request %s: not the stream that a worker wrote for it: %.200q", q.id, body)
 	case resp.StatusCode == http.StatusOK && err == nil:
 		c.end(to, q, judge.Served)
 	case resp.StatusCode == http.StatusOK:
@@ -239,7 +244,7 @@
 	return false
 }
 
-// stream reads a body, and counts it if one of its events was held back.
+// stream reads a body and counts it as late if one of its events took longer than maxEventDelay.
 func (c *overlapClient) stream(from io.Reader) (body string, err error) {
 	var all strings.Builder
 	heldBack := false
@@ -248,13 +253,13 @@
 		var line string
 		line, err = lines.ReadString('\n')
 		all.WriteString(line)
-		if at, ok := writtenAt(line); ok && time.Since(at) > eventWithin+overlapSlack {
+		if at, ok := eventTime(line); ok && time.Since(at) > maxEventDelay+overlapTolerance {
 			heldBack = true
 		}
 	}
 	c.rig.streams.Add(1)
 	if heldBack {
-		c.rig.heldBack.Add(1)
+		c.rig.lateStreams.Add(1)
 	}
 	if errors.Is(err, io.EOF) {
 		err = nil
@@ -262,13 +267,14 @@
 	return all.String(), err
 }
 
+// drop closes a connection and marks it as unusable.
 func (c *overlapClient) drop(conn *clientConn) {
 	_ = conn.Close()
 	conn.Conn = nil
 }
 
-// half sends a part of a request and stays.
-func (c *overlapClient) half(ctx context.Context, to *overlapRouter) {
+// sendPartial sends a part of a request and keeps the connection open.
+func (c *overlapClient) sendPartial(ctx context.Context, to *overlapRouter) {
 	kills := to.kills.Load()
 	conn := c.connect(to, true)
 	if conn == nil {
@@ -283,10 +289,10 @@
 	if _, err := io.WriteString(conn, text); err != nil {
 		return
 	}
-	most := endsHalves + overlapSlack
-	_ = conn.SetReadDeadline(from.Add(most))
+	timeout := partialRequestTimeout + overlapTolerance
+	_ = conn.SetReadDeadline(from.Add(timeout))
 	_, err := conn.br.ReadByte()
 	if errors.Is(err, os.ErrDeadlineExceeded) && to.kills.Load() == kills && ctx.Err() == nil {
-		c.rig.fault("%s: half a request has had no end for %v", to.name, most)
+		c.rig.fault("%s: a partial request was neither answered nor closed within %v", to.name, timeout)
 	}
 }
--- a/test/overlap_troubles_test.go
+++ b/test/overlap_troubles_test.go
@@ -16,11 +16,11 @@
 	"lichenshelf/internal/standin/syscalls"
 )
 
-// trouble makes one trouble, drawn, to somebody who has none of this kind, and takes it away.
-func (r *overlapRig) trouble(rng *rand.Rand) {
-	names := slices.DeleteFunc(slices.Sorted(maps.Keys(overlapTroubles)), func(name string) bool { return name == "vanish" && r.cantVanish != nil })
+// injectFault injects one random fault into a router or worker that has no other fault, and ends it.
+func (r *overlapRig) injectFault(rng *rand.Rand) {
+	names := slices.DeleteFunc(slices.Sorted(maps.Keys(overlapFaults)), func(name string) bool { return name == "vanish" && r.blackholeErr != nil })
 	name := names[rng.IntN(len(names))]
-	done := overlapTroubles[name](r, rng)
+	done := overlapFaults[name](r, rng)
 	if done {
 		r.mu.Lock()
 		r.played[name]++
@@ -29,8 +29,9 @@
 	time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond)
 }
 
-// overlapTroubles tell whether they found somebody to trouble.
-var overlapTroubles = map[string]func(*overlapRig, *rand.Rand) bool{
+// overlapFaults holds the faults by name. Each function injects a fault and ends it, or returns
+// false if it could not. The names are sorted for the draw: renaming one changes what a seed does.
+var overlapFaults = map[string]func(*overlapRig, *rand.Rand) bool{
 	"restart":  onRouter((*overlapRouter).restart),
 	"kill":     onRouter((*overlapRouter).kill),
 	"upgrade":  onRouter((*overlapRouter).upgrade),
@@ -39,84 +40,86 @@
 	"clock":    onRouter((*overlapRouter).stepClock),
 	"syscalls": onRouter((*overlapRouter).failCalls),
 	"agent silent": onRouter(func(o *overlapRouter, rng *rand.Rand) {
-		o.outOfHearing(time.Now()) // it is told 6 s later at the latest
+		o.markAgentUnreachable(time.Now()) // the router is informed within 6 s
 		o.agent.silence()
-		time.Sleep(some(rng, time.Second))
+		time.Sleep(randomDuration(rng, time.Second))
 	}),
 	"agent down": onRouter(func(o *overlapRouter, rng *rand.Rand) {
-		d := some(rng, 3*time.Second)
-		o.outOfHearing(time.Now().Add(d + loaded))
+		d := randomDuration(rng, 3*time.Second)
+		o.markAgentUnreachable(time.Now().Add(d + loaded))
 		up := o.agent.stop()
 		time.Sleep(d)
 		up()
-		o.outOfHearing(time.Now())
+		o.markAgentUnreachable(time.Now())
 	}),
 	"agent refuses": onRouter(func(o *overlapRouter, rng *rand.Rand) {
-		d := some(rng, 2*time.Second)
-		o.outOfHearing(time.Now().Add(d + loaded))
+		d := randomDuration(rng, 2*time.Second)
+		o.markAgentUnreachable(time.Now().Add(d + loaded))
 		o.agent.refuse(true)
 		o.agent.CloseClientConnections()
 		time.Sleep(d)
 		o.agent.refuse(false)
-		o.outOfHearing(time.Now())
+		o.markAgentUnreachable(time.Now())
 	}),
 	"agent resets": onRouter(func(o *overlapRouter, _ *rand.Rand) { o.agent.CloseClientConnections() }),
-	"leave":        onWorker((*overlapWorker).leave),
-	"by hand":      (*overlapRig).byHand,
+	"leave":        onWorker((*overlapWorker).leaveAndReturn),
+	"by hand":      (*overlapRig).suspendAndResume,
 	"crowd":        (*overlapRig).crowd,
-	"twice":        withManner(twice),
-	"forget":       withManner(forgets),
-	"pieces":       withLink(link.Fault{Pieces: true}),
+	"twice":        withBehavior(answersTwice),
+	"forget":       withBehavior(closesAfterAnswer),
+	"pieces":       withLinkFault(link.Fault{Pieces: true}),
 	"reset link": onWorker(func(k *overlapWorker, _ *overlapRig, _ *rand.Rand) {
 		k.linkFaults.Add(1)
 		defer k.linkFaults.Add(1)
 		k.relay.Reset()
 	}),
-	"hang":         withManner(hangs),
-	"fail":         withManner(fails),
-	"turn away":    withManner(turnsAway),
-	"reset":        withManner(resets),
-	"break off":    withManner(breaksOff),
-	"half answer":  withManner(halfAnswer),
-	"slow link":    withLink(link.Fault{Delay: 60 * time.Millisecond}),
-	"refuse":       withLink(link.Fault{Refuse: true}),
-	"vanish":       withLink(link.Fault{Blackhole: true}),
-	"answers lost": withLink(link.Fault{Drop: [2]bool{false, true}}),
-	"sends lost":   withLink(link.Fault{Drop: [2]bool{true, false}}),
-	"all lost":     withLink(link.Fault{Drop: [2]bool{true, true}}),
+	"hang":         withBehavior(hangs),
+	"fail":         withBehavior(fails),
+	"turn away":    withBehavior(rejects),
+	"reset":        withBehavior(resets),
+	"break off":    withBehavior(breaksOff),
+	"half answer":  withBehavior(halfAnswer),
+	"slow link":    withLinkFault(link.Fault{Delay: 60 * time.Millisecond}),
+	"refuse":       withLinkFault(link.Fault{Refuse: true}),
+	"vanish":       withLinkFault(link.Fault{Blackhole: true}),
+	"answers lost": withLinkFault(link.Fault{Drop: [2]bool{false, true}}),
+	"sends lost":   withLinkFault(link.Fault{Drop: [2]bool{true, false}}),
+	"all lost":     withLinkFault(link.Fault{Drop: [2]bool{true, true}}),
 	"open connections silent": onWorker(func(k *overlapWorker, _ *overlapRig, _ *rand.Rand) {
 		k.linkFaults.Add(1)
 		k.relay.Silence()
-		time.Sleep(answerUnderWay) // for requests that had passed and are just beginning: their answers fall silent as well
+		// Requests that have just passed the relay lose their answers as well.
+		time.Sleep(maxRelayDelay)
 		k.linkFaults.Add(1)
 	}),
 	"half of all workers lost": func(r *overlapRig, rng *rand.Rand) bool {
-		r.onHalfOfAllWorkers(withLinkOf(link.Fault{Drop: [2]bool{true, true}}, some(rng, 2*time.Second)))
+		r.onHalfOfAllWorkers(applyLinkFault(link.Fault{Drop: [2]bool{true, true}}, randomDuration(rng, 2*time.Second)))
 		return true
 	},
 	"cut that heals": (*overlapRig).cutThatHeals,
 	"log not read":   onRouter((*overlapRouter).logNotRead),
 	"starved crowd":  onRouter((*overlapRouter).starvedCrowd),
 	"signals":        onRouter((*overlapRouter).signalsInSeries),
-	"end of a start": onRouter((*overlapRouter).endOfAStart),
+	"end of a start": onRouter((*overlapRouter).terminateDuringStart),
 	"half of all writers hang": func(r *overlapRig, rng *rand.Rand) bool {
 		for _, k := range r.workers[overlapReaders : overlapReaders+overlapWriters/2] {
 			if k.busy.TryLock() {
 				defer k.busy.Unlock()
-				k.manner.Store(int32(hangs))
-				defer k.manner.Store(int32(well))
+				k.behavior.Store(int32(hangs))
+				defer k.behavior.Store(int32(normal))
 			}
 		}
-		time.Sleep(some(rng, 1500*time.Millisecond))
+		time.Sleep(randomDuration(rng, 1500*time.Millisecond))
 		return true
 	},
 }
 
-// some is a time up to so much, an eighth of it at least.
-func some(rng *rand.Rand, most time.Duration) time.Duration {
-	return most/8 + time.Duration(rng.Int64N(int64(most-most/8)))
+// randomDuration returns a random duration between an eighth of the limit and the limit.
+func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
+	return limit/8 + time.Duration(rng.Int64N(int64(limit-limit/8)))
 }
 
+// onRouter returns a fault that acts on a random router.
 func onRouter(do func(*overlapRouter, *rand.Rand)) func(*overlapRig, *rand.Rand) bool {
 	return func(r *overlapRig, rng *rand.Rand) bool {
 		o := r.routers[rng.IntN(len(r.routers))]
@@ -129,6 +132,7 @@
 	}
 }
 
+// onWorker returns a fault that acts on a random worker.
 func onWorker(do func(*overlapWorker, *overlapRig, *rand.Rand)) func(*overlapRig, *rand.Rand) bool {
 	return func(r *overlapRig, rng *rand.Rand) bool {
 		k := r.workers[rng.IntN(len(r.workers))]
@@ -141,22 +145,22 @@
 	}
 }
 
-func withManner(m manner) func(*overlapRig, *rand.Rand) bool {
+func withBehavior(m behavior) func(*overlapRig, *rand.Rand) bool {
 	return onWorker(func(k *overlapWorker, _ *overlapRig, rng *rand.Rand) {
-		k.manner.Store(int32(m))
-		time.Sleep(some(rng, 2*time.Second))
-		k.manner.Store(int32(well))
+		k.behavior.Store(int32(m))
+		time.Sleep(randomDuration(rng, 2*time.Second))
+		k.behavior.Store(int32(normal))
 	})
 }
 
-func withLink(f link.Fault) func(*overlapRig, *rand.Rand) bool {
+func withLinkFault(f link.Fault) func(*overlapRig, *rand.Rand) bool {
 	return onWorker(func(k *overlapWorker, _ *overlapRig, rng *rand.Rand) {
-		withLinkOf(f, some(rng, 2*time.Second))(k)
+		applyLinkFault(f, randomDuration(rng, 2*time.Second))(k)
 	})
 }
 
-// withLinkOf gives the way to a worker a fault for so long.
-func withLinkOf(f link.Fault, lasts time.Duration) func(*overlapWorker) {
+// applyLinkFault returns a function that gives the link to a worker a fault for the duration.
+func applyLinkFault(f link.Fault, duration time.Duration) func(*overlapWorker) {
 	return func(k *overlapWorker) {
 		k.linkFaults.Add(1)
 		defer k.linkFaults.Add(1)
@@ -164,25 +168,25 @@
 		if f.Refuse {
 			k.relay.Cut()
 		}
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		k.relay.Set(link.Fault{})
-		k.relay.Cut() // what was silent is reset once it is back
+		k.relay.Cut() // close connections that were silent: TCP would reset them
 	}
 }
 
-// leave has a worker drain, go and come back as another process.
-func (k *overlapWorker) leave(r *overlapRig, rng *rand.Rand) {
-	r.tell(k, "terminating")
-	time.Sleep(some(rng, 3*time.Second))
-	r.tell(k, "terminated")
-	time.Sleep(some(rng, time.Second))
-	r.tell(k, "in_service")
+// leaveAndReturn announces that a worker drains, has terminated, and has started again.
+func (k *overlapWorker) leaveAndReturn(r *overlapRig, rng *rand.Rand) {
+	r.announce(k, "terminating")
+	time.Sleep(randomDuration(rng, 3*time.Second))
+	r.announce(k, "terminated")
+	time.Sleep(randomDuration(rng, time.Second))
+	r.announce(k, "in_service")
 }
 
 func (o *overlapRouter) terminate(p *program) {
 	o.termAt.Store(time.Now().UnixNano())
 	p.signal(syscall.SIGTERM)
-	o.ended(p)
+	o.waitEnd(p)
 }
 
 func (o *overlapRouter) restart(*rand.Rand) {
@@ -191,17 +195,17 @@
 	o.start()
 }
 
-// upgrade starts the next process beside the one that runs, and ends that one.
+// upgrade starts a new process beside the current one, then terminates the old one.
 func (o *overlapRouter) upgrade(*rand.Rand) {
 	p, _, _ := o.process()
 	o.start()
-	p.signal(syscall.SIGTERM) // new connections are dealt to the next one
-	o.ended(p)
+	p.signal(syscall.SIGTERM) // new connections go to the new process
+	o.waitEnd(p)
 }
 
 func (o *overlapRouter) kill(rng *rand.Rand) {
 	p, _, _ := o.process()
-	o.termAt.Store(1) // long ago: nobody comes any more
+	o.termAt.Store(1) // long ago: no client opens new connections
 	o.kills.Add(1)
 	for _, id := range o.rig.judge.Open(o.name) {
 		o.rig.judge.Excuse(id)
@@ -211,13 +215,14 @@
 	for _, id := range o.rig.judge.Open(o.name) {
 		o.rig.judge.Excuse(id)
 	}
-	time.Sleep(some(rng, 500*time.Millisecond))
+	time.Sleep(randomDuration(rng, 500*time.Millisecond))
 	o.start()
 }
 
-// signalsInSeries ends the process by several signals of each kind, close together, with other deadlines told by them.
+// signalsInSeries ends the process with several SIGHUP, SIGTERM and SIGUSR1 signals in quick
+// succession, with changed deadlines in the configuration that is reloaded.
 func (o *overlapRouter) signalsInSeries(rng *rand.Rand) {
-	if err := o.draw(rng); err != nil {
+	if err := o.drawConfig(rng); err != nil {
 		o.rig.fault("%v", err)
 	}
 	p, _, _ := o.process()
@@ -230,14 +235,15 @@
 	p.signal(syscall.SIGTERM)
 	for range rng.IntN(3) {
 		pause()
-		_ = p.cmd.Process.Signal([]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1}[rng.IntN(3)]) // it may have ended
+		// The process may have exited.
+		_ = p.cmd.Process.Signal([]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1}[rng.IntN(3)])
 	}
-	o.ended(p)
+	o.waitEnd(p)
 	o.start()
 }
 
-// endOfAStart ends a process that has just been started, ready or not.
-func (o *overlapRouter) endOfAStart(rng *rand.Rand) {
+// terminateDuringStart sends SIGTERM to a process that has just been started, ready or not.
+func (o *overlapRouter) terminateDuringStart(rng *rand.Rand) {
 	p, _, _ := o.process()
 	o.terminate(p)
 	p = o.launch()
@@ -245,19 +251,19 @@
 	o.termAt.Store(time.Now().UnixNano())
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-p.exit: // also by the signal itself, before the program hears any
-	case <-time.After(o.killAfter() + killSlack):
-		o.rig.fault("%s: a start did not end in time", o.name)
+	case <-p.exit: // any exit status: the signal ends a process that does not handle signals yet
+	case <-time.After(o.killAfter() + killTolerance):
+		o.rig.fault("%s: a starting process did not exit in time after SIGTERM", o.name)
 		_ = p.cmd.Process.Kill()
 		<-p.exit
 	}
 	o.start()
 }
 
-// reload has configurations read again in a row, some of which make no sense.
+// reload triggers several reloads in a row, some of invalid configurations.
 func (o *overlapRouter) reload(rng *rand.Rand) {
 	for range 1 + rng.IntN(4) {
-		if err := o.draw(rng); err != nil {
+		if err := o.drawConfig(rng); err != nil {
 			o.rig.fault("%v", err)
 		}
 		if rng.IntN(3) == 0 {
@@ -267,7 +273,7 @@
 		}
 		p, _, _ := o.process()
 		p.signal(syscall.SIGHUP)
-		time.Sleep(some(rng, 300*time.Millisecond))
+		time.Sleep(randomDuration(rng, 300*time.Millisecond))
 	}
 	if err := os.WriteFile(o.file, []byte(o.text), 0o600); err != nil {
 		o.rig.fault("%v", err)
@@ -277,27 +283,28 @@
 	time.Sleep(50 * time.Millisecond)
 }
 
-// stall holds the router up for up to 0.15 s, a few times.
+// stall stops the router's process a few times, for less than 0.15 s each.
 func (o *overlapRouter) stall(rng *rand.Rand) {
 	p, _, _ := o.process()
 	for range 1 + rng.IntN(5) {
 		p.signal(syscall.SIGSTOP)
-		time.Sleep(some(rng, 140*time.Millisecond))
+		time.Sleep(randomDuration(rng, 140*time.Millisecond))
 		p.signal(syscall.SIGCONT)
-		time.Sleep(some(rng, 200*time.Millisecond))
+		time.Sleep(randomDuration(rng, 200*time.Millisecond))
 	}
 }
 
+// stepClock steps the wall clock of the router's process.
 func (o *overlapRouter) stepClock(rng *rand.Rand) {
 	_, _, wall := o.process()
-	steps := []time.Duration{-hour, hour, -5 * time.Second, 5 * time.Second}
+	steps := []time.Duration{-clockStep, clockStep, -5 * time.Second, 5 * time.Second}
 	if err := wall.Set(steps[rng.IntN(len(steps))]); err != nil {
 		o.rig.fault("%v", err)
 	}
-	time.Sleep(some(rng, time.Second))
+	time.Sleep(randomDuration(rng, time.Second))
 }
 
-// failCalls makes a part of some system calls fail.
+// failCalls makes a quarter of the intercepted system calls fail for a while.
 func (o *overlapRouter) failCalls(rng *rand.Rand) {
 	_, calls, _ := o.process()
 	errnos := map[int][]syscall.Errno{
@@ -308,7 +315,7 @@
 		syscalls.Openat:  {syscall.EMFILE, syscall.ENFILE, syscall.EIO},
 		syscalls.Bind:    {syscall.ENOBUFS},
 	}
-	draw := rand.New(rand.NewPCG(rng.Uint64(), 0)) // for the calls, which come in any order
+	draw := rand.New(rand.NewPCG(rng.Uint64(), 0)) // separate, since the calls come in any order
 	calls.Set(func(call int) syscalls.Fault {
 		if draw.IntN(4) > 0 {
 			return syscalls.Fault{}
@@ -316,29 +323,30 @@
 		list := errnos[call]
 		return syscalls.Fault{Errno: list[draw.IntN(len(list))]}
 	})
-	time.Sleep(some(rng, 2*time.Second))
+	time.Sleep(randomDuration(rng, 2*time.Second))
 	calls.Set(nil)
 }
 
-// cutThatHeals has half of all workers vanish, and come back with their connections as they were: what was sent meanwhile is sent
-// again by the routers' systems.
+// cutThatHeals makes half of all workers unreachable for a while and keeps their connections: the
+// routers' kernels retransmit what was sent meanwhile.
 func (r *overlapRig) cutThatHeals(rng *rand.Rand) bool {
-	if r.cantVanish != nil {
+	if r.blackholeErr != nil {
 		return false
 	}
-	lasts := some(rng, 800*time.Millisecond)
+	duration := randomDuration(rng, 800*time.Millisecond)
 	r.onHalfOfAllWorkers(func(k *overlapWorker) {
 		k.linkFaults.Add(1)
 		k.relay.Set(link.Fault{Blackhole: true, Heals: true})
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		k.relay.Set(link.Fault{})
-		time.Sleep(answerUnderWay)
+		time.Sleep(maxRelayDelay)
 		k.linkFaults.Add(1)
 	})
 	return true
 }
 
-// onHalfOfAllWorkers does something to every second worker at once, but to those that have another trouble.
+// onHalfOfAllWorkers calls do for every second worker concurrently, except those that have another
+// fault.
 func (r *overlapRig) onHalfOfAllWorkers(do func(*overlapWorker)) {
 	var all sync.WaitGroup
 	for i, k := range r.workers {
@@ -352,30 +360,31 @@
 	all.Wait()
 }
 
-// logNotRead has nobody read the router's log for a while.
+// logNotRead stops reading the router's log for a while.
 func (o *overlapRouter) logNotRead(rng *rand.Rand) {
 	p, _, _ := o.process()
-	p.pause.Lock()
-	defer p.pause.Unlock()
-	time.Sleep(some(rng, 2*time.Second))
+	p.logPause.Lock()
+	defer p.logPause.Unlock()
+	time.Sleep(randomDuration(rng, 2*time.Second))
 }
 
 const (
-	starvedShare = 0.5 // of a core, of a program with the race detector
-	starvedRate  = 800 // idle connections a second
+	starvedShare = 0.5 // of a core, for a program built with the race detector
+	starvedRate  = 800 // idle connections per second
 )
 
-// starvedCrowd gives the router a part of a core, while idle clients come one after the other.
+// starvedCrowd limits the router to a part of a core while idle clients connect one after the
+// other.
 func (o *overlapRouter) starvedCrowd(rng *rand.Rand) {
 	p, _, _ := o.process()
 	quota, err := cpushare.Hold(p.cmd.Process.Pid, starvedShare)
 	if err != nil {
-		return // it has just ended
+		return // the process has just exited
 	}
 	defer quota.Lift()
 	o.crowds.Add(1)
-	defer time.AfterFunc(overlapSlack, func() { o.crowds.Add(-1) })
-	ctx, end := context.WithTimeout(o.rig.t.Context(), some(rng, 1500*time.Millisecond))
+	defer time.AfterFunc(overlapTolerance, func() { o.crowds.Add(-1) })
+	ctx, end := context.WithTimeout(o.rig.t.Context(), randomDuration(rng, 1500*time.Millisecond))
 	defer end()
-	crowdAt(ctx, o.addr, starvedRate)
+	openCrowd(ctx, o.addr, starvedRate)
 }
--- a/test/overlap_workers_test.go
+++ b/test/overlap_workers_test.go
@@ -20,37 +20,37 @@
 	"lichenshelf/lab/judge"
 )
 
-// manner is what a worker of the overlap test does with requests.
-type manner int
+// behavior is how a worker of the overlap test handles requests.
+type behavior int
 
 const (
-	well       manner = iota
-	hangs             // takes requests and says nothing
-	fails             // answers 500
-	turnsAway         // answers 503 and has not run
-	resets            // ends the connection before its answer
-	breaksOff         // ends the connection within its answer
-	halfAnswer        // writes half a head and stays
-	twice             // writes a second answer some milliseconds after the first
-	forgets           // closes or resets its connection some milliseconds after an answer, untold
+	normal            behavior = iota
+	hangs                      // accepts requests and sends nothing
+	fails                      // answers 500
+	rejects                    // answers 503 and marks the request as unprocessed
+	resets                     // closes the connection before the answer
+	breaksOff                  // closes the connection within the answer
+	halfAnswer                 // writes a part of the response header and keeps the connection open
+	answersTwice               // writes a second answer some milliseconds after the first
+	closesAfterAnswer          // closes or resets the connection some milliseconds after an answer
 )
 
-// answerUnderWay bounds how long an answer takes through the relay.
-const answerUnderWay = 100 * time.Millisecond
+// maxRelayDelay is how long an answer may take to pass the relay.
+const maxRelayDelay = 100 * time.Millisecond
 
-// afterAnswer bounds how long after an answer the last two of them act.
-const afterAnswer = 10 * time.Millisecond
+// maxCloseDelay is how long answersTwice and closesAfterAnswer wait at most after an answer.
+const maxCloseDelay = 10 * time.Millisecond
 
-// overlapWorker is a worker behind a relay. What it sees it tells the judge.
+// overlapWorker is a worker behind a relay. It reports its observations to the judge.
 type overlapWorker struct {
 	name, kind string
 	server     *httptest.Server
 	relay      *link.Relay
 	judge      *judge.Judge
-	manner     atomic.Int32
-	linkFaults atomic.Int64 // one more as each fault of its relay begins, and as it ends
-	busy       sync.Mutex   // held by the trouble that has it
-	hand       sync.Mutex   // held by the operator who has taken it out
+	behavior   atomic.Int32
+	linkFaults atomic.Int64 // counts beginnings and ends of link faults: odd during one
+	busy       sync.Mutex   // held by the fault that acts on the worker
+	suspension sync.Mutex   // held while an operator has suspended the worker
 }
 
 func newOverlapWorker(t *testing.T, j *judge.Judge, name, kind string) *overlapWorker {
@@ -87,11 +87,11 @@
 	if k.linkFaults.Load() != faults {
 		a.CutOff()
 	}
-	a.Ended(judge.MayHaveRun, time.Now()) // if it has not ended otherwise
+	a.Ended(judge.MayHaveRun, time.Now()) // unless an end was recorded before
 }
 
 func (k *overlapWorker) answer(w http.ResponseWriter, r *http.Request, id string, a *judge.Attempt, faults int64) {
-	now := manner(k.manner.Load())
+	now := behavior(k.behavior.Load())
 	switch now {
 	case hangs:
 		<-r.Context().Done()
@@ -99,7 +99,7 @@
 	case fails:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case turnsAway:
+	case rejects:
 		a.Ended(judge.NeverRan, time.Now())
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -116,11 +116,11 @@
 		}
 		return
 	}
-	if !pause(r, time.Duration(5+rand.IntN(40))*time.Millisecond) {
+	if !sleepUnlessDone(r, time.Duration(5+rand.IntN(40))*time.Millisecond) {
 		return
 	}
-	if now == twice || now == forgets {
-		k.unclean(w, id, a, now)
+	if now == answersTwice || now == closesAfterAnswer {
+		k.answerUncleanly(w, id, a, now)
 		return
 	}
 	if k.kind == "reader" {
@@ -129,7 +129,8 @@
 		}
 		a.Ended(judge.Read, time.Now())
 		read(w, r)
-		time.AfterFunc(answerUnderWay, func() { // what the relay has may still be lost, and the attempt is out for its router then
+		// The relay may still lose the answer; the router then considers the attempt open.
+		time.AfterFunc(maxRelayDelay, func() {
 			if k.linkFaults.Load() != faults {
 				a.CutOff()
 			}
@@ -139,7 +140,7 @@
 	k.stream(w, r, id, a, faults, now == breaksOff)
 }
 
-// stream answers with events that name the request.
+// stream answers with events that contain the id of the request.
 func (k *overlapWorker) stream(w http.ResponseWriter, r *http.Request, id string, a *judge.Attempt, faults int64, breaks bool) {
 	a.Ended(judge.Began, time.Now())
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -153,12 +154,12 @@
 			return
 		}
 		w.(http.Flusher).Flush()
-		if !pause(r, time.Duration(rand.IntN(30))*time.Millisecond) {
+		if !sleepUnlessDone(r, time.Duration(rand.IntN(30))*time.Millisecond) {
 			return
 		}
 	}
 	if _, err := fmt.Fprintf(w, "data: {\"id\":%q,\"events\":%d}\n\ndata: [DONE]\n\n", id, n); err == nil && r.Context().Err() == nil {
-		time.AfterFunc(overlapSlack, func() { // what the relay has may still be lost
+		time.AfterFunc(overlapTolerance, func() { // the relay may still lose the end of the stream
 			if faults%2 == 0 && k.linkFaults.Load() == faults {
 				a.Whole()
 			}
@@ -166,8 +167,9 @@
 	}
 }
 
-// unclean answers whole, and then writes what nobody asked for or ends the connection as it pleases.
-func (k *overlapWorker) unclean(w http.ResponseWriter, id string, a *judge.Attempt, how manner) {
+// answerUncleanly sends a complete answer, and then writes a second one that was not requested or
+// closes or resets the connection without notice.
+func (k *overlapWorker) answerUncleanly(w http.ResponseWriter, id string, a *judge.Attempt, mode behavior) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -184,17 +186,17 @@
 	if _, err := io.WriteString(c, answer); err != nil {
 		return
 	}
-	time.Sleep(rand.N(afterAnswer))
-	if how == twice {
+	time.Sleep(rand.N(maxCloseDelay))
+	if mode == answersTwice {
 		_, _ = io.WriteString(c, strings.ReplaceAll(answer, id, strings.Repeat("f", len(id))))
-		time.Sleep(afterAnswer)
+		time.Sleep(maxCloseDelay)
 	} else if t, ok := c.(*net.TCPConn); ok && rand.IntN(2) == 0 {
 		_ = t.SetLinger(0)
 	}
 }
 
-// pause waits, and tells whether the router still wants the answer.
-func pause(r *http.Request, d time.Duration) bool {
+// sleepUnlessDone waits and returns false as soon as the router has canceled the request.
+func sleepUnlessDone(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -203,8 +205,9 @@
 	}
 }
 
-// wholeStream tells whether a body is all of a request's stream, and nothing of another's.
-func wholeStream(body, id string) bool {
+// isCompleteStream reports whether a body is the complete stream of the request and contains
+// nothing of another one.
+func isCompleteStream(body, id string) bool {
 	events := strings.Split(strings.TrimSuffix(body, "\n\n"), "\n\n")
 	n := len(events) - 2
 	if n < 0 || events[n+1] != "data: [DONE]" || events[n] != fmt.Sprintf("data: {\"id\":%q,\"events\":%d}", id, n) {
@@ -218,8 +221,8 @@
 	return true
 }
 
-// writtenAt is when a worker wrote the event of a line, if it says so.
-func writtenAt(line string) (time.Time, bool) {
+// eventTime returns the time at which a worker wrote the event in a line, if the line has one.
+func eventTime(line string) (time.Time, bool) {
 	_, text, ok := strings.Cut(line, `"at":`)
 	if !ok {
 		return time.Time{}, false
--- a/test/repeats_test.go
+++ b/test/repeats_test.go
@@ -8,10 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request by key is sent again only within the window in which its workers discard repeats, counted from its first attempt that
-// may have run, also where the window is the shortest; past it, it is answered at once. One that must never run twice, and a
-// repeatable one, go by their own rule whatever the window is.
-func TestRepeatsKeepTheirWindow(t *testing.T) {
+// A by_key request must be retried only within the window in which workers discard repeats, counted
+// from the first attempt that may have run, also if the window is shorter than the client's
+// timeout. After the window it must be answered at once. The other classes ignore the window:
+// requests that may run once are not retried within it, and repeatable ones are retried after it.
+func TestRetriesStayWithinRepeatWindow(t *testing.T) {
 	const window, patience = 400 * time.Millisecond, 4 * time.Second
 	for name, tc := range map[string]struct {
 		class       func(*deployment) string
@@ -52,7 +53,7 @@
 			}
 			if !tc.again {
 				require.Equal(t, 1, n, "sent again")
-				require.Less(t, time.Since(from), patience-time.Second, "the answer is held back")
+				require.Less(t, time.Since(from), patience-time.Second, "the answer is delayed")
 				return
 			}
 			require.Greater(t, n, 1, "not sent again")
@@ -63,8 +64,9 @@
 	}
 }
 
-// A client's retry, a request of its own, goes on while the first one is out, in every class.
-func TestARetryWhileTheFirstIsOut(t *testing.T) {
+// A client's retry is a separate request and must proceed while the first one is pending, in every
+// class.
+func TestClientRetryWhileFirstIsPending(t *testing.T) {
 	d := deployments[2]
 	for _, class := range []string{d.repeatable, d.keyed, d.once} {
 		t.Run(class, func(t *testing.T) {
--- a/test/signals_test.go
+++ b/test/signals_test.go
@@ -17,12 +17,14 @@
 	"lichenshelf/internal/standin/syscalls"
 )
 
-// A SIGTERM is heard also while a reload waits for a file that can't be read now, and however many signals came before.
-func TestTermIsHeardWhileAReloadHangs(t *testing.T) {
+// Guards against a SIGTERM that is ignored while a reload is blocked: opening the configuration
+// file, a FIFO, blocks, and eight SIGHUPs are pending before the SIGTERM.
+func TestSIGTERMDuringBlockedReload(t *testing.T) {
 	r, w := pair(t, nil)
 	p, _ := platform(t, r, w)
 	require.NoError(t, os.Remove(p.file))
-	require.NoError(t, syscall.Mkfifo(p.file, 0o600)) // opening it waits for who writes
+	// Opening it blocks until a process opens it for writing.
+	require.NoError(t, syscall.Mkfifo(p.file, 0o600))
 	for range 8 {
 		p.signal(syscall.SIGHUP)
 		time.Sleep(10 * time.Millisecond)
@@ -33,20 +35,22 @@
 	from := time.Now()
 	p.signal(syscall.SIGTERM)
 	p.waitExit()
-	require.Less(t, time.Since(from), leaveWithin+loaded)
+	require.Less(t, time.Since(from), killDelay+loaded)
 }
 
-// leaveWithin is how long after SIGTERM the platform kills a process: the longest deadline, 3 s at most, and 0.7 s.
-const leaveWithin = 3700 * time.Millisecond
+// killDelay is how long after SIGTERM the platform kills a process: the longest deadline, at most 3
+// s, plus 0.7 s.
+const killDelay = 3700 * time.Millisecond
 
-// A new configuration with shorter deadlines brings the platform's kill forward: what is in hand has its answer by then, also
-// where the reload and the end come in one moment, and more than once.
-func TestAReloadMovesTheEndOfAProcess(t *testing.T) {
+// Guards against open requests that are still unanswered when the platform kills the process: a new
+// configuration with shorter deadlines makes the kill earlier. Requests must be answered by then,
+// also if the SIGHUP and the SIGTERM come together, repeatedly, or in the reverse order.
+func TestReloadShortensShutdown(t *testing.T) {
 	const limit = 800 * time.Millisecond
 	for name, c := range map[string]struct {
-		taken   bool // the reload is over before the end is told
+		taken   bool // the reload is complete before SIGTERM
 		signals []syscall.Signal
-		away    time.Duration // the file can't be opened for so long from then on
+		away    time.Duration // how long the file can't be opened, from the signals on
 	}{
 		"read before":         {taken: true, signals: []syscall.Signal{syscall.SIGTERM}},
 		"in one moment":       {signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}},
@@ -66,17 +70,17 @@
 			text = []byte(strings.Replace(string(text), `"name":`, fmt.Sprintf(`"discovery":%q,"name":`, d.Listener.Addr()), 1))
 			require.NoError(t, os.WriteFile(file, text, 0o600))
 			addr := ownAddr(t)
-			p, faults := startTrapped(t, []int{syscalls.Openat}, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_CONFIG=" + file}, "serve")
+			p, faults := startWithFaults(t, []int{syscalls.Openat}, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_CONFIG=" + file}, "serve")
 			p.file = file
 			p.waitReady()
 			shorter := strings.ReplaceAll(string(text), `"hard-limit-ns":3000000000`, fmt.Sprintf(`"hard-limit-ns":%d`, limit.Nanoseconds()))
 			var a answer
 			var asked sync.WaitGroup
 			asked.Go(func() { a = p.ask("file", newID(), 3*time.Second) })
-			eventually(t, func() bool { return len(k.got(http.MethodPost)) > 0 }, "it is in hand")
+			eventually(t, func() bool { return len(k.got(http.MethodPost)) > 0 }, "the worker has the request")
 			if c.taken {
 				p.reconfigure(shorter)
-				eventually(t, func() bool { return p.logged("settings read again") }, "the configuration is taken")
+				eventually(t, func() bool { return p.logged("settings read again") }, "the configuration is loaded")
 			} else {
 				require.NoError(t, replaceFile(file, shorter))
 			}
@@ -97,12 +101,13 @@
 	}
 }
 
-// A new configuration is taken also where its file can't be opened for a moment, as where clients have all descriptors: with it
-// would go all that only the new discovery tells.
-func TestAReloadOutlivesAFileThatCantBeOpenedForAMoment(t *testing.T) {
+// Guards against a lost reload: if the configuration file can't be opened for a moment, as when
+// clients use up all descriptors, the reload must be retried. Otherwise the router never receives
+// the updates of the new discovery.
+func TestReloadRetriesUnopenableFile(t *testing.T) {
 	r, w := pair(t, nil)
-	whole := listText(1, true, "in_service", r, w)
-	old, next := newDiscoveryAt(t, "127.0.0.1:0", whole), newDiscoveryAt(t, "127.0.0.1:0", whole)
+	list := listText(1, true, "in_service", r, w)
+	old, next := newDiscoveryAt(t, "127.0.0.1:0", list), newDiscoveryAt(t, "127.0.0.1:0", list)
 	addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -110,7 +115,7 @@
 		return strings.Replace(string(text), `"name":`, fmt.Sprintf(`"discovery":%q,"name":`, d.Listener.Addr()), 1)
 	}
 	require.NoError(t, os.WriteFile(file, []byte(follow(old)), 0o600))
-	p, faults := startTrapped(t, []int{syscalls.Openat}, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_CONFIG=" + file}, "serve")
+	p, faults := startWithFaults(t, []int{syscalls.Openat}, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_CONFIG=" + file}, "serve")
 	p.waitReady()
 	require.NoError(t, os.WriteFile(file, []byte(follow(next)), 0o600))
 	faults.Set(syscalls.Always(syscall.ENFILE, syscalls.Openat))
@@ -124,8 +129,9 @@
 	}, "the new discovery is followed")
 }
 
-// A stream whose worker says nothing any more keeps no process until it is killed; one that goes on is passed on until then.
-func TestASilentStreamKeepsNoProcess(t *testing.T) {
+// A stream whose worker sends nothing more must not keep a terminating process alive until the
+// kill; a stream that continues must be forwarded until then.
+func TestSilentStreamDoesNotDelayShutdown(t *testing.T) {
 	const limit = 500 * time.Millisecond
 	for _, goesOn := range []bool{false, true} {
 		t.Run(fmt.Sprint(goesOn), func(t *testing.T) {
@@ -138,7 +144,7 @@
 						<-r.Context().Done()
 						return
 					}
-					if !pause(r, 100*time.Millisecond) {
+					if !sleepUnlessDone(r, 100*time.Millisecond) {
 						return
 					}
 				}
@@ -155,7 +161,8 @@
 			p.signal(syscall.SIGTERM)
 			if goesOn {
 				from, lines := time.Now(), bufio.NewReader(resp.Body)
-				for time.Since(from) < limit+650*time.Millisecond { // the kill comes 0.7 s after the limit
+				// The kill comes 0.7 s after the limit.
+				for time.Since(from) < limit+650*time.Millisecond {
 					_, err := lines.ReadString('\n')
 					require.NoError(t, err, "after %v", time.Since(from))
 				}
@@ -165,7 +172,7 @@
 			p.waitExit()
 			require.Less(t, time.Since(from), limit+700*time.Millisecond)
 			_, err = io.Copy(io.Discard, resp.Body)
-			require.Error(t, err, "its client sees that the stream broke off")
+			require.Error(t, err, "the client must notice that the stream was truncated")
 		})
 	}
 }
--- a/test/sizes_test.go
+++ b/test/sizes_test.go
@@ -16,12 +16,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// used reads what a process holds: its greatest memory in bytes, and its open descriptors.
-func used(t *testing.T, pid int) (memory, descriptors int) {
+// processUsage returns the peak memory of a process in bytes and the number of its open descriptors.
+func processUsage(t *testing.T, pid int) (memory, descriptors int) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
 	_, rest, ok := strings.Cut(string(status), "VmHWM:")
-	require.True(t, ok, "the greatest memory is told")
+	require.True(t, ok, "the status contains the peak memory")
 	memory, err = strconv.Atoi(strings.Fields(rest)[0])
 	require.NoError(t, err)
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -29,16 +29,18 @@
 	return memory << 10, len(open)
 }
 
-// One of 1,024 routers before 1,024 workers serves within 32 MB and 256 descriptors, and
-// hears of all changes to its list.
-func TestAThousandRoutersAndWorkersWithinTheLeastLimits(t *testing.T) {
+// One of 1,024 routers with 1,024 workers must serve within the smallest limits, 32 MB of memory
+// and 256 descriptors, while lists that change all workers arrive.
+func TestThousandRoutersAndWorkersWithinSmallestLimits(t *testing.T) {
 	const routers, workers, memory, sockets = 1024, 1024, 32, 256
 	dir := t.TempDir()
-	plain := filepath.Join(dir, "lichenshelf") // without the race detector, which takes far more
+	// Without the race detector, which needs far more memory.
+	plain := filepath.Join(dir, "lichenshelf")
 	out, err := exec.Command("go", "build", "-o", plain, "lichenshelf/cmd/lichenshelf").CombinedOutput()
 	require.NoError(t, err, string(out))
 
-	// Many workers stand at each stand-in's address: lists are long, this machine is one.
+	// Each stand-in serves the address of many workers: the list is long, but one machine runs the
+	// test.
 	var standins []*worker
 	for i := range 8 {
 		standins = append(standins, newWorker(t, fmt.Sprintf("s-%08x", i), []string{"reader", "writer"}[i%2], nil))
@@ -62,7 +64,7 @@
 	d.say(list(1, true, func(int) string { return "in_service" }))
 
 	addr, file := ownAddr(t), config(t, list(0, true, func(int) string { return "in_service" }), connIdle)
-	among(t, file, routers)
+	setRouterCount(t, file, routers)
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	limited := strings.Replace(string(text), `"memory_mb":192,"sockets":1024`, fmt.Sprintf(`"memory_mb":%d,"sockets":%d`, memory, sockets), 1)
@@ -75,7 +77,7 @@
 		"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + file}, "serve")
 	binary = usual
 	p.waitReady()
-	var served, asked, most atomic.Int64
+	var served, asked, maxDescriptors atomic.Int64
 	var all sync.WaitGroup
 	for range 24 {
 		all.Go(func() {
@@ -84,12 +86,12 @@
 				if a := p.ask("query", newID(), patience); a.err == nil && a.status == 200 {
 					served.Add(1)
 				}
-				_, open := used(t, p.cmd.Process.Pid)
-				most.Store(max(most.Load(), int64(open)))
+				_, open := processUsage(t, p.cmd.Process.Pid)
+				maxDescriptors.Store(max(maxDescriptors.Load(), int64(open)))
 			}
 		})
 	}
-	for i := range 20 { // each change names them all
+	for i := range 20 { // each change contains all workers
 		d.say(list(2+i, false, func(j int) string {
 			if (i+j)%3 == 0 {
 				return "terminating"
@@ -99,15 +101,15 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	all.Wait()
-	held, _ := used(t, p.cmd.Process.Pid)
-	t.Logf("%d of %d served, %.1f MB at most, %d descriptors", served.Load(), asked.Load(), float64(held)/(1<<20), most.Load())
+	peakMemory, _ := processUsage(t, p.cmd.Process.Pid)
+	t.Logf("%d of %d served, %.1f MB at most, %d descriptors", served.Load(), asked.Load(), float64(peakMemory)/(1<<20), maxDescriptors.Load())
 	require.Greater(t, served.Load(), asked.Load()*9/10)
-	require.LessOrEqual(t, held, memory<<20)
-	require.LessOrEqual(t, most.Load(), int64(sockets))
+	require.LessOrEqual(t, peakMemory, memory<<20)
+	require.LessOrEqual(t, maxDescriptors.Load(), int64(sockets))
 }
 
-// What is linked counts against each router's memory, whether it is used or not.
-func TestTheRouterLinksNoLaboratoryAndNoPlots(t *testing.T) {
+// Every linked package takes memory in each router, used or not.
+func TestRouterLinksNeitherLabNorPlots(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "lichenshelf/cmd/lichenshelf").CombinedOutput()
 	require.NoError(t, err, string(out))
 	require.Contains(t, string(out), "lichenshelf/router")
--- a/test/starved_test.go
+++ b/test/starved_test.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	crowdFor    = 4 * time.Second
-	crowdShare  = 0.12 // of a core, of a program with the race detector
-	crowdPerSec = 3000
-	crowdKept   = 4000 // connections that the crowd keeps; the oldest go first
-	calmFor     = 2 * time.Second
-	leastServed = 4 // such a part of what is served in as long a time without a crowd
+	loadDuration        = 4 * time.Second
+	loadCPUShare        = 0.12 // of a core, for a program built with the race detector
+	crowdConnsPerSecond = 3000
+	maxCrowdConns       = 4000 // connections that a crowd keeps open; it closes the oldest first
+	baselineDuration    = 2 * time.Second
+	minServedDivisor    = 4 // at least the baseline divided by this must be served
 )
 
-// crowdAt opens connections at an address at a rate until ctx ends: each other one asks once and stays, the rest never send a
-// whole request.
-func crowdAt(ctx context.Context, addr string, perSecond int) (opened int64) {
+// openCrowd opens connections to an address at a rate until ctx ends, and returns their number.
+// Every second one sends one request and stays open; the others never send a complete request.
+func openCrowd(ctx context.Context, addr string, perSecond int) (opened int64) {
 	const batch = 5 * time.Millisecond
 	var n atomic.Int64
 	var all sync.WaitGroup
-	kept := make(chan net.Conn, crowdKept)
+	kept := make(chan net.Conn, maxCrowdConns)
 	defer func() {
 		all.Wait()
 		close(kept)
@@ -79,42 +79,45 @@
 	}
 }
 
-// A crowd of connections that ask for nothing takes what processor time there is. What the router owes meanwhile comes before
-// it: a state that a reader holds is taken or let go of in time, and a stream's end is passed on.
-func TestACrowdDoesNotKeepARouterFromWhatItOwes(t *testing.T) {
-	seen := owedBeside(t, func(ctx context.Context, addr string) int64 { return crowdAt(ctx, addr, crowdPerSec) })
-	require.Greater(t, seen.served, seen.calm/leastServed, "requests that were kept from being served")
+// Guards against idle connections that take all processor time: 3000 new ones a second, at a router
+// with 0.12 of a core. Meanwhile held read states must still be used or released in time, and the
+// ends of streams forwarded.
+func TestIdleConnectionsDoNotDelayReleasesAndStreams(t *testing.T) {
+	seen := serveUnderLoad(t, func(ctx context.Context, addr string) int64 { return openCrowd(ctx, addr, crowdConnsPerSecond) })
+	require.Greater(t, seen.served, seen.baseline/minServedDivisor, "too few requests were served beside the crowd")
 }
 
-// floods are calls without end on connections that are kept, one at a time or many at once.
+// floods are clients that call without a pause, with one call at a time or many pipelined ones.
 var floods = map[string]flood{"one at a time": {300, 1}, "many at once": {60, 100}}
 
-// The same holds where what comes is a flood of calls.
-func TestAFloodOfCallsDoesNotKeepARouterFromWhatItOwes(t *testing.T) {
+// Guards against a flood of calls that delays releases and the ends of streams.
+func TestCallFloodDoesNotDelayReleasesAndStreams(t *testing.T) {
 	for name, flood := range floods {
 		t.Run(name, func(t *testing.T) {
-			require.NotZero(t, owedBeside(t, flood.at).served, "the check saw nothing served")
+			require.NotZero(t, serveUnderLoad(t, flood.run).served, "no request was served")
 		})
 	}
 }
 
-// Clients that ask beside a flood are served half of a fair share at least, had each connection as many calls.
-func TestClientsHaveTheirShareBesideAFlood(t *testing.T) {
+// Clients beside a flood must be served at least half of their fair share, where a fair share is
+// the same number of calls for each connection.
+func TestClientsGetFairShareDuringCallFlood(t *testing.T) {
 	for name, flood := range floods {
 		t.Run(name, func(t *testing.T) {
-			seen := owedBeside(t, flood.at)
-			require.Greater(t, seen.served, owedClients*int(seen.came)/flood.connections/flood.atOnce/2)
+			seen := serveUnderLoad(t, flood.run)
+			require.Greater(t, seen.served, loadClients*int(seen.loadCount)/flood.connections/flood.atOnce/2)
 		})
 	}
 }
 
-const owedClients = 4
+const loadClients = 4
 
-// flood is clients that call over connections which they keep, so many calls at once, again as soon as these are answered.
+// flood describes connections that each send atOnce pipelined calls, again as soon as these are
+// answered.
 type flood struct{ connections, atOnce int }
 
-// at makes the flood until ctx ends. It returns how many calls were answered.
-func (f flood) at(ctx context.Context, addr string) (calls int64) {
+// run makes the calls until ctx ends, and returns how many were answered.
+func (f flood) run(ctx context.Context, addr string) (calls int64) {
 	var n atomic.Int64
 	var all sync.WaitGroup
 	for range f.connections {
@@ -132,7 +135,7 @@
 	return n.Load()
 }
 
-// call calls over a connection until that ends.
+// call sends calls on a connection until it is closed.
 func (f flood) call(c net.Conn, answered *atomic.Int64) {
 	text := strings.Repeat("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", f.atOnce)
 	br := bufio.NewReader(c)
@@ -151,34 +154,35 @@
 	}
 }
 
-// owed is what was seen beside a trouble.
-type owed struct {
-	came   int64
-	calm   int // streams that would have been served without it in as long a time, by those of calmFor
-	served int
+// loadResult is what serveUnderLoad has observed.
+type loadResult struct {
+	loadCount int64 // returned by the load: connections opened or calls answered
+	baseline  int   // expected streams in loadDuration without the load
+	served    int   // streams served under the load
 }
 
-// owedBeside has a router with little of a core serve clients beside a trouble, and holds it to its rules. The trouble tells how
-// often it came.
-func owedBeside(t *testing.T, trouble func(ctx context.Context, addr string) int64) owed {
+// serveUnderLoad has a router with loadCPUShare of a core serve clients beside a load, and checks
+// that held states are released in time and the ends of streams forwarded. The load returns how
+// many connections or calls it made.
+func serveUnderLoad(t *testing.T, load func(ctx context.Context, addr string) int64) loadResult {
 	h := newHolds()
 	workers := []*worker{}
 	for _, name := range []string{"s-r1", "s-r2"} {
-		workers = append(workers, h.watched(newWorker(t, name, "reader", nil)))
+		workers = append(workers, h.observe(newWorker(t, name, "reader", nil)))
 	}
-	var ended sync.Map // when each stream's last byte was written
+	var streamEnds sync.Map // when each stream's last byte was written
 	for _, name := range []string{"s-w1", "s-w2", "s-w3"} {
-		workers = append(workers, h.watched(newWorker(t, name, "writer", func(w http.ResponseWriter, r *http.Request) {
+		workers = append(workers, h.observe(newWorker(t, name, "writer", func(w http.ResponseWriter, r *http.Request) {
 			write(w, r)
-			ended.Store(r.Header.Get("X-Correlation-Id"), time.Now())
+			streamEnds.Store(r.Header.Get("X-Correlation-Id"), time.Now())
 		})))
 	}
 	p, _ := platform(t, workers...)
 	asking, stop := context.WithCancel(t.Context())
 	var mu sync.Mutex
-	var seen owed
+	var seen loadResult
 	var latest time.Duration
-	clients := askUntil(asking, owedClients, 100*time.Millisecond, func(client *http.Client) {
+	clients := askRepeatedly(asking, loadClients, 100*time.Millisecond, func(client *http.Client) {
 		id := newID()
 		resp, err := client.Do(p.request("query", id, 6*time.Second))
 		if err != nil {
@@ -186,28 +190,28 @@
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
-		if at, ok := ended.Load(id); ok && err == nil && resp.StatusCode == http.StatusOK {
+		if at, ok := streamEnds.Load(id); ok && err == nil && resp.StatusCode == http.StatusOK {
 			mu.Lock()
 			defer mu.Unlock()
 			seen.served, latest = seen.served+1, max(latest, time.Since(at.(time.Time)))
 		}
 	})
-	quota, err := cpushare.Hold(p.cmd.Process.Pid, crowdShare)
+	quota, err := cpushare.Hold(p.cmd.Process.Pid, loadCPUShare)
 	require.NoError(t, err)
-	time.Sleep(calmFor)
+	time.Sleep(baselineDuration)
 	mu.Lock()
-	seen.calm, seen.served = seen.served*int(crowdFor/calmFor), 0
+	seen.baseline, seen.served = seen.served*int(loadDuration/baselineDuration), 0
 	mu.Unlock()
-	crowding, over := context.WithTimeout(t.Context(), crowdFor)
-	defer over()
-	seen.came = trouble(crowding, p.addr)
+	crowding, endLoad := context.WithTimeout(t.Context(), loadDuration)
+	defer endLoad()
+	seen.loadCount = load(crowding, p.addr)
 	stop()
 	clients.Wait()
-	time.Sleep(time.Second) // what is held is let go of by then
+	time.Sleep(time.Second) // held states are released by then
 	quota.Lift()
-	late := h.judge()
-	t.Logf("%d came; %d states held, %v at most; %d streams of %d, the latest end %v late", seen.came, h.read, h.most, seen.served, seen.calm, latest)
-	require.Empty(t, late, "states held for too long")
-	require.Less(t, latest, time.Second, "the end of a stream was passed on late")
+	overdue := h.check()
+	t.Logf("load %d; %d states held, %v at most; %d streams of %d, the latest end %v late", seen.loadCount, h.reads, h.maxHeld, seen.served, seen.baseline, latest)
+	require.Empty(t, overdue, "states held for too long")
+	require.Less(t, latest, time.Second, "the end of a stream was forwarded late")
 	return seen
 }
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -13,18 +13,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// beside starts a second program as an upgrade does: the same addresses, name and
-// folder for temporary files, another console.
-func (p *program) beside(t *testing.T, console string, env []string) *program {
+// startBeside starts a second process as an upgrade does, with the same addresses, name and folder
+// for temporary files and another console.
+func (p *program) startBeside(t *testing.T, console string, env []string) *program {
 	next := start(t, p.addr, append(env, "ROUTER_CONSOLE="+console), "serve")
 	operator := &program{t: t, addr: console}
 	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 200 }, "the new process is ready")
 	return next
 }
 
-// An upgrade under load: what the old process has in hand it finishes, clients that
-// come meanwhile are all served, and what an operator took out stays out.
-func TestUpgradeHandsOverWithRequestsInFlight(t *testing.T) {
+// Guards against lost requests during an upgrade under load. The old process must complete its open
+// requests, all new clients must be served, and a suspended worker must stay suspended.
+func TestUpgradeWithRequestsInFlight(t *testing.T) {
 	more := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(more) })
 	r, w := pair(t, held(more))
@@ -44,11 +44,11 @@
 	resp, err := http.DefaultClient.Do(old.request("query", newID(), patience))
 	require.NoError(t, err, "a stream is in flight at the old process")
 	defer resp.Body.Close()
-	next := old.beside(t, second, env)
+	next := old.startBeside(t, second, env)
 	old.signal(syscall.SIGTERM)
-	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 503 }, "the old one is told")
+	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 503 }, "the old process is terminating")
 	streams := []*http.Response{resp}
-	for range 8 { // not one connection is refused or closed unread
+	for range 8 { // no connection is refused, or closed before it is read
 		req := next.request("query", newID(), patience)
 		req.Close = true
 		more, err := http.DefaultClient.Do(req)
@@ -61,19 +61,20 @@
 	for _, s := range streams {
 		body, err := io.ReadAll(s.Body)
 		require.NoError(t, err)
-		require.Equal(t, events+rest, string(body), "each stream is whole")
+		require.Equal(t, events+rest, string(body), "each stream is complete")
 	}
 	old.waitExit()
-	require.Zero(t, posts(out), "the worker out by hand got nothing, at either process")
+	require.Zero(t, posts(out), "the suspended worker received nothing from either process")
 
 	operator.addr = second
 	require.Equal(t, 200, operator.status(http.MethodPost, "/v1/workers/s-00000003/resume"))
 	eventually(t, func() bool { next.ask("query", newID(), patience); return posts(out) > 0 }, "it is used again")
 }
 
-// SIGTERM with a body half in and an answer's last chunk unread while the listener is handed over: the request is answered whole
-// once its rest comes, and the answer can be read to its end after the process has gone.
-func TestAHandoverOverHalfABodyAndAnUnreadAnswer(t *testing.T) {
+// Guards against lost data when SIGTERM comes while a request body is half received and an answer's
+// end is unread. The request must be answered completely once the rest of the body arrives, and the
+// answer must be readable to its end after the process has exited.
+func TestHandoverWithPartialBodyAndUnreadAnswer(t *testing.T) {
 	more := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(more) })
 	r, w := pair(t, held(more))
@@ -86,32 +87,32 @@
 	old := start(t, addr, append(env, "ROUTER_CONSOLE="+first), "serve").waitReady()
 	operator := &program{t: t, addr: first}
 
-	unread := old.raw(old.text("query", newID(), patience))
+	unread := old.sendRaw(old.requestText("query", newID(), patience))
 	defer unread.Close()
-	eventually(t, func() bool { return posts(w) == 1 }, "its answer has begun")
-	text := old.text("query", newID(), patience)
-	half := old.raw(text[:len(text)-20])
+	eventually(t, func() bool { return posts(w) == 1 }, "the answer has begun")
+	text := old.requestText("query", newID(), patience)
+	half := old.sendRaw(text[:len(text)-20])
 	defer half.Close()
-	next := old.beside(t, second, env)
+	next := old.startBeside(t, second, env)
 	old.signal(syscall.SIGTERM)
-	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 503 }, "the old one is told")
+	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 503 }, "the old process is terminating")
 	_, err := io.WriteString(half, text[len(text)-20:])
 	require.NoError(t, err)
-	eventually(t, func() bool { return posts(w) == 2 }, "the half one has become whole")
+	eventually(t, func() bool { return posts(w) == 2 }, "the partial request is complete")
 	goOn()
-	whole := func(c io.Reader) string {
+	readStream := func(c io.Reader) string {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		require.Equal(t, 200, resp.StatusCode)
 		body, err := io.ReadAll(resp.Body)
-		require.NoError(t, err, "not to its last chunk")
+		require.NoError(t, err, "the body ends before its last chunk")
 		return string(body)
 	}
 	require.NoError(t, half.SetReadDeadline(time.Now().Add(patient)))
-	require.Equal(t, events+rest, whole(half))
+	require.Equal(t, events+rest, readStream(half))
 	old.waitExit()
 	require.NoError(t, unread.SetReadDeadline(time.Now().Add(patient)))
-	require.Equal(t, events+rest, whole(unread))
+	require.Equal(t, events+rest, readStream(unread))
 	a := next.ask("query", newID(), patience)
 	require.Equal(t, 200, a.status)
 	require.True(t, strings.HasSuffix(a.body, rest))
