--- a/test/audit_test.go
+++ b/test/audit_test.go
@@ -58,7 +58,7 @@
 	l.restart(3)
 	l.clients.Avoid(3, false)
 	for until := l.seconds() + 3; l.seconds() < until; {
-		time.Sleep(soon)
+		time.Sleep(pollInterval)
 	}
 	eventually(t, func() bool { // on a busy machine this may take longer
 		for _, r := range l.layout.Routers {
--- a/test/clocks_test.go
+++ b/test/clocks_test.go
@@ -31,17 +31,17 @@
 		t.Run(name, func(t *testing.T) {
 			r, w := pair(t, nil)
 			other := newWorker(t, "s-00000003", "writer", nil)
-			p, wall, d := platformWithClock(t, r, w, other)
+			p, wall, d := startPlatformWithClock(t, r, w, other)
 			stop := sendTraffic(p)
 			defer stop()
-			eventually(t, func() bool { return posts(w) > 50 && posts(other) > 50 }, "both writers are in use")
+			eventually(t, func() bool { return countPosts(w) > 50 && countPosts(other) > 50 }, "both writers are in use")
 			require.NoError(t, wall.Set(off.router))
-			d.list(false, "terminated", w)
+			d.addList(false, "terminated", w)
 			time.Sleep(300 * time.Millisecond)
-			fresh, warm := posts(w), posts(other)
-			p.told(d.addWorkerStartedAt(w, time.Now().Add(off.others)))
+			fresh, warm := countPosts(w), countPosts(other)
+			p.waitForList(d.addWorkerStartedAt(w, time.Now().Add(off.others)))
 			time.Sleep(time.Second)
-			fresh, warm = posts(w)-fresh, posts(other)-warm
+			fresh, warm = countPosts(w)-fresh, countPosts(other)-warm
 			t.Logf("%d answers of the new worker, %d of the other", fresh, warm)
 			require.Less(t, float64(fresh)/float64(fresh+warm), maxShare)
 		})
@@ -65,7 +65,7 @@
 func TestDeadlineOfPipelinedRequestRunsFromArrival(t *testing.T) {
 	more := make(chan struct{})
 	k := newWorker(t, "s-00000001", "mixed", heldStream(more))
-	p, _ := platform(t, k)
+	p, _ := startPlatform(t, k)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	defer c.Close()
@@ -77,8 +77,8 @@
 	sent := time.Now()
 	time.Sleep(700 * time.Millisecond)
 	close(more)
-	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 2 }, "the second request is sent on")
-	got := k.got(http.MethodPost)[1]
+	eventually(t, func() bool { return len(k.received(http.MethodPost)) == 2 }, "the second request is sent on")
+	got := k.received(http.MethodPost)[1]
 	require.Equal(t, second, got.id)
 	stated, err := strconv.Atoi(got.header.Get("X-Time-Left-Ms"))
 	require.NoError(t, err)
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -179,11 +179,11 @@
 	eventually(t, func() bool { return programs[rejecting].logged("shut out: this router takes nothing new") }, "the router that can't apply it is shut out")
 	eventually(t, func() bool { return programs[rejecting].status(http.MethodGet, "/healthz") == 503 }, "the router is not ready")
 	require.Equal(t, 503, ask(rejecting))
-	seen := len(backend.got(http.MethodPost))
+	seen := len(backend.received(http.MethodPost))
 	for range 5 {
 		require.Equal(t, 503, ask(rejecting))
 	}
-	require.Len(t, backend.got(http.MethodPost), seen, "the backend receives none of these requests")
+	require.Len(t, backend.received(http.MethodPost), seen, "the backend receives none of these requests")
 	for i := range programs {
 		if i != rejecting {
 			require.Equal(t, 200, ask(i), "the others serve")
--- a/test/crossings_test.go
+++ b/test/crossings_test.go
@@ -58,7 +58,7 @@
 			r, w := pair(t, nil)
 			other := newWorker(t, "s-00000003", "writer", nil)
 			d := newDiscovery(t)
-			d.list(true, "in_service", r, w, other)
+			d.addList(true, "in_service", r, w, other)
 			relay, err := link.New(d.Listener.Addr().String())
 			require.NoError(t, err)
 			defer relay.Close()
@@ -69,10 +69,10 @@
 				"ROUTER_CONFIG=" + file}, "serve").waitReady()
 			stop := sendTraffic(p)
 			defer stop()
-			eventually(t, func() bool { return posts(w) > 0 && posts(other) > 0 }, "both writers are in use")
+			eventually(t, func() bool { return countPosts(w) > 0 && countPosts(other) > 0 }, "both writers are in use")
 			over := fault(d, relay)
 			time.Sleep(9 * time.Second) // retry delays have reached their maximum by then
-			generation := d.list(false, "terminating", w)
+			generation := d.addList(false, "terminating", w)
 			over()
 			from := time.Now()
 			eventually(t, func() bool { return p.logged(fmt.Sprintf("generation=%d ", generation)) }, "the list is received")
@@ -106,7 +106,7 @@
 	const disconnectDelay = 100 * time.Millisecond
 	slow := func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(700 * time.Millisecond)
-		read(w, r)
+		serveRead(w, r)
 	}
 	for name, tc := range map[string]struct {
 		reader      func(http.ResponseWriter, *http.Request)
@@ -130,12 +130,12 @@
 				if tc.unreachable == 0 {
 					workers = append(workers, newWorker(t, "s-00000002", "writer", nil))
 				}
-				p, d := platform(t, workers...)
+				p, d := startPlatform(t, workers...)
 				for i := range tc.unreachable {
 					addr, _ := unreachableWorker(t)
 					d.addWorkerAt(fmt.Sprintf("s-000002%02x", i), "writer", addr)
 				}
-				p.told(1 + tc.unreachable)
+				p.waitForList(1 + tc.unreachable)
 				ids := []string{newID()}
 				text := p.requestText("query", ids[0], patience)
 				for range tc.ahead {
@@ -143,13 +143,13 @@
 					text += p.requestText("query", ids[len(ids)-1], patience)
 				}
 				c := p.sendRaw(text)
-				eventually(t, func() bool { return posts(r) > 0 }, "the first request is at the reader")
+				eventually(t, func() bool { return countPosts(r) > 0 }, "the first request is at the reader")
 				require.NoError(t, leave(c.(*net.TCPConn)))
 				left := time.Now()
 				// The next attempt would start when the reader answers, after 0.7 s.
 				time.Sleep(1500 * time.Millisecond)
 				for _, k := range workers {
-					for _, got := range k.got(http.MethodPost) {
+					for _, got := range k.received(http.MethodPost) {
 						require.Less(t, got.at.Sub(left), disconnectDelay, "%s at %s", got.id, k.name)
 						require.Equal(t, ids[0], got.id, "a request behind the first, at %s", k.name)
 					}
@@ -165,9 +165,9 @@
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	const sockets = 256
 	r := newWorker(t, "s-00000001", "reader", nil)
-	failing := newWorker(t, "s-00000002", "writer", cut)
+	failing := newWorker(t, "s-00000002", "writer", closeConnection)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, failing)
+	d.addList(true, "in_service", r, failing)
 	addr, console, file := ownAddr(t), ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -190,11 +190,11 @@
 	require.NotEqual(t, 200, p.ask("query", id, time.Second).status, "its writer closes the connection")
 	eventually(t, func() bool { return released(id, r, failing) }, "the held state is released")
 	writer := newWorker(t, "s-00000003", "writer", nil)
-	generation := d.list(false, "in_service", writer)
+	generation := d.addList(false, "in_service", writer)
 	up()
 	from := time.Now()
-	p.told(generation)
-	require.Less(t, time.Since(from), loaded)
+	p.waitForList(generation)
+	require.Less(t, time.Since(from), loadTolerance)
 	eventually(t, func() bool { return p.ask("query", newID(), patience).status == 200 }, "clients are served")
 	resp, err := http.Get("http://" + console + "/v1/readyz")
 	require.NoError(t, err)
@@ -227,8 +227,8 @@
 	took := make([]time.Duration, processes)
 	for i, p := range programs {
 		all.Go(func() {
-			for time.Since(from) < patient && p.status(http.MethodGet, "/healthz") != 200 {
-				time.Sleep(soon)
+			for time.Since(from) < eventualTimeout && p.status(http.MethodGet, "/healthz") != 200 {
+				time.Sleep(pollInterval)
 			}
 			took[i] = time.Since(from)
 		})
@@ -263,7 +263,7 @@
 // serve writes events one by one, each when the client has received the one before.
 func (s *lockstep) serve(events int) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
-		begin(w)
+		beginStream(w)
 		for range events {
 			select {
 			case <-s.acksOf(r.Header.Get("X-Correlation-Id")):
@@ -273,7 +273,7 @@
 			_, _ = io.WriteString(w, "data: next\n\n")
 			w.(http.Flusher).Flush()
 		}
-		_, _ = io.WriteString(w, rest)
+		_, _ = io.WriteString(w, streamEnd)
 	}
 }
 
@@ -328,21 +328,21 @@
 			steps.serve(each)(rw, req)
 			return
 		}
-		begin(rw)
+		beginStream(rw)
 		for range 100 { // more than the buffers of a connection hold
 			if _, err := io.WriteString(rw, "data: "+strings.Repeat("x", 64<<10)+"\n\n"); err != nil {
 				return
 			}
 		}
 	})
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	for range stuck {
 		p.sendRaw(strings.Replace(p.requestText("query", newID(), patience), "\r\n", "\r\nX-Stuck: 1\r\n", 1))
 	}
-	eventually(t, func() bool { return posts(w) > 0 }, "long streams have begun")
+	eventually(t, func() bool { return countPosts(w) > 0 }, "long streams have begun")
 	var begun, ended int
 	for begun < streams {
-		b, e := steps.follow(p, p.addr, 50, patient)
+		b, e := steps.follow(p, p.addr, 50, eventualTimeout)
 		begun, ended = begun+b, ended+e
 	}
 	require.GreaterOrEqual(t, ended, begun*19/20, "streams completed in lockstep, of %d", begun)
@@ -370,10 +370,10 @@
 			t.Parallel()
 			more := make(chan struct{})
 			r, w := pair(t, heldStream(more))
-			p, _ := platform(t, r, w)
+			p, _ := startPlatform(t, r, w)
 			answers := make(chan answer, 1)
 			go func() { answers <- p.ask("query", newID(), patience) }()
-			eventually(t, func() bool { return posts(w) == 1 }, "the answer has begun")
+			eventually(t, func() bool { return countPosts(w) == 1 }, "the answer has begun")
 			half := p.sendRaw("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Le")
 			body := p.sendRaw(p.requestText("query", newID(), patience)[:400])
 			for _, s := range signals {
@@ -383,9 +383,9 @@
 			close(more)
 			a := <-answers
 			require.NoError(t, a.err)
-			require.Equal(t, events+rest, a.body)
+			require.Equal(t, streamStart+streamEnd, a.body)
 			for _, c := range []net.Conn{half, body} {
-				require.NoError(t, c.SetReadDeadline(time.Now().Add(patient)))
+				require.NoError(t, c.SetReadDeadline(time.Now().Add(eventualTimeout)))
 				_, err := io.ReadAll(c)
 				require.NoError(t, err, "a connection with a partial request is reset")
 			}
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -70,8 +70,8 @@
 // start starts the program with the deployment's settings and these workers.
 func (d *deployment) start(t *testing.T, workers ...*worker) *program {
 	disc := newDiscovery(t)
-	disc.list(true, "in_service", workers...)
-	return platformOf(t, disc, configOf(t, `{"generation":0,"reset":true,"instances":[]}`, d.settings())).waitReady()
+	disc.addList(true, "in_service", workers...)
+	return startPlatformFromFile(t, disc, configOf(t, `{"generation":0,"reset":true,"instances":[]}`, d.settings())).waitReady()
 }
 
 // A router must act on the settings of its own deployment, and on none of another's.
@@ -85,13 +85,13 @@
 			for n := range d.attempts + 2 { // all readers fail: each attempt is counted
 				fails = append(fails, newWorker(t, fmt.Sprintf("s-000003%02x", n), d.reader, fail))
 			}
-			fails = append(fails, newWorker(t, "s-00000400", d.writer, write))
+			fails = append(fails, newWorker(t, "s-00000400", d.writer, serveStream))
 			p := d.start(t, fails...)
 			require.Equal(t, http.StatusBadRequest, p.ask(other.repeatable, newID(), time.Second).status, "a class of %s", other.name)
-			require.Zero(t, posts(fails...))
+			require.Zero(t, countPosts(fails...))
 			a := p.ask(d.repeatable, newID(), 4*time.Second)
 			require.Equal(t, http.StatusServiceUnavailable, a.status)
-			require.Equal(t, d.attempts, posts(fails...), "attempts")
+			require.Equal(t, d.attempts, countPosts(fails...), "attempts")
 			require.Equal(t, d.maxRetryAfter > 0, a.header.Get("Retry-After") != "", "Retry-After %q", a.header.Get("Retry-After"))
 			if d.maxRetryAfter > 0 {
 				after, err := time.ParseDuration(a.header.Get("Retry-After") + "s")
@@ -104,13 +104,13 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 			releases := make(chan time.Time, 16)
-			holds = []*worker{newWorker(t, "s-00000500", d.reader, read), newWorker(t, "s-00000600", d.writer, full)}
+			holds = []*worker{newWorker(t, "s-00000500", d.reader, serveRead), newWorker(t, "s-00000600", d.writer, full)}
 			for _, k := range holds {
-				k.gone = func(string) { releases <- time.Now() }
+				k.onRelease = func(string) { releases <- time.Now() }
 			}
 			p = d.start(t, holds...)
 			require.Equal(t, http.StatusServiceUnavailable, p.ask(d.repeatable, newID(), 4*time.Second).status)
-			reads := holds[0].got(http.MethodPost)
+			reads := holds[0].received(http.MethodPost)
 			require.NotEmpty(t, reads)
 			last := <-releases
 			require.Less(t, last.Sub(reads[0].at), d.releaseWithin+300*time.Millisecond, "the state is released")
@@ -123,10 +123,10 @@
 				if class == "" {
 					continue
 				}
-				breaks := []*worker{newWorker(t, "s-00000700", d.reader, read), newWorker(t, "s-00000800", d.writer, cut), newWorker(t, "s-00000900", d.writer, cut)}
+				breaks := []*worker{newWorker(t, "s-00000700", d.reader, serveRead), newWorker(t, "s-00000800", d.writer, closeConnection), newWorker(t, "s-00000900", d.writer, closeConnection)}
 				p = d.start(t, breaks...)
 				a := p.ask(class, newID(), 4*time.Second)
-				ran := posts(breaks[1:]...)
+				ran := countPosts(breaks[1:]...)
 				if class == d.once {
 					require.Equal(t, 1, ran)
 					require.NotContains(t, []int{200, 429, 503}, a.status, "a refusal would make the client repeat it")
--- a/test/erring_worker_test.go
+++ b/test/erring_worker_test.go
@@ -19,15 +19,15 @@
 	const askFor, maxTrials = 3 * time.Second, 8
 	var erred atomic.Int64
 	streams := func(w http.ResponseWriter, _ *http.Request) {
-		begin(w)
+		beginStream(w)
 		time.Sleep(200 * time.Millisecond)
-		_, _ = io.WriteString(w, rest)
+		_, _ = io.WriteString(w, streamEnd)
 	}
 	errs := func(w http.ResponseWriter, _ *http.Request) {
 		erred.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	p, _ := platform(t, newWorker(t, "s-r1", "reader", nil), newWorker(t, "s-w1", "writer", streams),
+	p, _ := startPlatform(t, newWorker(t, "s-r1", "reader", nil), newWorker(t, "s-w1", "writer", streams),
 		newWorker(t, "s-w2", "writer", streams), newWorker(t, "s-w3", "writer", errs))
 	asking, stop := context.WithTimeout(t.Context(), askFor)
 	defer stop()
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -35,7 +35,7 @@
 // network and of the machine's resources from accept; the listener must continue after all of them.
 func TestRouterSurvivesFailedAccepts(t *testing.T) {
 	r, w := pair(t, nil)
-	p, faults, _ := platformWithFaults(t, []int{syscalls.Accept4}, r, w)
+	p, faults, _ := startPlatformWithFaults(t, []int{syscalls.Accept4}, r, w)
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENONET,
 		syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ETIMEDOUT} {
@@ -191,7 +191,7 @@
 // count as a failure of the worker.
 func TestLocalDialFailureDoesNotCountAgainstWorker(t *testing.T) {
 	r, w := pair(t, nil)
-	p, faults, _ := platformWithFaults(t, []int{syscalls.Connect, syscalls.Socket}, r, w)
+	p, faults, _ := startPlatformWithFaults(t, []int{syscalls.Connect, syscalls.Socket}, r, w)
 	for call, errnos := range map[int][]syscall.Errno{
 		syscalls.Connect: {syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EAGAIN, syscall.EPERM},
 		syscalls.Socket:  {syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE},
@@ -225,11 +225,11 @@
 		<-r.Context().Done()
 		close(ended)
 	})
-	p, faults, _ := platformWithFaults(t, []int{syscalls.Ppoll}, k)
+	p, faults, _ := startPlatformWithFaults(t, []int{syscalls.Ppoll}, k)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	require.NoError(t, p.request("file", newID(), 30*time.Second).Write(c))
-	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 1 }, "the worker has the request")
+	eventually(t, func() bool { return len(k.received(http.MethodPost)) == 1 }, "the worker has the request")
 	_, err = c.Write(make([]byte, ahead))
 	require.NoError(t, err)
 	// The router has read ahead and polls the connection from then on.
@@ -238,7 +238,7 @@
 	require.NoError(t, c.Close())
 	select {
 	case <-ended:
-	case <-time.After(loaded):
+	case <-time.After(loadTolerance):
 		t.Fatal("the attempt continues after its client has disconnected")
 	}
 	require.Equal(t, 1, faults.Failed(syscalls.Ppoll))
@@ -270,14 +270,14 @@
 	more := make(chan struct{})
 	k := newWorker(t, "s-00000001", "mixed", func(w http.ResponseWriter, r *http.Request) {
 		<-more
-		write(w, r)
+		serveStream(w, r)
 	})
-	p, faults, _ := platformWithFaults(t, []int{syscalls.Ppoll}, k)
+	p, faults, _ := startPlatformWithFaults(t, []int{syscalls.Ppoll}, k)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, p.request("file", newID(), 10*time.Second).Write(c))
-	eventually(t, func() bool { return len(k.got(http.MethodPost)) == 1 }, "the worker has the request")
+	eventually(t, func() bool { return len(k.received(http.MethodPost)) == 1 }, "the worker has the request")
 	faults.Set(syscalls.Next(syscalls.Ppoll, 3, syscall.ENOMEM))
 	// More than the router reads ahead: it polls the connection from then on.
 	_, err = c.Write(make([]byte, 280<<10))
@@ -285,11 +285,11 @@
 	eventually(t, func() bool { return faults.Failed(syscalls.Ppoll) > 0 }, "a poll has failed")
 	time.Sleep(50 * time.Millisecond)
 	close(more)
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(patient)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(eventualTimeout)))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, events+rest, string(body))
+	require.Equal(t, streamStart+streamEnd, string(body))
 }
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -174,7 +174,7 @@
 	c := &http.Client{Timeout: 3 * time.Second}
 	for f.t.Context().Err() == nil {
 		if !f.demand[i].Load() {
-			time.Sleep(soon)
+			time.Sleep(pollInterval)
 			continue
 		}
 		ctx, cancel := context.WithTimeout(f.t.Context(), 3*time.Second)
--- a/test/hand_test.go
+++ b/test/hand_test.go
@@ -17,7 +17,7 @@
 	r, w := pair(t, nil)
 	out := newWorker(t, "s-00000003", "writer", nil)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, w, out)
+	d.addList(true, "in_service", r, w, out)
 	addr, first, second := ownAddr(t), ownAddr(t), ownAddr(t)
 	env := []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "TMPDIR=" + t.TempDir(), "ROUTER_DISCOVERY=" + d.Listener.Addr().String(),
 		"ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)}
@@ -37,7 +37,7 @@
 	for range 30 {
 		require.Equal(t, http.StatusOK, next.ask("query", newID(), patience).status)
 	}
-	require.Zero(t, posts(out))
+	require.Zero(t, countPosts(out))
 }
 
 // Socket, bind and listen calls that fail for one second must delay a start and not end it.
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, w := pair(t, nil)
 			d := newDiscovery(t)
-			d.list(true, "in_service", r, w)
+			d.addList(true, "in_service", r, w)
 			addr, console := ownAddr(t), ownAddr(t)
 			cmd, faults, err := syscalls.Command([]int{c.call}, binary, "serve")
 			require.NoError(t, err)
@@ -68,7 +68,7 @@
 			})
 			p := startCommand(t, cmd, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "ROUTER_CONSOLE=" + console,
 				"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)})
-			for from := time.Now(); time.Since(from) < 10*time.Second && p.status(http.MethodGet, "/healthz") != 200; time.Sleep(soon) {
+			for from := time.Now(); time.Since(from) < 10*time.Second && p.status(http.MethodGet, "/healthz") != 200; time.Sleep(pollInterval) {
 				p.requireRunning()
 			}
 			require.Equal(t, http.StatusOK, p.ask("query", newID(), patience).status)
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -33,14 +33,14 @@
 )
 
 const (
-	// patient is the time limit for conditions that must hold eventually.
-	patient = 20 * time.Second
+	// eventualTimeout is the time limit for conditions that must hold eventually.
+	eventualTimeout = 20 * time.Second
 	// goroutineDumpTimeout is how long a program may take to write the trace of its goroutines.
 	goroutineDumpTimeout = 5 * time.Second
-	// soon is the interval between checks of a condition.
-	soon = 2 * time.Millisecond
-	// loaded is the delay allowed for a machine that is busy with other work.
-	loaded = 2 * time.Second
+	// pollInterval is the interval between checks of a condition.
+	pollInterval = 2 * time.Millisecond
+	// loadTolerance is the delay allowed for a machine that is busy with other work.
+	loadTolerance = 2 * time.Second
 )
 
 var binary string
@@ -69,7 +69,7 @@
 // eventually fails the test unless f returns true within patient.
 func eventually(t *testing.T, f func() bool, what string) {
 	t.Helper()
-	require.Eventually(t, f, patient, soon, what)
+	require.Eventually(t, f, eventualTimeout, pollInterval, what)
 }
 
 // program is a running lichenshelf process.
@@ -85,8 +85,8 @@
 	logPause   sync.Mutex    // held while reading of the log is suspended
 	logDrained chan struct{} // closed when the log has been read to its end; nil without readLog
 
-	read   int               // bytes of the log already evaluated for served
-	served map[string]string // the current workers, from the changes in the log
+	logOffset int               // bytes of the log already evaluated for served
+	served    map[string]string // the current workers, from the changes in the log
 }
 
 func (p *program) Write(b []byte) (int, error) {
@@ -194,7 +194,7 @@
 	select {
 	case err := <-p.exit:
 		require.NoError(p.t, err, "exit code")
-	case <-time.After(patient):
+	case <-time.After(eventualTimeout):
 		p.dumpGoroutines()
 		p.t.Fatal("the program did not end")
 	}
@@ -223,7 +223,7 @@
 	*httptest.Server
 	name, kind string
 	serve      func(w http.ResponseWriter, r *http.Request) // replaces the default answer
-	gone       func(id string)                              // called for each release, unless nil
+	onRelease  func(id string)                              // called for each release, unless nil
 	mu         sync.Mutex
 	calls      []call
 	conns      int
@@ -232,8 +232,8 @@
 
 // The default stream of a worker: its first event and the rest.
 const (
-	events = "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
-	rest   = "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":64}}}\n\ndata: [DONE]\n\n"
+	streamStart = "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
+	streamEnd   = "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":64}}}\n\ndata: [DONE]\n\n"
 )
 
 func newWorker(t *testing.T, name, kind string, serve func(http.ResponseWriter, *http.Request)) *worker {
@@ -265,51 +265,51 @@
 	k.mu.Unlock()
 	switch {
 	case r.Method == http.MethodDelete:
-		if k.gone != nil {
-			k.gone(strings.TrimPrefix(r.URL.Path, "/v1/holds/"))
+		if k.onRelease != nil {
+			k.onRelease(strings.TrimPrefix(r.URL.Path, "/v1/holds/"))
 		}
 		w.WriteHeader(http.StatusNoContent)
 	case k.serve != nil:
 		k.serve(w, r)
 	case k.kind == "reader":
-		read(w, r)
+		serveRead(w, r)
 	default:
-		write(w, r)
+		serveStream(w, r)
 	}
 }
 
-// read is the default answer of a reader.
-func read(w http.ResponseWriter, _ *http.Request) {
+// serveRead is the default answer of a reader.
+func serveRead(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusAccepted)
 	_, _ = io.WriteString(w, `{"cached_tokens":64}`)
 }
 
-// write is the default answer of writers and mixed workers.
-func write(w http.ResponseWriter, _ *http.Request) {
-	begin(w)
-	_, _ = io.WriteString(w, rest)
+// serveStream is the default answer of writers and mixed workers.
+func serveStream(w http.ResponseWriter, _ *http.Request) {
+	beginStream(w)
+	_, _ = io.WriteString(w, streamEnd)
 }
 
-// begin sends the first event of a stream.
-func begin(w http.ResponseWriter) {
+// beginStream sends the first event of a stream.
+func beginStream(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	_, _ = io.WriteString(w, events)
+	_, _ = io.WriteString(w, streamStart)
 	w.(http.Flusher).Flush()
 }
 
-// cut closes the connection without sending another byte.
-func cut(w http.ResponseWriter, _ *http.Request) {
+// closeConnection closes the connection without sending another byte.
+func closeConnection(w http.ResponseWriter, _ *http.Request) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		_ = c.Close()
 	}
 }
 
-// silent sends no answer and returns when the router closes the connection.
-func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+// neverAnswer sends no answer and returns when the router closes the connection.
+func neverAnswer(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// got returns the calls received with the method.
-func (k *worker) got(method string) []call {
+// received returns the calls received with the method.
+func (k *worker) received(method string) []call {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []call
@@ -321,10 +321,10 @@
 	return out
 }
 
-// posts counts the POST calls that the workers have received.
-func posts(workers ...*worker) (n int) {
+// countPosts counts the POST calls that the workers have received.
+func countPosts(workers ...*worker) (n int) {
 	for _, k := range workers {
-		n += len(k.got(http.MethodPost))
+		n += len(k.received(http.MethodPost))
 	}
 	return n
 }
@@ -332,7 +332,7 @@
 // released reports whether any of the workers was asked to release the state of the request.
 func released(id string, workers ...*worker) bool {
 	for _, k := range workers {
-		for _, c := range k.got(http.MethodDelete) {
+		for _, c := range k.received(http.MethodDelete) {
 			if c.uri == "/v1/holds/"+id {
 				return true
 			}
@@ -344,14 +344,14 @@
 // discovery is a stand-in for the discovery agent.
 type discovery struct {
 	*httptest.Server
-	mu        sync.Mutex
-	lines     []string      // by generation, from 1
-	lineAdded chan struct{} // closed and replaced when a line is added
-	from      []string      // the from parameters of the watches
-	fullList  string        // the answer to requests that are not watches
-	silences  int           // calls of silence, which stop the watches opened before
-	refusing  bool          // calls are answered 503
-	downUntil chan struct{} // calls are not answered until it is closed; nil: discovery is up
+	mu          sync.Mutex
+	lines       []string      // by generation, from 1
+	lineAdded   chan struct{} // closed and replaced when a line is added
+	watchedFrom []string      // the from parameters of the watches
+	fullList    string        // the answer to requests that are not watches
+	silences    int           // calls of silence, which stop the watches opened before
+	refusing    bool          // calls are answered 503
+	downUntil   chan struct{} // calls are not answered until it is closed; nil: discovery is up
 }
 
 // silence stops sending on all open watches, which stay open.
@@ -396,7 +396,7 @@
 	_ = d.Listener.Close()
 	d.Listener = l
 	if fullList != "" {
-		d.say(fullList)
+		d.addLine(fullList)
 	}
 	d.Start()
 	t.Cleanup(func() { d.CloseClientConnections(); d.Close() })
@@ -425,7 +425,7 @@
 		return
 	}
 	d.mu.Lock()
-	d.from = append(d.from, r.URL.Query().Get("from"))
+	d.watchedFrom = append(d.watchedFrom, r.URL.Query().Get("from"))
 	d.mu.Unlock()
 	var sent int
 	_, _ = fmt.Sscan(r.URL.Query().Get("from"), &sent)
@@ -452,8 +452,8 @@
 	}
 }
 
-// say adds a line, which is sent on all watches.
-func (d *discovery) say(line string) {
+// addLine adds a line, which is sent on all watches.
+func (d *discovery) addLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lines = append(d.lines, line)
@@ -461,17 +461,17 @@
 	d.lineAdded = make(chan struct{})
 }
 
-// list adds a full list (reset) or changes to it, and returns the generation.
-func (d *discovery) list(reset bool, lifecycle string, workers ...*worker) int {
+// addList adds a full list (reset) or changes to it, and returns the generation.
+func (d *discovery) addList(reset bool, lifecycle string, workers ...*worker) int {
 	d.mu.Lock()
 	generation := len(d.lines) + 1
 	d.mu.Unlock()
-	d.say(listText(generation, reset, lifecycle, workers...))
+	d.addLine(listText(generation, reset, lifecycle, workers...))
 	return generation
 }
 
-// told waits until the program has logged the list of a generation and returns the time.
-func (p *program) told(generation int) time.Time {
+// waitForList waits until the program has logged the list of a generation and returns the time.
+func (p *program) waitForList(generation int) time.Time {
 	eventually(p.t, func() bool { return p.logged(fmt.Sprintf("generation=%d ", generation)) }, "the list is received")
 	return time.Now()
 }
@@ -481,7 +481,7 @@
 	d.mu.Lock()
 	generation := len(d.lines) + 1
 	d.mu.Unlock()
-	d.say(fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"z1","machineType":%q,`+
+	d.addLine(fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"z1","machineType":%q,`+
 		`"cell":1,"lifecycle":"in_service","weight":1.0,"startedAtMs":0}]}`, generation, name, addr, kind))
 	return generation
 }
@@ -492,7 +492,7 @@
 	generation := len(d.lines) + 1
 	d.mu.Unlock()
 	text := listText(generation, false, "in_service", k)
-	d.say(strings.Replace(text, `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, since.UnixMilli()), 1))
+	d.addLine(strings.Replace(text, `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, since.UnixMilli()), 1))
 	return generation
 }
 
@@ -539,19 +539,19 @@
 	return file
 }
 
-// platform starts the program with a discovery that lists the workers, and waits until it is ready.
-func platform(t *testing.T, workers ...*worker) (*program, *discovery) {
+// startPlatform starts the program with a discovery that lists the workers, and waits until it is ready.
+func startPlatform(t *testing.T, workers ...*worker) (*program, *discovery) {
 	d := newDiscovery(t)
-	d.list(true, "in_service", workers...)
-	return platformAt(t, d, connIdle).waitReady(), d
+	d.addList(true, "in_service", workers...)
+	return startPlatformWith(t, d, connIdle).waitReady(), d
 }
 
-func platformAt(t *testing.T, d *discovery, idle time.Duration) *program {
-	return platformOf(t, d, config(t, `{"generation":0,"reset":true,"instances":[]}`, idle))
+func startPlatformWith(t *testing.T, d *discovery, idle time.Duration) *program {
+	return startPlatformFromFile(t, d, config(t, `{"generation":0,"reset":true,"instances":[]}`, idle))
 }
 
-// platformOf starts the program with a configuration file.
-func platformOf(t *testing.T, d *discovery, file string) *program {
+// startPlatformFromFile starts the program with a configuration file.
+func startPlatformFromFile(t *testing.T, d *discovery, file string) *program {
 	addr := ownAddr(t)
 	p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
 		"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + file}, "serve")
@@ -559,10 +559,10 @@
 	return p
 }
 
-// platformWithFaults is like platform and returns a handle that makes the system calls fail.
-func platformWithFaults(t *testing.T, calls []int, workers ...*worker) (*program, *syscalls.Faults, *discovery) {
+// startPlatformWithFaults is like platform and returns a handle that makes the system calls fail.
+func startPlatformWithFaults(t *testing.T, calls []int, workers ...*worker) (*program, *syscalls.Faults, *discovery) {
 	d := newDiscovery(t)
-	d.list(true, "in_service", workers...)
+	d.addList(true, "in_service", workers...)
 	addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	p, faults := startWithFaults(t, calls, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
 		"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + file}, "serve")
@@ -570,14 +570,14 @@
 	return p.waitReady(), faults, d
 }
 
-// platformWithClock is like platform and returns a handle that steps the program's wall clock.
-func platformWithClock(t *testing.T, workers ...*worker) (*program, *clock.Clock, *discovery) {
+// startPlatformWithClock is like platform and returns a handle that steps the program's wall clock.
+func startPlatformWithClock(t *testing.T, workers ...*worker) (*program, *clock.Clock, *discovery) {
 	library, err := clockLibrary()
 	require.NoError(t, err)
 	wall, err := library.New(t.TempDir())
 	require.NoError(t, err)
 	d := newDiscovery(t)
-	d.list(true, "in_service", workers...)
+	d.addList(true, "in_service", workers...)
 	addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	p := start(t, addr, append(wall.Env(), "ROUTER_LISTEN="+addr, "ROUTER_NAME=n1",
 		"ROUTER_DISCOVERY="+d.Listener.Addr().String(), "ROUTER_CONFIG="+file), "serve")
--- a/test/held_test.go
+++ b/test/held_test.go
@@ -91,7 +91,7 @@
 	k.serve = func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Correlation-Id")
 		if k.kind == "reader" {
-			read(w, r)
+			serveRead(w, r)
 			h.mu.Lock()
 			h.reads++
 			h.since[id] = time.Now()
@@ -105,13 +105,13 @@
 		// If the writer does not begin an answer, the reader still holds the state.
 		rw := &recorder{ResponseWriter: w}
 		if serve == nil {
-			write(rw, r)
+			serveStream(rw, r)
 		} else {
 			serve(rw, r)
 		}
 		h.attemptEnded(id, rw.began)
 	}
-	k.gone = func(id string) { h.stateFreed(id) }
+	k.onRelease = func(id string) { h.stateFreed(id) }
 	return k
 }
 
@@ -164,9 +164,9 @@
 		"writers that come up late":     {unreachable: 6, lateAccept: true, patient: patience, served: true},
 		"no writer can be reached":      {unreachable: 8, patient: 2 * time.Second},
 		"writers that turn away":        {serve: full, patient: patience, served: true},
-		"writers that hang":             {serve: silent, patient: time.Second},
-		"writers that break off":        {serve: cut, patient: patience},
-		"clients that leave":            {unreachable: 6, serve: silent, leave: 150 * time.Millisecond, patient: patience},
+		"writers that hang":             {serve: neverAnswer, patient: time.Second},
+		"writers that break off":        {serve: closeConnection, patient: patience},
+		"clients that leave":            {unreachable: 6, serve: neverAnswer, leave: 150 * time.Millisecond, patient: patience},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -179,7 +179,7 @@
 				}
 				workers = append(workers, seen.observe(newWorker(t, fmt.Sprintf("s-000001%02x", i), "writer", serve)))
 			}
-			p, d := platform(t, workers...)
+			p, d := startPlatform(t, workers...)
 			for i := range tc.unreachable {
 				addr, accept := unreachableWorker(t)
 				d.addWorkerAt(fmt.Sprintf("s-000002%02x", i), "writer", addr)
@@ -187,7 +187,7 @@
 					time.AfterFunc(time.Second, accept)
 				}
 			}
-			p.told(1 + tc.unreachable)
+			p.waitForList(1 + tc.unreachable)
 			var all sync.WaitGroup
 			var mu sync.Mutex
 			statuses := map[int]int{}
@@ -230,7 +230,7 @@
 				for _, id := range refused {
 					tries := 0
 					for _, k := range workers {
-						for _, c := range k.got(http.MethodPost) {
+						for _, c := range k.received(http.MethodPost) {
 							if c.id == id {
 								tries++
 							}
@@ -292,8 +292,8 @@
 			relay, err := link.New(w.Listener.Addr().String())
 			require.NoError(t, err)
 			t.Cleanup(relay.Close)
-			p, d := platform(t, r)
-			p.told(d.addWorkerAt(w.name, w.kind, relay.Addr()))
+			p, d := startPlatform(t, r)
+			p.waitForList(d.addWorkerAt(w.name, w.kind, relay.Addr()))
 			for range 8 { // opens connections that are kept
 				require.Equal(t, http.StatusOK, p.ask(class, newID(), 3*time.Second).status)
 			}
@@ -316,16 +316,16 @@
 	h := newHolds()
 	r, w := pair(t, func(w http.ResponseWriter, r *http.Request) {
 		if sleepUnlessDone(r, maxHoldTime) {
-			write(w, r)
+			serveStream(w, r)
 		}
 	})
 	h.observe(r)
 	h.observe(w)
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	for _, class := range []string{"file", "query"} {
 		require.Equal(t, http.StatusOK, p.ask(class, newID(), 3*time.Second).status, class)
 	}
 	require.Empty(t, h.check())
-	require.Len(t, w.got(http.MethodPost), 2, "each was sent to its writer once")
-	require.Len(t, r.got(http.MethodPost), 2, "and read once")
+	require.Len(t, w.received(http.MethodPost), 2, "each was sent to its writer once")
+	require.Len(t, r.received(http.MethodPost), 2, "and read once")
 }
--- a/test/lab_test.go
+++ b/test/lab_test.go
@@ -186,7 +186,7 @@
 			eventually(t, func() bool { return len(l.arrivalsWhileCold("reader-0", up)) > 4 }, "the cold worker receives attempts")
 			// The limits are checked over a time span.
 			for until := l.seconds() + 5; l.seconds() < until; {
-				time.Sleep(soon)
+				time.Sleep(pollInterval)
 			}
 			fates, all := l.stopClients()
 			t.Logf("%d requests: %d served, %d refused, %d failed", all, fates[emulator.Served], fates[emulator.Refused], fates[emulator.Failed])
@@ -264,7 +264,7 @@
 				forgedLink.Send(link.Envelope{To: p.Name, Judgements: all, Members: &members.Message{From: l.layout.Routers[falseReporter].Name, To: p.Name,
 					Heartbeats: []members.Heartbeat{{Name: l.layout.Routers[falseReporter].Name, Incarnation: 1, Count: seq}}}})
 			}
-			time.Sleep(soon)
+			time.Sleep(pollInterval)
 		}
 	}()
 	worker := func(router int, name string) string {
@@ -275,7 +275,7 @@
 		eventually(t, func() bool { return strings.Contains(worker(i, "reader-0"), l.layout.Routers[falseReporter].Name) }, "the false report has arrived")
 	}
 	for until := l.seconds() + 3; l.seconds() < until; {
-		time.Sleep(soon)
+		time.Sleep(pollInterval)
 	}
 	for i := range falseReporter {
 		require.Zero(t, l.routers[i].logCount("out for all by agreement"), "taken out by false reports")
--- a/test/late_arrival_test.go
+++ b/test/late_arrival_test.go
@@ -34,7 +34,7 @@
 	var workers []*worker
 	var relays []*link.Relay
 	d := newDiscovery(t)
-	d.list(true, "in_service")
+	d.addList(true, "in_service")
 	var mu sync.Mutex
 	left := map[string]time.Time{} // when clients disconnected, by request id
 	// late holds times from a disconnect to an arrival; excess how far X-Time-Left-Ms exceeded the
@@ -74,12 +74,12 @@
 		t.Cleanup(relay.Close)
 		workers, relays = append(workers, k), append(relays, relay)
 	}
-	p := platformAt(t, d, connIdle).waitReady()
+	p := startPlatformWith(t, d, connIdle).waitReady()
 	generation := 0
 	for i, k := range workers {
 		generation = d.addWorkerAt(k.name, k.kind, relays[i].Addr())
 	}
-	p.told(generation)
+	p.waitForList(generation)
 	asking, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	for i := range 8 {
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -48,7 +48,7 @@
 
 // lastPost returns when the worker received its last POST call.
 func lastPost(w *worker) (at time.Time) {
-	for _, c := range w.got(http.MethodPost) {
+	for _, c := range w.received(http.MethodPost) {
 		at = c.at
 	}
 	return at
@@ -62,25 +62,25 @@
 	for name, leave := range map[string]func(p *program, d *discovery, w *worker) (announced time.Time){
 		"reset": func(_ *program, d *discovery, w *worker) time.Time {
 			d.CloseClientConnections()
-			d.list(false, "terminating", w)
+			d.addList(false, "terminating", w)
 			return time.Now()
 		},
 		"silent": func(_ *program, d *discovery, w *worker) time.Time {
 			d.silence()
 			announced := time.Now().Add(6 * time.Second)
-			d.list(false, "terminating", w)
+			d.addList(false, "terminating", w)
 			return announced
 		},
 		"down": func(_ *program, d *discovery, w *worker) time.Time {
 			start := d.stop()
 			time.Sleep(7 * time.Second) // longer than the timeout of a silent watch
-			d.list(false, "terminating", w)
+			d.addList(false, "terminating", w)
 			start()
 			return time.Now()
 		},
 		"half a line": func(_ *program, d *discovery, w *worker) time.Time {
 			text := listText(2, false, "terminating", w)
-			d.say(text[:len(text)/2])
+			d.addLine(text[:len(text)/2])
 			time.Sleep(50 * time.Millisecond)
 			d.mu.Lock()
 			// Open watches still read the old slice.
@@ -90,7 +90,7 @@
 			return time.Now()
 		},
 		"indented": func(_ *program, d *discovery, w *worker) time.Time {
-			d.say(strings.NewReplacer("{", "{\n  ", "[", "[\n  ", ",", ",\n  ").Replace(listText(2, false, "terminating", w)))
+			d.addLine(strings.NewReplacer("{", "{\n  ", "[", "[\n  ", ",", ",\n  ").Replace(listText(2, false, "terminating", w)))
 			return time.Now()
 		},
 		"moves while silent": func(p *program, d *discovery, w *worker) time.Time {
@@ -108,7 +108,7 @@
 			r, w := pair(t, nil)
 			other := newWorker(t, "s-00000003", "writer", nil)
 			d := newDiscovery(t)
-			d.list(true, "in_service", r, w, other)
+			d.addList(true, "in_service", r, w, other)
 			addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 			setRouterCount(t, file, routers)
 			p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
@@ -117,12 +117,12 @@
 			p.waitReady()
 			stop := sendTraffic(p)
 			defer stop()
-			eventually(t, func() bool { return posts(w) > 0 && posts(other) > 0 }, "both writers are in use")
+			eventually(t, func() bool { return countPosts(w) > 0 && countPosts(other) > 0 }, "both writers are in use")
 			announced := leave(p, d, w)
-			time.Sleep(time.Until(announced.Add(stopSendingLimit + 2*loaded)))
+			time.Sleep(time.Until(announced.Add(stopSendingLimit + 2*loadTolerance)))
 			stop()
 			late := lastPost(w).Sub(announced)
-			require.Less(t, late, stopSendingLimit+loaded, "the last send to the worker, after its termination counted as announced")
+			require.Less(t, late, stopSendingLimit+loadTolerance, "the last send to the worker, after its termination counted as announced")
 		})
 	}
 }
@@ -133,14 +133,14 @@
 	r, w := pair(t, nil)
 	other := newWorker(t, "s-00000003", "writer", nil)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, other)
+	d.addList(true, "in_service", r, other)
 	addr, file := ownAddr(t), config(t, listText(0, true, "in_service", r, w), connIdle)
 	setRouterCount(t, file, 300)
 	p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1",
 		"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + file}, "serve").waitReady()
 	require.Equal(t, 200, p.ask("query", newID(), patience).status)
-	require.Zero(t, posts(w))
-	require.Equal(t, 1, posts(other))
+	require.Zero(t, countPosts(w))
+	require.Equal(t, 1, countPosts(other))
 }
 
 // A router must fetch the list promptly once a discovery that refused connections is reachable.
@@ -159,7 +159,7 @@
 	newDiscoveryAt(t, at, listText(1, true, "in_service", r, other))
 	from := time.Now()
 	eventually(t, func() bool { return p.logged("generation=1 ") }, "the list is received")
-	require.Less(t, time.Since(from), stopSendingLimit+loaded)
+	require.Less(t, time.Since(from), stopSendingLimit+loadTolerance)
 	p.signal(syscall.SIGTERM)
 	p.waitExit()
 }
--- a/test/log_test.go
+++ b/test/log_test.go
@@ -59,11 +59,11 @@
 // its answers, and terminates the router.
 func askWithLogAt(t *testing.T, log *os.File) {
 	h := newHolds()
-	breaks := func(w http.ResponseWriter, r *http.Request) { begin(w); cut(w, r) }
+	breaks := func(w http.ResponseWriter, r *http.Request) { beginStream(w); closeConnection(w, r) }
 	workers := []*worker{h.observe(newWorker(t, "s-r1", "reader", nil)), h.observe(newWorker(t, "s-r2", "reader", nil)),
 		h.observe(newWorker(t, "s-w1", "writer", nil)), h.observe(newWorker(t, "s-w2", "writer", breaks))}
 	d := newDiscovery(t)
-	d.list(true, "in_service", workers...)
+	d.addList(true, "in_service", workers...)
 	addr, file := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	cmd := exec.Command(binary, "serve")
 	cmd.Stderr = log
@@ -107,7 +107,7 @@
 // like those of other processes.
 func TestProcessLogsThatItRanLate(t *testing.T) {
 	r, w := pair(t, nil)
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(400 * time.Millisecond)
 	p.signal(syscall.SIGCONT)
--- a/test/metrics_test.go
+++ b/test/metrics_test.go
@@ -16,7 +16,7 @@
 func TestConsoleIsScraped(t *testing.T) {
 	r, w := pair(t, nil)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, w)
+	d.addList(true, "in_service", r, w)
 	addr, console := ownAddr(t), ownAddr(t)
 	p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "ROUTER_CONSOLE=" + console, "ROUTER_DISCOVERY=" + d.Listener.Addr().String(),
 		"ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)}, "serve").waitReady()
--- a/test/modelapi_test.go
+++ b/test/modelapi_test.go
@@ -27,7 +27,7 @@
 func model(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case chatPath:
-		write(w, r)
+		serveStream(w, r)
 	case embedPath:
 		answerJSON(w, `{"object":"list","data":[{"object":"embedding","index":0,"embedding":[0.1]}],"model":"m"}`)
 	case rerankPath:
@@ -111,7 +111,7 @@
 	a := modelAPI(t, "", b)
 	chat := a.post(chatPath, "", chatBody)
 	require.Equal(t, 200, chat.status)
-	require.Equal(t, events+rest, chat.body)
+	require.Equal(t, streamStart+streamEnd, chat.body)
 	require.Equal(t, "text/event-stream", chat.header.Get("Content-Type"))
 	embed := a.post(embedPath, "", embedBody)
 	require.Equal(t, 200, embed.status)
@@ -120,7 +120,7 @@
 	ranked := a.post(rerankPath, "", rerankBody(300))
 	require.Equal(t, 200, ranked.status)
 	require.Contains(t, ranked.body, "relevance_score")
-	calls := b.got(http.MethodPost)
+	calls := b.received(http.MethodPost)
 	require.Len(t, calls, 3)
 	require.Equal(t, embedBody, string(calls[1].body), "the body passes unchanged")
 	require.Empty(t, calls[1].header.Get("Authorization"))
@@ -146,7 +146,7 @@
 		require.Equal(t, 400, bad.status, body)
 		require.Equal(t, "invalid_request_error", errorType(t, bad))
 	}
-	require.Zero(t, posts(strict))
+	require.Zero(t, countPosts(strict))
 	require.Equal(t, 404, a.post("/v1/else", "", "{}").status)
 	require.Equal(t, 405, a.status(http.MethodGet, rerankPath))
 	big := a.post(rerankPath, "", rerankBody(300))
@@ -156,7 +156,7 @@
 	}
 	passed := a.post(embedPath, "", embedBody)
 	require.Equal(t, http.StatusUnprocessableEntity, passed.status, "the backend's answer to an invalid request is passed on")
-	require.Equal(t, 1, posts(strict), "the request is not retried at another backend")
+	require.Equal(t, 1, countPosts(strict), "the request is not retried at another backend")
 }
 
 func TestModelAPIChecksAccountKeys(t *testing.T) {
@@ -168,12 +168,12 @@
 }
 
 func TestModelAPIDeadline(t *testing.T) {
-	b := newWorker(t, "m-a", "model", silent)
+	b := newWorker(t, "m-a", "model", neverAnswer)
 	a := modelAPI(t, "[embeddings]\naim = \"100ms\"\ndeadline = \"400ms\"", b)
 	late := a.post(embedPath, "", embedBody)
 	require.Equal(t, http.StatusGatewayTimeout, late.status)
 	errorType(t, late)
-	require.Less(t, late.took, 400*time.Millisecond+loaded)
+	require.Less(t, late.took, 400*time.Millisecond+loadTolerance)
 }
 
 func TestModelAPIRefusalHasRetryAfter(t *testing.T) {
@@ -198,7 +198,7 @@
 			w.Header().Set("Content-Length", "1000")
 			_, _ = io.WriteString(w, `{"object":"list","data":[`)
 			w.(http.Flusher).Flush()
-			cut(w, r)
+			closeConnection(w, r)
 		})
 		if !broken {
 			model(w, r)
@@ -210,7 +210,7 @@
 	require.NoError(t, r.err)
 	require.Equal(t, 200, r.status)
 	require.Contains(t, r.body, `"embedding":[0.1]`)
-	require.Equal(t, 2, posts(x, y))
+	require.Equal(t, 2, countPosts(x, y))
 }
 
 // All three kinds of requests at once, one account far over its quota with batches of hundreds of
@@ -232,7 +232,7 @@
 			if _, seen := breakOff.LoadOrStore(r.URL.Path+r.RemoteAddr, true); !seen && r.URL.Path == embedPath {
 				w.Header().Set("Content-Length", "1000")
 				_, _ = io.WriteString(w, `{"object"`)
-				cut(w, r)
+				closeConnection(w, r)
 				return
 			}
 			model(w, r)
@@ -264,7 +264,7 @@
 		go run(path, "k1")
 		go run(path, "k2")
 	}
-	eventually(t, func() bool { return posts(z) > 0 }, "the third backend is in use")
+	eventually(t, func() bool { return countPosts(z) > 0 }, "the third backend is in use")
 	a.write(t, z, x, y, z)
 	a.signal(syscall.SIGHUP)
 	eventually(t, func() bool { return a.logged("backends read again") }, "the drain is applied")
@@ -286,15 +286,15 @@
 	}
 	require.NotZero(t, served["k1"])
 	// After the window, requests go to the other backends only.
-	before := posts(x, y)
+	before := countPosts(x, y)
 	time.Sleep(max(0, 250*time.Millisecond-time.Since(drainedAt)))
 	for path, body := range bodies {
 		for range 5 {
 			a.post(path, "k1", body)
 		}
 	}
-	require.Greater(t, posts(x, y), before)
-	for _, c := range z.got(http.MethodPost) {
+	require.Greater(t, countPosts(x, y), before)
+	for _, c := range z.received(http.MethodPost) {
 		require.Less(t, c.at.Sub(drainedAt), 250*time.Millisecond)
 	}
 	a.signal(syscall.SIGTERM)
--- a/test/overlap_test.go
+++ b/test/overlap_test.go
@@ -251,7 +251,7 @@
 	}
 	for i := range *overlapRouters {
 		o := &overlapRouter{rig: r, name: fmt.Sprintf("n%d", i), addr: ownAddr(t), agent: newDiscovery(t), tempDir: t.TempDir()}
-		o.agent.say(r.listLine(1, true, "in_service", 0, r.workers...))
+		o.agent.addLine(r.listLine(1, true, "in_service", 0, r.workers...))
 		o.file = filepath.Join(t.TempDir(), "config.json")
 		require.NoError(t, o.drawConfig(r.rng))
 		r.routers = append(r.routers, o)
@@ -308,7 +308,7 @@
 		o.agent.mu.Lock()
 		generation := len(o.agent.lines) + 1
 		o.agent.mu.Unlock()
-		o.agent.say(r.listLine(generation, false, lifecycle, since, k))
+		o.agent.addLine(r.listLine(generation, false, lifecycle, since, k))
 		known[o.name] = o.knownAt()
 		if lifecycle == "terminating" {
 			r.judge.Leaving(o.name, k.name, o.knownAt())
--- a/test/overlap_troubles_test.go
+++ b/test/overlap_troubles_test.go
@@ -46,7 +46,7 @@
 	}),
 	"agent down": onRouter(func(o *overlapRouter, rng *rand.Rand) {
 		d := randomDuration(rng, 3*time.Second)
-		o.markAgentUnreachable(time.Now().Add(d + loaded))
+		o.markAgentUnreachable(time.Now().Add(d + loadTolerance))
 		up := o.agent.stop()
 		time.Sleep(d)
 		up()
@@ -54,7 +54,7 @@
 	}),
 	"agent refuses": onRouter(func(o *overlapRouter, rng *rand.Rand) {
 		d := randomDuration(rng, 2*time.Second)
-		o.markAgentUnreachable(time.Now().Add(d + loaded))
+		o.markAgentUnreachable(time.Now().Add(d + loadTolerance))
 		o.agent.refuse(true)
 		o.agent.CloseClientConnections()
 		time.Sleep(d)
--- a/test/overlap_workers_test.go
+++ b/test/overlap_workers_test.go
@@ -105,7 +105,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case resets:
-		cut(w, r)
+		closeConnection(w, r)
 		return
 	case halfAnswer:
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -128,7 +128,7 @@
 			a.CutOff()
 		}
 		a.Ended(judge.Read, time.Now())
-		read(w, r)
+		serveRead(w, r)
 		// The relay may still lose the answer; the router then considers the attempt open.
 		time.AfterFunc(maxRelayDelay, func() {
 			if k.linkFaults.Load() != faults {
@@ -147,7 +147,7 @@
 	n := 2 + rand.IntN(12)
 	for i := range n {
 		if breaks && i == n/2 {
-			cut(w, r)
+			closeConnection(w, r)
 			return
 		}
 		if _, err := fmt.Fprintf(w, "data: {\"id\":%q,\"event\":%d,\"at\":%d}\n\n", id, i, time.Now().UnixNano()); err != nil {
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -30,22 +30,22 @@
 // heldStream returns a handler that sends the first event of a stream, and the rest once more is closed.
 func heldStream(more <-chan struct{}) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		begin(w)
+		beginStream(w)
 		<-more
-		_, _ = io.WriteString(w, rest)
+		_, _ = io.WriteString(w, streamEnd)
 	}
 }
 
 func TestRequestPassesReaderAndWriterUnchanged(t *testing.T) {
 	r, w := pair(t, nil)
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	id := newID()
 	a := p.ask("query", id, patience)
 	require.NoError(t, a.err)
 	require.Equal(t, 200, a.status)
-	require.Equal(t, events+rest, a.body)
+	require.Equal(t, streamStart+streamEnd, a.body)
 	for _, k := range []*worker{r, w} {
-		calls := k.got(http.MethodPost)
+		calls := k.received(http.MethodPost)
 		require.Len(t, calls, 1)
 		require.Equal(t, prompt, string(calls[0].body))
 		require.Equal(t, "/v1/chat/completions?x=1&y=%2F", calls[0].uri)
@@ -60,11 +60,11 @@
 func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	more := make(chan struct{})
 	r, w := pair(t, heldStream(more))
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	resp, err := http.DefaultClient.Do(p.request("query", newID(), patience))
 	require.NoError(t, err)
 	defer resp.Body.Close()
-	require.Equal(t, strings.TrimSuffix(events, "\n"), firstLine(t, resp))
+	require.Equal(t, strings.TrimSuffix(streamStart, "\n"), firstLine(t, resp))
 	close(more) // only now does the worker send the rest
 	_, err = io.ReadAll(resp.Body)
 	require.NoError(t, err)
@@ -73,33 +73,33 @@
 // A stream that breaks off must not look complete, or its client would take the answer for whole.
 func TestBrokenStreamHasNoLastChunk(t *testing.T) {
 	r, w := pair(t, func(w http.ResponseWriter, r *http.Request) {
-		begin(w)
-		cut(w, r)
+		beginStream(w)
+		closeConnection(w, r)
 	})
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	a := p.ask("query", newID(), patience)
 	require.Equal(t, 200, a.status)
-	require.Equal(t, events, a.body)
+	require.Equal(t, streamStart, a.body)
 	require.ErrorIs(t, a.err, io.ErrUnexpectedEOF)
-	require.Equal(t, 1, posts(w), "no further attempt once an answer has begun")
+	require.Equal(t, 1, countPosts(w), "no further attempt once an answer has begun")
 }
 
 func TestOnceClassIsNotRetriedAfterAReset(t *testing.T) {
-	r, w := pair(t, cut)
-	other := newWorker(t, "s-00000003", "writer", cut)
-	p, _ := platform(t, r, w, other)
+	r, w := pair(t, closeConnection)
+	other := newWorker(t, "s-00000003", "writer", closeConnection)
+	p, _ := startPlatform(t, r, w, other)
 	a := p.ask("file", newID(), patience)
 	require.Equal(t, http.StatusBadGateway, a.status, "it may have run, so the status must not be that of a refusal")
-	require.Equal(t, 1, posts(w, other))
+	require.Equal(t, 1, countPosts(w, other))
 }
 
 func TestRepeatableClassIsRetriedAfterAReset(t *testing.T) {
-	r, w := pair(t, cut)
-	other := newWorker(t, "s-00000003", "writer", cut)
-	p, _ := platform(t, r, w, other)
+	r, w := pair(t, closeConnection)
+	other := newWorker(t, "s-00000003", "writer", closeConnection)
+	p, _ := startPlatform(t, r, w, other)
 	a := p.ask("query", newID(), patience)
 	require.NotEqual(t, 200, a.status)
-	require.Greater(t, posts(w, other), 1)
+	require.Greater(t, countPosts(w, other), 1)
 }
 
 func TestOnceClassIsRetriedIfItNeverRan(t *testing.T) {
@@ -110,18 +110,18 @@
 	r, w := pair(t, full)
 	mixed := newWorker(t, "s-00000003", "mixed", func(w http.ResponseWriter, _ *http.Request) { full(w, nil) })
 	good := newWorker(t, "s-00000004", "writer", nil)
-	p, d := platform(t, r, w, mixed)
-	d.list(false, "in_service", good)
+	p, d := startPlatform(t, r, w, mixed)
+	d.addList(false, "in_service", good)
 	eventually(t, func() bool { return p.ask("file", newID(), patience).status == 200 }, "the writer that accepts it is found")
 }
 
 func TestClientDisconnectCancelsTheAttemptAndReleasesState(t *testing.T) {
 	cancelled := make(chan struct{})
 	r, w := pair(t, func(_ http.ResponseWriter, r *http.Request) {
-		silent(nil, r)
+		neverAnswer(nil, r)
 		close(cancelled)
 	})
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	ctx, leave := context.WithCancel(context.Background())
 	id := newID()
 	done := make(chan struct{})
@@ -130,12 +130,12 @@
 		_, err := http.DefaultClient.Do(p.request("query", id, patience).WithContext(ctx))
 		require.Error(t, err)
 	}()
-	eventually(t, func() bool { return posts(w) == 1 }, "the writer has the request")
+	eventually(t, func() bool { return countPosts(w) == 1 }, "the writer has the request")
 	leave()
 	<-done
 	select {
 	case <-cancelled:
-	case <-time.After(patient):
+	case <-time.After(eventualTimeout):
 		t.Fatal("the attempt was not cancelled")
 	}
 	eventually(t, func() bool { return released(id, r, w) }, "the state held by the reader is released")
@@ -146,7 +146,7 @@
 func TestHeldStateIsReleasedWithoutAWriter(t *testing.T) {
 	r := newWorker(t, "s-00000001", "reader", nil)
 	dead := newWorker(t, "s-00000002", "reader", nil)
-	p, _ := platform(t, r, dead)
+	p, _ := startPlatform(t, r, dead)
 	dead.CloseClientConnections()
 	dead.Close()
 	id := newID()
@@ -154,38 +154,38 @@
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 	eventually(t, func() bool { return released(id, r) }, "the state is released")
-	calls := r.got(http.MethodPost)
-	took := r.got(http.MethodDelete)[0].at.Sub(calls[len(calls)-1].at)
-	require.Less(t, took, loaded)
+	calls := r.received(http.MethodPost)
+	took := r.received(http.MethodDelete)[0].at.Sub(calls[len(calls)-1].at)
+	require.Less(t, took, loadTolerance)
 }
 
 func TestSilentWorkerEndsAtTheDeadline(t *testing.T) {
-	r, w := pair(t, silent)
-	p, _ := platform(t, r, w)
+	r, w := pair(t, neverAnswer)
+	p, _ := startPlatform(t, r, w)
 	const short = 400 * time.Millisecond
 	a := p.ask("file", newID(), short)
 	require.Equal(t, http.StatusGatewayTimeout, a.status)
-	require.Less(t, a.took, short+loaded)
+	require.Less(t, a.took, short+loadTolerance)
 }
 
 func TestNothingGoesToADrainingWorker(t *testing.T) {
 	r, w := pair(t, nil)
 	leaving := newWorker(t, "s-00000003", "reader", nil)
-	p, d := platform(t, r, w, leaving)
-	eventually(t, func() bool { p.ask("query", newID(), patience); return posts(leaving) > 0 }, "both readers serve")
-	drainedAt := p.told(d.list(false, "terminating", leaving))
+	p, d := startPlatform(t, r, w, leaving)
+	eventually(t, func() bool { p.ask("query", newID(), patience); return countPosts(leaving) > 0 }, "both readers serve")
+	drainedAt := p.waitForList(d.addList(false, "terminating", leaving))
 	const window = 250 * time.Millisecond
 	for time.Since(drainedAt) < 2*window {
 		require.Equal(t, 200, p.ask("query", newID(), patience).status)
 	}
-	for _, c := range leaving.got(http.MethodPost) {
+	for _, c := range leaving.received(http.MethodPost) {
 		require.Less(t, c.at.Sub(drainedAt), window)
 	}
 }
 
 func TestBadInputHasItsStatus(t *testing.T) {
 	r, w := pair(t, nil)
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	const path = "/v1/chat/completions"
 	require.Equal(t, 404, p.status(http.MethodPost, "/v1/else"))
 	require.Equal(t, 405, p.status(http.MethodGet, path))
@@ -201,16 +201,20 @@
 	req.ContentLength = 256<<10 + 1
 	req.Header.Set("Connection", "close")
 	require.Equal(t, 413, do(req).status)
-	require.Zero(t, posts(r, w))
+	require.Zero(t, countPosts(r, w))
 }
 
 func TestInvalidDiscoveryLineKeepsTheOldList(t *testing.T) {
 	r, w := pair(t, nil)
-	p, d := platform(t, r, w)
-	d.say(`{"generation":2,"reset":true,"instances":[{"instanceId":"s-9","hostPort":"nowhere","lifecycle":"odd"}]}`)
+	p, d := startPlatform(t, r, w)
+	d.addLine(`{"generation":2,"reset":true,"instances":[{"instanceId":"s-9","hostPort":"nowhere","lifecycle":"odd"}]}`)
 	eventually(t, func() bool { return p.logged("discovery watch ended") }, "the line is logged")
 	require.Equal(t, 200, p.ask("query", newID(), patience).status)
-	eventually(t, func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.from) > 1 && d.from[1] == "1" },
+	eventually(t, func() bool {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return len(d.watchedFrom) > 1 && d.watchedFrom[1] == "1"
+	},
 		"the watch continues from the last valid list")
 }
 
@@ -218,9 +222,9 @@
 // workers stay in use.
 func TestOversizedListsAndStartsInTheFuture(t *testing.T) {
 	r, w := pair(t, nil)
-	p, d := platform(t, r, w)
+	p, d := startPlatform(t, r, w)
 	good := listText(2, false, "in_service", w)
-	d.say(strings.Replace(good, `"instances":[`, `"instances":[`+strings.Repeat(" ", 5<<20), 1))
+	d.addLine(strings.Replace(good, `"instances":[`, `"instances":[`+strings.Repeat(" ", 5<<20), 1))
 	eventually(t, func() bool { return p.logged("bytes in one list") }, "the limit is named")
 	require.Equal(t, 200, p.ask("query", newID(), patience).status)
 	d.mu.Lock()
@@ -234,23 +238,23 @@
 func TestInvalidListStillStopsSendsToLeavingWorkers(t *testing.T) {
 	r, w := pair(t, nil)
 	other := newWorker(t, "s-00000003", "writer", nil)
-	p, d := platform(t, r, w, other)
+	p, d := startPlatform(t, r, w, other)
 	good := listText(2, false, "terminating", w)
-	d.say(strings.Replace(good, `"instances":[`, `"instances":[{"instanceId":"s-9","hostPort":"nowhere","lifecycle":"in_service"},`, 1))
+	d.addLine(strings.Replace(good, `"instances":[`, `"instances":[{"instanceId":"s-9","hostPort":"nowhere","lifecycle":"in_service"},`, 1))
 	eventually(t, func() bool { return p.logged("not used, but for 1 that leave") }, "the line is named")
-	before := posts(w)
+	before := countPosts(w)
 	for range 6 {
 		require.Equal(t, 200, p.ask("query", newID(), patience).status)
 	}
-	require.Equal(t, before, posts(w))
+	require.Equal(t, before, countPosts(w))
 }
 
 func TestReadyOnlyWithAListAndServesFromAKnownOne(t *testing.T) {
 	r, w := pair(t, nil)
 	d := newDiscovery(t)
-	p := platformAt(t, d, connIdle)
+	p := startPlatformWith(t, d, connIdle)
 	eventually(t, func() bool { return p.status(http.MethodGet, "/healthz") == 503 }, "not ready without a worker")
-	d.list(true, "in_service", r, w)
+	d.addList(true, "in_service", r, w)
 	p.waitReady()
 
 	addr := ownAddr(t) // discovery is down: the known workers are used
@@ -269,8 +273,8 @@
 func TestIdleConnectionsAreClosedBeforeWorkersDo(t *testing.T) {
 	r, w := pair(t, nil)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, w)
-	p := platformAt(t, d, 3*time.Second).waitReady()
+	d.addList(true, "in_service", r, w)
+	p := startPlatformWith(t, d, 3*time.Second).waitReady()
 	connsMade := func() int { w.mu.Lock(); defer w.mu.Unlock(); return w.conns }
 	for range 3 {
 		require.Equal(t, 200, p.ask("query", newID(), patience).status)
@@ -284,7 +288,7 @@
 func TestTermFinishesOpenRequestsAndServesNewOnes(t *testing.T) {
 	more := make(chan struct{})
 	r, w := pair(t, heldStream(more))
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	resp, err := http.DefaultClient.Do(p.request("query", newID(), patience))
 	require.NoError(t, err)
 	defer resp.Body.Close()
@@ -298,13 +302,13 @@
 		req := p.request("query", newID(), patience)
 		late <- do(req)
 	}()
-	eventually(t, func() bool { return posts(w) == 2 }, "a request that arrives after the signal is served too")
+	eventually(t, func() bool { return countPosts(w) == 2 }, "a request that arrives after the signal is served too")
 	_, err = idle.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF, "idle connections are closed, those with a stream are not")
 	close(more)
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, events+rest, string(body))
+	require.Equal(t, streamStart+streamEnd, string(body))
 	a := <-late
 	require.NoError(t, a.err)
 	require.Equal(t, 200, a.status)
@@ -316,7 +320,7 @@
 // process is killed, and the client would lose the rest.
 func TestTermRefusesRequestsThatArriveTooLate(t *testing.T) {
 	r, w := pair(t, nil)
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	c, err := net.Dial("tcp", p.addr)
 	require.NoError(t, err)
 	defer c.Close()
@@ -336,13 +340,13 @@
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	resp.Body.Close()
 	p.waitExit()
-	require.Zero(t, posts(r, w))
+	require.Zero(t, countPosts(r, w))
 	require.True(t, p.logged("requests_refused_at_the_end 1"))
 }
 
 func TestCountersAreLoggedOnSIGUSR1(t *testing.T) {
 	r, w := pair(t, nil)
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	for range 3 {
 		require.Equal(t, 200, p.ask("query", newID(), patience).status)
 	}
@@ -353,7 +357,7 @@
 func TestConcurrentRequestsEndOnceEach(t *testing.T) {
 	r, w := pair(t, nil)
 	mixed := newWorker(t, "s-00000003", "mixed", nil)
-	p, _ := platform(t, r, w, mixed)
+	p, _ := startPlatform(t, r, w, mixed)
 	const n = 100
 	answers := make(chan answer, n)
 	names := map[string]bool{}
@@ -369,7 +373,7 @@
 	}
 	sent := map[string]int{}
 	for _, k := range []*worker{w, mixed} {
-		for _, c := range k.got(http.MethodPost) {
+		for _, c := range k.received(http.MethodPost) {
 			require.True(t, names[c.id], fmt.Sprintf("unknown id %q", c.id))
 			sent[c.id]++
 		}
@@ -387,8 +391,8 @@
 	finish := sync.OnceFunc(func() { close(more) })
 	r, w := pair(t, heldStream(more))
 	removed := newWorker(t, "s-00000003", "reader", nil)
-	p, d := platform(t, r, w, removed)
-	p.told(d.list(false, "in_service", removed))
+	p, d := startPlatform(t, r, w, removed)
+	p.waitForList(d.addList(false, "in_service", removed))
 	t.Cleanup(finish)
 	resp, err := http.DefaultClient.Do(p.request("query", newID(), patience))
 	require.NoError(t, err)
@@ -406,17 +410,17 @@
 	require.Equal(t, 200, second.StatusCode, "the known workers serve until discovery answers")
 
 	next := newDiscoveryAt(t, addr, listText(1, true, "in_service", r, w))
-	eventually(t, func() bool { next.mu.Lock(); defer next.mu.Unlock(); return len(next.from) == 1 }, "the new discovery is watched")
-	require.Equal(t, "1", next.from[0])
-	before := posts(removed)
+	eventually(t, func() bool { next.mu.Lock(); defer next.mu.Unlock(); return len(next.watchedFrom) == 1 }, "the new discovery is watched")
+	require.Equal(t, "1", next.watchedFrom[0])
+	before := countPosts(removed)
 	finish()
 	for range 10 {
 		require.Equal(t, 200, p.ask("query", newID(), patience).status)
 	}
-	require.Equal(t, before, posts(removed), "the new list does not have it")
+	require.Equal(t, before, countPosts(removed), "the new list does not have it")
 	for _, open := range []*http.Response{resp, second} {
 		body, err := io.ReadAll(open.Body)
 		require.NoError(t, err)
-		require.Equal(t, events+rest, string(body), "open requests are served to their end")
+		require.Equal(t, streamStart+streamEnd, string(body), "open requests are served to their end")
 	}
 }
--- a/test/repeats_test.go
+++ b/test/repeats_test.go
@@ -31,9 +31,9 @@
 			d.repeatWindow = window
 			breaks := func(w http.ResponseWriter, r *http.Request) {
 				time.Sleep(tc.breaksAfter)
-				cut(w, r)
+				closeConnection(w, r)
 			}
-			workers := []*worker{newWorker(t, "s-00000001", d.reader, read), newWorker(t, "s-00000002", d.writer, breaks),
+			workers := []*worker{newWorker(t, "s-00000001", d.reader, serveRead), newWorker(t, "s-00000002", d.writer, breaks),
 				newWorker(t, "s-00000003", d.writer, breaks), newWorker(t, "s-00000004", d.writer, breaks)}
 			p := d.start(t, workers...)
 			from := time.Now()
@@ -42,7 +42,7 @@
 			var first, last time.Time
 			n := 0
 			for _, k := range workers[1:] {
-				for _, c := range k.got(http.MethodPost) {
+				for _, c := range k.received(http.MethodPost) {
 					if n++; first.IsZero() || c.at.Before(first) {
 						first = c.at
 					}
@@ -75,9 +75,9 @@
 			slow := func(w http.ResponseWriter, r *http.Request) {
 				out <- struct{}{}
 				<-goOn
-				write(w, r)
+				serveStream(w, r)
 			}
-			p := d.start(t, newWorker(t, "s-00000001", d.reader, read), newWorker(t, "s-00000002", d.writer, slow))
+			p := d.start(t, newWorker(t, "s-00000001", d.reader, serveRead), newWorker(t, "s-00000002", d.writer, slow))
 			answers := make(chan answer, 2)
 			ask := func(repeat string) {
 				req := p.request(class, newID(), 10*time.Second)
--- a/test/signals_test.go
+++ b/test/signals_test.go
@@ -21,7 +21,7 @@
 // file, a FIFO, blocks, and eight SIGHUPs are pending before the SIGTERM.
 func TestSIGTERMDuringBlockedReload(t *testing.T) {
 	r, w := pair(t, nil)
-	p, _ := platform(t, r, w)
+	p, _ := startPlatform(t, r, w)
 	require.NoError(t, os.Remove(p.file))
 	// Opening it blocks until a process opens it for writing.
 	require.NoError(t, syscall.Mkfifo(p.file, 0o600))
@@ -35,7 +35,7 @@
 	from := time.Now()
 	p.signal(syscall.SIGTERM)
 	p.waitExit()
-	require.Less(t, time.Since(from), killDelay+loaded)
+	require.Less(t, time.Since(from), killDelay+loadTolerance)
 }
 
 // killDelay is how long after SIGTERM the platform kills a process: the longest deadline, at most 3
@@ -60,9 +60,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			k := newWorker(t, "s-00000001", "mixed", silent)
+			k := newWorker(t, "s-00000001", "mixed", neverAnswer)
 			d := newDiscovery(t)
-			d.list(true, "in_service", k)
+			d.addList(true, "in_service", k)
 			set := strings.ReplaceAll(fmt.Sprintf(settings, connIdle.Nanoseconds()), `"target-ns":1500000000`, `"target-ns":500000000,"hard-limit-ns":3000000000`)
 			file := configOf(t, `{"generation":0,"reset":true,"instances":[]}`, set)
 			text, err := os.ReadFile(file)
@@ -77,7 +77,7 @@
 			var a answer
 			var asked sync.WaitGroup
 			asked.Go(func() { a = p.ask("file", newID(), 3*time.Second) })
-			eventually(t, func() bool { return len(k.got(http.MethodPost)) > 0 }, "the worker has the request")
+			eventually(t, func() bool { return len(k.received(http.MethodPost)) > 0 }, "the worker has the request")
 			if c.taken {
 				p.reconfigure(shorter)
 				eventually(t, func() bool { return p.logged("settings read again") }, "the configuration is loaded")
@@ -125,7 +125,7 @@
 	eventually(t, func() bool {
 		next.mu.Lock()
 		defer next.mu.Unlock()
-		return len(next.from) > 0
+		return len(next.watchedFrom) > 0
 	}, "the new discovery is followed")
 }
 
@@ -138,7 +138,7 @@
 			t.Parallel()
 			k := newWorker(t, "s-00000001", "mixed", func(w http.ResponseWriter, r *http.Request) {
 				for {
-					_, _ = fmt.Fprint(w, events)
+					_, _ = fmt.Fprint(w, streamStart)
 					w.(http.Flusher).Flush()
 					if !goesOn {
 						<-r.Context().Done()
@@ -150,10 +150,10 @@
 				}
 			})
 			d := newDiscovery(t)
-			d.list(true, "in_service", k)
+			d.addList(true, "in_service", k)
 			set := strings.ReplaceAll(fmt.Sprintf(settings, connIdle.Nanoseconds()), `"target-ns":1500000000`,
 				fmt.Sprintf(`"target-ns":400000000,"hard-limit-ns":%d`, limit.Nanoseconds()))
-			p := platformOf(t, d, configOf(t, `{"generation":0,"reset":true,"instances":[]}`, set)).waitReady()
+			p := startPlatformFromFile(t, d, configOf(t, `{"generation":0,"reset":true,"instances":[]}`, set)).waitReady()
 			resp, err := http.DefaultClient.Do(p.request("query", newID(), limit))
 			require.NoError(t, err)
 			defer resp.Body.Close()
--- a/test/sizes_test.go
+++ b/test/sizes_test.go
@@ -61,7 +61,7 @@
 		return string(text)
 	}
 	d := newDiscovery(t)
-	d.say(list(1, true, func(int) string { return "in_service" }))
+	d.addLine(list(1, true, func(int) string { return "in_service" }))
 
 	addr, file := ownAddr(t), config(t, list(0, true, func(int) string { return "in_service" }), connIdle)
 	setRouterCount(t, file, routers)
@@ -92,7 +92,7 @@
 		})
 	}
 	for i := range 20 { // each change contains all workers
-		d.say(list(2+i, false, func(j int) string {
+		d.addLine(list(2+i, false, func(j int) string {
 			if (i+j)%3 == 0 {
 				return "terminating"
 			}
--- a/test/sources_test.go
+++ b/test/sources_test.go
@@ -133,9 +133,9 @@
 func (p *program) loggedSet() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	fresh := p.log.Bytes()[p.read:]
+	fresh := p.log.Bytes()[p.logOffset:]
 	fresh = fresh[:bytes.LastIndexByte(fresh, '\n')+1]
-	p.read += len(fresh)
+	p.logOffset += len(fresh)
 	for line := range bytes.Lines(fresh) {
 		if !bytes.Contains(line, []byte("worker changed")) {
 			continue
@@ -157,7 +157,7 @@
 func (s *sourcesRig) waitForSet(want ...string) {
 	s.t.Helper()
 	slices.Sort(want)
-	require.Eventually(s.t, func() bool { return slices.Equal(s.loggedSet(), want) }, patient, soon, "want %v", want)
+	require.Eventually(s.t, func() bool { return slices.Equal(s.loggedSet(), want) }, eventualTimeout, pollInterval, "want %v", want)
 }
 
 // requireUnchanged waits for three more DNS queries and requires that the set of workers has not
@@ -203,7 +203,7 @@
 // program was notified that the worker drains or was removed.
 func requireNoSendsAfter(t *testing.T, w *worker, notified time.Time) {
 	t.Helper()
-	for _, c := range w.got(http.MethodPost) {
+	for _, c := range w.received(http.MethodPost) {
 		require.Less(t, c.at.Sub(notified), 250*time.Millisecond, "a request after the window")
 	}
 }
@@ -220,7 +220,7 @@
 	s.run()
 	all := []string{"a", "b", addrOf(c), addrOf(d)}
 	s.waitForSet(all...)
-	eventually(t, func() bool { return posts(a) > 0 && posts(b) > 0 && posts(c) > 0 && posts(d) > 0 }, "all workers serve")
+	eventually(t, func() bool { return countPosts(a) > 0 && countPosts(b) > 0 && countPosts(c) > 0 && countPosts(d) > 0 }, "all workers serve")
 
 	cutAt := func(n int) func(dns.Query, *mdns.Msg) dns.Reply {
 		return func(q dns.Query, m *mdns.Msg) dns.Reply {
@@ -324,8 +324,8 @@
 	s.dns.Set(srv(a, b, c)...)
 	s.requireUnchanged("a", "b", "~c-own")
 	time.Sleep(max(0, 250*time.Millisecond-time.Since(drainedAt)))
-	n := posts(a, b)
-	eventually(t, func() bool { return posts(a, b) > n+20 }, "the others still serve")
+	n := countPosts(a, b)
+	eventually(t, func() bool { return countPosts(a, b) > n+20 }, "the others still serve")
 	requireNoSendsAfter(t, c, drainedAt)
 	s.write(t, nil) // leaving the worker out of the file does not undo the drain
 	s.reloadFiles()
@@ -423,19 +423,19 @@
 	text := fmt.Sprintf(quickDNS, fmt.Sprintf("%q", name.Addr()), 0) + "fronts = [\"platform\"]\nzone = \"z1\"\nmachine_type = \"writer\"\ncell = 1\n"
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, w)
+	d.addList(true, "in_service", r, w)
 	addr, config := ownAddr(t), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	p := start(t, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "ROUTER_DISCOVERY=" + d.Listener.Addr().String(),
 		"ROUTER_CONFIG=" + config}, "serve", "--sources", file).waitReady()
 	p.file = config
 	want := []string{r.name, w.name, addrOf(extra)}
 	slices.Sort(want)
-	require.Eventually(t, func() bool { return slices.Equal(p.loggedSet(), want) }, patient, soon, "%v", p.loggedSet())
+	require.Eventually(t, func() bool { return slices.Equal(p.loggedSet(), want) }, eventualTimeout, pollInterval, "%v", p.loggedSet())
 	eventually(t, func() bool {
 		require.Equal(t, 200, p.ask("query", newID(), patience).status)
-		return posts(w) > 0 && posts(extra) > 0
+		return countPosts(w) > 0 && countPosts(extra) > 0
 	}, "both writers serve")
-	terminatedAt := p.told(d.list(false, "terminated", w))
+	terminatedAt := p.waitForList(d.addList(false, "terminated", w))
 	require.Equal(t, []string{"127", "s-00000001"}, []string{p.loggedSet()[0][:3], p.loggedSet()[1]})
 	time.Sleep(max(0, 250*time.Millisecond-time.Since(terminatedAt)))
 	n := len(name.Queries())
--- a/test/starved_test.go
+++ b/test/starved_test.go
@@ -173,11 +173,11 @@
 	var streamEnds sync.Map // when each stream's last byte was written
 	for _, name := range []string{"s-w1", "s-w2", "s-w3"} {
 		workers = append(workers, h.observe(newWorker(t, name, "writer", func(w http.ResponseWriter, r *http.Request) {
-			write(w, r)
+			serveStream(w, r)
 			streamEnds.Store(r.Header.Get("X-Correlation-Id"), time.Now())
 		})))
 	}
-	p, _ := platform(t, workers...)
+	p, _ := startPlatform(t, workers...)
 	asking, stop := context.WithCancel(t.Context())
 	var mu sync.Mutex
 	var seen loadResult
--- a/test/store_test.go
+++ b/test/store_test.go
@@ -216,7 +216,7 @@
 	}
 	front.waitReady()
 	a := &api{program: front}
-	eventually(t, func() bool { a.post(embedPath, "", embedBody); return posts(x) > 0 && posts(y) > 0 }, "both backends serve")
+	eventually(t, func() bool { a.post(embedPath, "", embedBody); return countPosts(x) > 0 && countPosts(y) > 0 }, "both backends serve")
 	status, _ := storeCall(t, http.MethodPut, at+"/m-b?version=0", fmt.Sprintf(`{"addr":%q,"draining":true}`, y.Listener.Addr()))
 	require.Equal(t, 204, status)
 	drainedAt := time.Now()
@@ -224,7 +224,7 @@
 	for range 20 {
 		require.Equal(t, 200, a.post(embedPath, "", embedBody).status)
 	}
-	for _, c := range y.got(http.MethodPost) {
+	for _, c := range y.received(http.MethodPost) {
 		require.Less(t, c.at.Sub(drainedAt), 250*time.Millisecond)
 	}
 	status, _ = storeCall(t, http.MethodPut, at+"/m-b?version=0", "{}")
--- a/test/trail_bench_test.go
+++ b/test/trail_bench_test.go
@@ -61,7 +61,7 @@
 				return resp.StatusCode == http.StatusOK
 			}
 			for !post() {
-				time.Sleep(soon)
+				time.Sleep(pollInterval)
 			}
 			b.ResetTimer()
 			var all sync.WaitGroup
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -31,7 +31,7 @@
 	t.Cleanup(goOn)
 	out := newWorker(t, "s-00000003", "writer", nil)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, w, out)
+	d.addList(true, "in_service", r, w, out)
 	addr, first, second := ownAddr(t), ownAddr(t), ownAddr(t)
 	tmp, file := t.TempDir(), config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)
 	env := []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "TMPDIR=" + tmp,
@@ -61,14 +61,14 @@
 	for _, s := range streams {
 		body, err := io.ReadAll(s.Body)
 		require.NoError(t, err)
-		require.Equal(t, events+rest, string(body), "each stream is complete")
+		require.Equal(t, streamStart+streamEnd, string(body), "each stream is complete")
 	}
 	old.waitExit()
-	require.Zero(t, posts(out), "the suspended worker received nothing from either process")
+	require.Zero(t, countPosts(out), "the suspended worker received nothing from either process")
 
 	operator.addr = second
 	require.Equal(t, 200, operator.status(http.MethodPost, "/v1/workers/s-00000003/resume"))
-	eventually(t, func() bool { next.ask("query", newID(), patience); return posts(out) > 0 }, "it is used again")
+	eventually(t, func() bool { next.ask("query", newID(), patience); return countPosts(out) > 0 }, "it is used again")
 }
 
 // Guards against lost data when SIGTERM comes while a request body is half received and an answer's
@@ -80,7 +80,7 @@
 	r, w := pair(t, heldStream(more))
 	t.Cleanup(goOn)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, w)
+	d.addList(true, "in_service", r, w)
 	addr, first, second := ownAddr(t), ownAddr(t), ownAddr(t)
 	env := []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "TMPDIR=" + t.TempDir(), "ROUTER_DISCOVERY=" + d.Listener.Addr().String(),
 		"ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)}
@@ -89,7 +89,7 @@
 
 	unread := old.sendRaw(old.requestText("query", newID(), patience))
 	defer unread.Close()
-	eventually(t, func() bool { return posts(w) == 1 }, "the answer has begun")
+	eventually(t, func() bool { return countPosts(w) == 1 }, "the answer has begun")
 	text := old.requestText("query", newID(), patience)
 	half := old.sendRaw(text[:len(text)-20])
 	defer half.Close()
@@ -98,7 +98,7 @@
 	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 503 }, "the old process is terminating")
 	_, err := io.WriteString(half, text[len(text)-20:])
 	require.NoError(t, err)
-	eventually(t, func() bool { return posts(w) == 2 }, "the partial request is complete")
+	eventually(t, func() bool { return countPosts(w) == 2 }, "the partial request is complete")
 	goOn()
 	readStream := func(c io.Reader) string {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -108,12 +108,12 @@
 		require.NoError(t, err, "the body ends before its last chunk")
 		return string(body)
 	}
-	require.NoError(t, half.SetReadDeadline(time.Now().Add(patient)))
-	require.Equal(t, events+rest, readStream(half))
+	require.NoError(t, half.SetReadDeadline(time.Now().Add(eventualTimeout)))
+	require.Equal(t, streamStart+streamEnd, readStream(half))
 	old.waitExit()
-	require.NoError(t, unread.SetReadDeadline(time.Now().Add(patient)))
-	require.Equal(t, events+rest, readStream(unread))
+	require.NoError(t, unread.SetReadDeadline(time.Now().Add(eventualTimeout)))
+	require.Equal(t, streamStart+streamEnd, readStream(unread))
 	a := next.ask("query", newID(), patience)
 	require.Equal(t, 200, a.status)
-	require.True(t, strings.HasSuffix(a.body, rest))
+	require.True(t, strings.HasSuffix(a.body, streamEnd))
 }
--- a/test/zk_test.go
+++ b/test/zk_test.go
@@ -81,13 +81,13 @@
 		if c.to.After(c.from) {
 			long++
 		}
-		for _, got := range c.w.got(http.MethodPost) {
+		for _, got := range c.w.received(http.MethodPost) {
 			require.False(t, got.at.After(c.from) && got.at.Before(c.to), "a request to %s after the window", c.w.name)
 		}
 	}
 	require.Equal(t, flaps/10, long)
 	for _, w := range workers[:3] {
-		require.NotZero(t, posts(w), "the worker serves between its expiries")
+		require.NotZero(t, countPosts(w), "the worker serves between its expiries")
 	}
 	s.stopAndCheck()
 }
@@ -104,8 +104,8 @@
 	service.Refuse(true)
 	service.ExpireClients()
 	eventually(t, func() bool { return s.logged("source failed") }, "the disconnection is logged")
-	n := posts(a, b)
-	eventually(t, func() bool { return posts(a, b) > n+50 }, "both workers still serve")
+	n := countPosts(a, b)
+	eventually(t, func() bool { return countPosts(a, b) > n+50 }, "both workers still serve")
 	s.waitForSet("a", "b")
 	service.Expire(2)
 	service.Refuse(false)
--- a/test/zone_test.go
+++ b/test/zone_test.go
@@ -232,7 +232,7 @@
 	z.layout.SetFaults(func(int, int) bool { return true }, relay.Fault{Delay: 2 * time.Second})
 	for until := z.seconds() + 5; z.seconds() < until; {
 		z.epochs(last)
-		time.Sleep(soon)
+		time.Sleep(pollInterval)
 	}
 	z.layout.SetFaults(func(int, int) bool { return false }, relay.Fault{})
 	z.waitForState("z0", "healthy")
