--- a/logic/admission.go
+++ b/logic/admission.go
@@ -72,16 +72,16 @@
 	return true
 }
 
-// tooLate reports whether the backlog of even the best reader uses up the aim. A fleet that reads
-// only what is late by then, after its clients have left, never recovers. So requests that would
-// wait too long are refused, those of lower value earlier, and so are requests that could not be
-// read and fetched in the time left to the client.
+// tooLate reports whether the backlog of even the best reader uses up the aim. A fleet that only
+// reads prompts whose answers are late by then, after their clients have left, never recovers. So
+// requests that would wait too long are refused, those of lower value earlier, and so are requests
+// that could not be read and fetched in the time left to the client.
 func (g *Gateway) tooLate(r *request, s *server) bool {
 	peerTokens := g.peerShare * g.reportWeight(s, unreadDecay) * s.load.UnreadToken
 	wait := g.readSeconds(s, g.pendingLoad(s)+peerTokens) + g.recentWait(s.role)
 	serviceSeconds := g.readSeconds(s, g.uncachedTokens(r, s)+overheadTokens)
-	// Where a writer reports room, earlier waits are over; remembered, they would refuse all
-	// requests.
+	// Where a writer reports room, earlier waits are over. If they still counted, all requests
+	// would be refused.
 	writerFullness := 1.0
 	if s.role == RoleRead {
 		serviceSeconds += g.fetchSpeed.seconds(r.PromptTokens + overheadTokens)
@@ -91,8 +91,8 @@
 		}
 		wait += writerFullness * g.recentWait(RoleWrite)
 	}
-	// A wait that has become part of the usual durations does not show above, but it delays first
-	// tokens.
+	// A wait that has become part of the usual durations does not show in the waits above, but it
+	// delays first tokens.
 	wait = math.Max(wait, writerFullness*g.firstTokenDelay.value(g.now, g.waitTimeConstant()))
 	r.serviceSeconds = serviceSeconds
 	relativeValue := r.relativeValue
--- a/logic/api.go
+++ b/logic/api.go
@@ -152,11 +152,12 @@
 	ServersChanged EventKind = iota // Members, Whole
 	Arrived                         // Request
 	AnswerStarted                   // ID, Server, Latency, Load
-	AttemptEnded                    // ID, Server, Latency, Status, Closed, Kept, Stale, Unreached, Load
-	ClientLeft                      // ID
-	TimerFired                      // Token
-	LoadReported                    // Server, Load: a load report that other routers passed on
-	Closing                         // Latency: the instance ends open requests after this; 0: now
+	// ID, Server, Latency, Status, Closed, Kept, Stale, Unreached, Load
+	AttemptEnded
+	ClientLeft   // ID
+	TimerFired   // Token
+	LoadReported // Server, Load: a load report that other routers passed on
+	Closing      // Latency: the instance ends open requests after this; 0: now
 )
 
 // Request is an arriving prompt.
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -10,12 +10,12 @@
 	fullBacklog        = time.Second // backlog assumed at a server that answers Full
 )
 
-// send starts the only attempt of a request, charges it to the server and sets its time-out.
+// send starts an attempt, charges it to the server and sets its time-out.
 func (g *Gateway) send(r *request, s *server) {
 	if g.assumedWarmth(s) < 1 {
 		s.coldCredits--
 	}
-	if s.suspectUntil != 0 && g.now >= s.suspectUntil { // this is its trial: one at a time
+	if s.suspectUntil != 0 && g.now >= s.suspectUntil { // this is its trial; only one at a time
 		s.suspectUntil = g.now + Time(firstBackoff)
 	}
 	r.charge, r.queuedAhead = 0, 0
@@ -56,7 +56,7 @@
 		d += seconds(2 * g.recentWait(s.role))
 	}
 	d = max(d, time.Duration(minAttemptAimShare*float64(r.aim)))
-	// What must not run twice is not cancelled once it may run: no other attempt could follow.
+	// A request that must not run twice is not cancelled where it may run: no attempt could follow.
 	last := r.sends-r.unreached >= r.maxAttempts || s.role != RoleRead && g.class(r).Effect == EffectOnce
 	if d > left/2 || last {
 		d = left
@@ -90,7 +90,7 @@
 	if r.reader == nil {
 		r.server.record(r, g.now)
 	}
-	r.reader, r.released = nil, false // the start of the answer ends the held read state
+	r.reader, r.released = nil, false // no read state is held once the answer has started
 }
 
 // observeAttempt compares an attempt's duration with the speed of its kind. At a writer all of it
@@ -115,8 +115,8 @@
 	}
 }
 
-// observeUnanswered records an attempt without an outcome of its own as one that took at least as
-// long.
+// observeUnanswered records an attempt that has ended without an answer as one that took at least
+// the time until now.
 func (g *Gateway) observeUnanswered(r *request, s *server) {
 	p, tok := g.speedFor(r, s)
 	sec := between(r.sentAt, g.now).Seconds()
@@ -124,11 +124,11 @@
 	if sec < outlier { // the client's time was short, which says nothing about the server
 		return
 	}
-	// Beside many fast answers a missing one is lost; in a jam it is a longer wait.
+	// Among many fast answers, a missing one is lost; under overload, it is a longer wait.
 	bound := (2*g.recentWait(s.role) + attemptMargin.Seconds()) / (1 - g.unseenShare)
 	g.observeWait(s.role, math.Min(sec-p.seconds(tok), bound))
 	g.observeSlowdown(s, sec/p.seconds(tok))
-	// A jam raises the time-outs gradually; silent servers must not do so at once.
+	// Overload raises the time-outs gradually; silent servers must not raise them at once.
 	p.observeRatio(tok, outlier)
 	if s.lastActivityAt <= r.sentAt { // no activity since: silent, not just slow
 		g.suspect(s)
@@ -230,8 +230,8 @@
 		r.charge = math.Max(0, r.PromptTokens-float64(e.Kept)) // a cache miss is not slowness
 		g.observeAttempt(r, s, e.Latency)
 		// A shortfall of cached tokens removes no entries: what was just read is cached again, and
-		// other entries still lead their sessions to one reader instead of scattering them over
-		// all.
+		// the other entries still direct their sessions to one reader instead of scattering them
+		// over all.
 		s.record(r, g.now)
 	case Served:
 		s.markServing(g.now)
@@ -242,7 +242,8 @@
 		if s.lastActivityAt = g.now; e.Kept == 1 || e.Status == Rejected { // it has room
 			break
 		}
-		// Its queue is full, whatever this gateway has there: work of peers, or left behind.
+		// Its queue is full, however little this gateway has sent there: the rest is work of peers,
+		// or of attempts that have timed out.
 		g.observeWait(s.role, fullBacklog.Seconds())
 		full := s.memory // a writer without own streams would look the least loaded
 		if s.role != RoleWrite {
@@ -259,8 +260,8 @@
 		if e.Stale { // the connection failed, not the server
 			break
 		}
-		// A dead process has lost its cache; behind a network failure the cache is out of reach as
-		// well.
+		// A dead process has lost its cache; if only the network has failed, the cache is out of
+		// reach as well.
 		s.cached = map[Key]cacheEntry{}
 		g.suspect(s)
 		s.markUnreachable(g.now, e.Status == ConnectFailed, g.settings.FallAfter)
--- a/logic/choice.go
+++ b/logic/choice.go
@@ -14,11 +14,11 @@
 
 // pick returns the allowed server of the lowest class, and of the lowest cost within it. Servers
 // that have failed the request come later and suspect servers last, but none is left out: if all
-// look bad, the least bad one is picked.
+// are suspect, the best of them is picked.
 func (g *Gateway) pick(r *request, evaluate func(*server) (int, float64)) *server {
 	var best *server
 	bestClass, bestCost := excluded, math.Inf(1)
-	sparse, writersJammed := g.unseenShare > maxUnseenShare, g.recentWait(RoleWrite) > remoteColdWait
+	sparse, writersOverloaded := g.unseenShare > maxUnseenShare, g.recentWait(RoleWrite) > remoteColdWait
 	for _, s := range g.servers {
 		if !g.allowed(r, s) {
 			continue
@@ -30,7 +30,7 @@
 		if slices.Contains(r.tried, s) {
 			class += 8
 		} else if sparse && s.failures == 0 && g.assumedWarmth(s) < 1 &&
-			(class == 0 || r.reader == nil || writersJammed) {
+			(class == 0 || r.reader == nil || writersOverloaded) {
 			class -= 32 // unused credits expire, and each of many gateways has few
 		}
 		if s.failures > 1 && (g.now < s.suspectUntil || r.failedAttempts > 0) || g.risky(r, s) {
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -80,11 +80,11 @@
 		}
 		return i, q
 	}
-	asked := map[Key]int{}
+	repeated := map[Key]int{}
 	c.onRefused = func(c *gatewaySim, _ int, id RequestID) {
 		q := c.requests[id]
-		if asked[q.Session] < d.repeats {
-			asked[q.Session]++
+		if repeated[q.Session] < d.repeats {
+			repeated[q.Session]++
 			i, _ := c.draw(c)
 			c.ids++
 			q.ID = c.ids
@@ -113,7 +113,7 @@
 		c.run(10*time.Second, perSecond)
 	}
 	start := c.now
-	comeBack := func() {
+	restartServers := func() {
 		for i := range members {
 			m := &members[i]
 			if d.cold == "one" && i == 0 || d.cold == "zone" && m.Zone == 0 || d.cold == "role" && m.Kind == 0 || d.cold == "all" {
@@ -126,14 +126,14 @@
 		clear(c.sent)
 		clear(free)
 	}
-	comeBack()
+	restartServers()
 	again := set
 	again.Gateways = d.gateways
 	const parts = 20 // of the observed time; in each of them some gateways are restarted
 	for part := range parts {
 		if d.returns && part == parts/4 {
 			start = c.now
-			comeBack()
+			restartServers()
 		}
 		for i := range c.gateways {
 			if d.restarts && i%parts == part {
--- a/logic/crowd_test.go
+++ b/logic/crowd_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// gatewaySim is a fleet behind many gateways: each decides alone, and their sends are counted
-// together.
+// gatewaySim simulates a fleet with many gateways in front of it: each decides alone, and their
+// sends are counted together.
 type gatewaySim struct {
 	gateways []*Gateway
 	rng      *rand.Rand
@@ -90,7 +90,7 @@
 	}
 }
 
-// ask delivers a request under a new number.
+// ask delivers a request under a new ID.
 func (c *gatewaySim) ask(gateway int, q Request) {
 	c.ids++
 	q.ID = c.ids
--- a/logic/deployments_test.go
+++ b/logic/deployments_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// A jam at the writers is over as soon as one reports room. Remembered waits would refuse all
+// Overload of the writers is over as soon as one reports room. Remembered waits would refuse all
 // requests for seconds more, and without sends nothing new would be observed. Without reports they
 // must count.
 func TestReportedRoomOverridesRememberedWait(t *testing.T) {
--- a/logic/endings.go
+++ b/logic/endings.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// refuseOrFail ends a request at once: with a refusal where the rules allow one, which advises when
-// to retry, otherwise with a failure.
+// refuseOrFail ends a request at once: with a refusal and advice when to retry where the rules
+// allow one, otherwise with a failure.
 func (g *Gateway) refuseOrFail(r *request, why Why) {
 	a, c := Action{Kind: Refuse, ID: r.ID, Why: why}, g.class(r)
 	if r.mayHaveRun && (c.Effect == EffectOnce || c.Effect == EffectByKey && c.Group != GroupAll) {
@@ -58,10 +58,11 @@
 	g.drop(r)
 }
 
-// shutDown ends the open requests before the instance ends. Answers that have begun are moved,
-// where their clients reconnect for the rest, and requests that wait for one are cancelled and
-// answered. Until all of that is due, answers are moved one by one: each is read again elsewhere,
-// and all at once would jam the readers.
+// shutDown prepares for the end of the instance, which is due after the given time. Answers that
+// have begun are moved if their clients reconnect for the rest. The moves are spread over that
+// time: each answer is read again elsewhere, and all at once would overload the readers. Once the
+// end is due, attempts whose answers have not begun are cancelled, and requests without an attempt
+// in flight are refused or failed.
 func (g *Gateway) shutDown(in time.Duration) {
 	g.closing = in <= 0
 	ids := slices.Sorted(maps.Keys(g.requests))
--- a/logic/errors_test.go
+++ b/logic/errors_test.go
@@ -10,17 +10,17 @@
 	maxStreams    = 20                     // concurrent answers: each lasts for this many arrivals
 )
 
-// runErringWriters plays requests against writers that answer errors at once where errs says so,
+// runErringWriters sends requests to writers that answer with errors at once where errs says so,
 // and serve otherwise. It returns how many attempts each server got, and how many requests were
 // refused.
-func runErringWriters(t *testing.T, requests int, errs func(s ServerID, n int) bool) (asked map[ServerID]int, refused int) {
+func runErringWriters(t *testing.T, requests int, errs func(s ServerID, n int) bool) (attempts map[ServerID]int, refused int) {
 	type stream struct {
 		id RequestID
 		at ServerID
 	}
 	var running []stream
 	r := newTestGateway(t, reader(1, 0), writer(2, 0), writer(3, 0), writer(4, 0))
-	asked = map[ServerID]int{}
+	attempts = map[ServerID]int{}
 	for n := range requests {
 		r.wait(arrivalPeriod)
 		if len(running) == maxStreams {
@@ -34,7 +34,7 @@
 			if send == nil {
 				break
 			}
-			asked[send.Server]++
+			attempts[send.Server]++
 			switch {
 			case send.Server == 1:
 				acts = r.end(id, 1, PromptRead, 0)
@@ -50,7 +50,7 @@
 			refused++
 		}
 	}
-	return asked, refused
+	return attempts, refused
 }
 
 // A writer that answers errors at once always looks the least loaded. It gets single trials at
@@ -84,12 +84,12 @@
 // settings allow.
 func TestNothingIsShedWhenAllServersErr(t *testing.T) {
 	const requests = 50
-	asked, refused := runErringWriters(t, requests, func(ServerID, int) bool { return true })
-	attempts := asked[2] + asked[3] + asked[4]
+	perServer, refused := runErringWriters(t, requests, func(ServerID, int) bool { return true })
+	attempts := perServer[2] + perServer[3] + perServer[4]
 	if least := requests * (testSettings().MaxAttempts - 2); attempts < least {
 		t.Errorf("%d attempts at writers, %d requests, refused %d", attempts, requests, refused)
 	}
-	for s, n := range asked {
+	for s, n := range perServer {
 		if n < requests/5 {
 			t.Errorf("server %d got %d attempts", s, n)
 		}
--- a/logic/fairness_test.go
+++ b/logic/fairness_test.go
@@ -11,7 +11,7 @@
 // answeredShares are the fractions of the requests that were answered.
 type answeredShares struct {
 	all, long     float64 // of all requests, and of the tenth with the longest prompts
-	alwaysRefused float64 // sessions with every turn refused, beyond random variation
+	alwaysRefused float64 // part of the sessions with every turn refused, beyond random variation
 }
 
 const (
--- a/logic/guards_test.go
+++ b/logic/guards_test.go
@@ -198,8 +198,8 @@
 }
 
 // A backlog refuses requests at their arrival, those of lower value first, with retry advice;
-// otherwise a jam never ends. Nothing has been read yet, as after a restart, so the growth of the
-// aim with the prompt serves as the speed.
+// otherwise the overload never ends. Nothing has been read yet, as after a restart, so the growth
+// of the aim with the prompt serves as the speed.
 func TestBacklogRefusesLowValueRequestsFirst(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(3, 0))
 	refusedAt := [2]int{}
@@ -233,9 +233,9 @@
 		r.end(id, 3, Served, 0)
 		r.wait(20 * time.Millisecond)
 	}
-	most := coldBudgetShare * 2.5 * 0.3 * 100
-	if cold == 0 || float64(cold) > most {
-		t.Errorf("%d sends to the cold reader in its window, want 1 to %.0f", cold, most)
+	limit := coldBudgetShare * 2.5 * 0.3 * 100
+	if cold == 0 || float64(cold) > limit {
+		t.Errorf("%d sends to the cold reader in its window, want 1 to %.0f", cold, limit)
 	}
 }
 
@@ -405,12 +405,12 @@
 			}
 			count[find(g.Handle(Time(time.Hour), []Event{{Kind: Arrived, Request: q}}, nil), Send).Server]++
 		}
-		most := 0
+		busiest := 0
 		for _, n := range count {
-			most = max(most, n)
+			busiest = max(busiest, n)
 		}
-		if prefix == 0 && (len(count) < 10 || most > 40) || prefix != 0 && len(count) > maxPreferredReaders {
-			t.Errorf("prefix %d: %d readers in use, the busiest got %d of 200", prefix, len(count), most)
+		if prefix == 0 && (len(count) < 10 || busiest > 40) || prefix != 0 && len(count) > maxPreferredReaders {
+			t.Errorf("prefix %d: %d readers in use, the busiest got %d of 200", prefix, len(count), busiest)
 		}
 	}
 }
@@ -454,12 +454,12 @@
 	}
 }
 
-// Beside many fast answers a lost one is no backlog, and must not cause refusals.
+// Among many fast answers a lost one is no backlog, and must not cause refusals.
 func TestLostAnswerIsNotTakenForBacklog(t *testing.T) {
 	for _, tc := range []struct {
 		unseen      float64
 		least, most float64
-	}{{0.1, 0, 0.2}, {0.9, 0.2, 2}} { // many own streams per server; few, where one sign must do
+	}{{0.1, 0, 0.2}, {0.9, 0.2, 2}} { // many own streams per server; few, where one loss must count
 		g := newTestGateway(t, reader(1, 0), writer(3, 0)).g
 		s := g.byID[1]
 		for i := range 200 {
@@ -658,8 +658,8 @@
 	}
 }
 
-// A worker that restarts while an operator has taken it out is listed as draining with its new
-// start. When it returns, nothing of the old process's cache counts.
+// A worker that restarts while an operator has taken it out of service is listed as draining with
+// its new start. When it returns, nothing of the old process's cache counts.
 func TestRestartWhileDrainingClearsTheCache(t *testing.T) {
 	r := newTestGateway(t, reader(1, 0), writer(2, 0))
 	id, _ := r.arrive(Request{Session: 5})
--- a/logic/health.go
+++ b/logic/health.go
@@ -16,7 +16,7 @@
 // distance, slow start and weight.
 func (g *Gateway) costScale(s *server) float64 {
 	v := g.slowdownFactor(s) / math.Pow(math.Max(g.warmth(s), 0.05), 1-g.unseenShare)
-	if g.now < s.suspectUntil { // one failure may be chance: costlier, but not excluded
+	if g.now < s.suspectUntil { // one failure may be chance: costlier, but still picked
 		v *= suspectScale
 	}
 	v *= g.distanceCost(s)
@@ -41,7 +41,7 @@
 	g.observeSlowdown(s, 2)
 	s.lastErrorAt = g.now
 	if s.consecutiveErrors++; s.consecutiveErrors >= suspectAfterErrors {
-		// Out of the ordinary path at once, unlike after a first failure.
+		// The server leaves the ordinary path at once; after a first failure it is only costlier.
 		s.failures = max(s.failures, 1)
 		g.suspect(s)
 	}
@@ -60,8 +60,8 @@
 }
 
 // suspect takes a server out of the ordinary path. Single trials at increasing intervals bring it
-// back. Where this gateway seldom sends to any one server, a trial costs as much but reveals little,
-// so trials are later.
+// back. Where this gateway seldom sends to any one server, a trial costs as much but reveals
+// little, so trials are later.
 func (g *Gateway) suspect(s *server) {
 	unit := min(max(firstBackoff, seconds(g.arrivalInterval*float64(g.pools[s.role].count))), maxBackoff)
 	wait := min(unit<<min(s.failures, 6), max(maxBackoff, 2*unit))
--- a/logic/held.go
+++ b/logic/held.go
@@ -1,11 +1,12 @@
 package logic
 
-// Handling of the read state that a reader holds until a writer takes it, and of its release.
+// A reader holds the read state of a prompt until a writer fetches it or it is released.
 //
-// Bytes sent prove nothing: a proxy, or the operating system of a server that is stopped or
-// unreachable, accepts them too. So the time limit of a held state runs until a server has answered
-// for it, and then the state is released whether an attempt is in flight or not. That does not harm
-// an attempt that a server has received: a release discards only a state that no attempt waits for.
+// Bytes sent do not prove that their server has received them: a proxy, or the operating system of
+// a server that is stopped or unreachable, accepts them too. So the time limit of a held state runs
+// until a server has answered for it, and then the state is released whether an attempt is in
+// flight or not. That does not harm an attempt that a server has received: a release discards only
+// a state that no attempt waits for.
 
 import (
 	"time"
@@ -14,8 +15,8 @@
 // attemptsPerState is how many servers are tried with one held read state if connections fail.
 const attemptsPerState = 3
 
-// minSendTime returns the minimum time to reach a writer for which an attempt is made. A held state
-// is released this long before its time limit.
+// minSendTime returns the least remaining time in which an attempt to reach a writer is still made.
+// A held state is released this long before its time limit.
 func (g *Gateway) minSendTime() time.Duration { return g.settings.ReleaseWithin / attemptsPerState / 2 }
 
 // releaseDue returns when the request's read state has to be released unless a server has answered
--- a/logic/limits_test.go
+++ b/logic/limits_test.go
@@ -13,7 +13,7 @@
 //
 // The operators have withdrawn an earlier bound of 940 lines on a single file with all decisions.
 func TestFileSizeLimits(t *testing.T) {
-	const mostLines, mostCharacters = 260, 110
+	const maxLines, maxCharacters = 260, 110
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -38,12 +38,12 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if n := utf8.RuneCountInString(line); n > mostCharacters {
+			if n := utf8.RuneCountInString(line); n > maxCharacters {
 				t.Errorf("%s: line %d has %d characters", file, i+1, n)
 			}
 		}
-		if lines > mostLines {
-			t.Errorf("%s: %d lines, %d at most", file, lines, mostLines)
+		if lines > maxLines {
+			t.Errorf("%s: %d lines, %d at most", file, lines, maxLines)
 		}
 	}
 	text, err := os.ReadFile("logic.go")
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -36,7 +36,7 @@
 	unreadDecay = time.Second
 	// Added to the time-out of each attempt; also the interval of its later checks.
 	attemptMargin = 50 * time.Millisecond
-	// No attempt starts this close to the deadline of its request, which is refused instead.
+	// No attempt starts this close to the deadline of its request; the request is refused instead.
 	deadlineMargin = 30 * time.Millisecond
 )
 
@@ -52,7 +52,7 @@
 	servers     []*server // in the order in which they were first listed
 	byID        map[ServerID]*server
 	requests    map[RequestID]*request
-	// By kind: to the read state, or at a mixed server to the first token.
+	// By kind of server: from the send to the read state, or to the first token at a mixed server.
 	readSpeeds              []speedEstimate
 	fetchSpeed              speedEstimate // from the send to a writer to the first token
 	pools                   [3]pool
@@ -72,7 +72,7 @@
 	closing                 bool      // the instance is about to end: open requests are ended
 }
 
-// New returns an instance that knows nothing but its settings.
+// New returns an instance that has observed nothing yet.
 func New(settings Settings, seed uint64) *Gateway {
 	settings.Gateways = max(settings.Gateways, 1)
 	// Unknown kinds and unknown classes each use an extra last entry.
--- a/logic/readers.go
+++ b/logic/readers.go
@@ -10,8 +10,8 @@
 	expectedPrefixShare = 0.95 // part of a prefix expected in the caches of its preferred readers
 	minPreferredReaders = 2    // readers that share the prompts of one prefix
 	maxPreferredReaders = 8
-	tieBreakTokens      = 150 // readers that differ by less look alike to one of many gateways
-	mixedMemoryWeight   = 3.0 // of a mixed server's memory share relative to the writers'
+	tieBreakTokens      = 150 // smaller differences mean nothing to one of many gateways
+	mixedMemoryWeight   = 3.0 // weight of a mixed server's memory share against the writers'
 )
 
 // affinityGroup holds the readers of an affinity key in the order that all gateways compute alike.
--- a/logic/request.go
+++ b/logic/request.go
@@ -51,7 +51,7 @@
 	serviceSeconds      float64 // time to read and fetch it without any wait
 }
 
-// stageIndex returns the stage that the request comes to next: 0 to be read, 1 to be answered.
+// stageIndex returns the next stage of the request: 0 to be read, 1 to be answered.
 func (r *request) stageIndex() int {
 	if r.reader != nil {
 		return 1
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -25,12 +25,11 @@
 	}
 }
 
-// ruleChecker plays arbitrary legal outcomes against a gateway and checks every action against the
-// rules.
+// ruleChecker gives a gateway arbitrary legal outcomes and checks every action against the rules.
 type ruleChecker struct {
 	t           *testing.T
 	set         Settings
-	serverCount int // number of servers
+	serverCount int
 	g           *Gateway
 	rng         *rand.Rand
 	lost        float64 // part of the attempts that never arrive
@@ -44,22 +43,22 @@
 }
 
 type checkedRequest struct {
-	id                     RequestID
-	class                  int
-	deadline               Time
-	inFlight, ended, first bool
-	state                  bool // a read state is held somewhere
+	id                       RequestID
+	class                    int
+	deadline                 Time
+	inFlight, ended, started bool
+	state                    bool // a read state is held somewhere
 	// Since when no attempt that has arrived is in flight while a state is held.
-	freeSince Time
+	idleSince Time
 	// The attempt in flight never arrives, and nothing reports that.
 	lost              bool
 	server            ServerID
 	sentAt, timeoutAt Time
 	sends             int
-	ambiguous         bool
-	ambiguousAt       Time
-	ambiguousZone     int
-	calledOff         bool
+	mayHaveRun        bool
+	ranAt             Time
+	ranZone           int
+	cancelled         bool
 }
 
 type checkedTimer struct {
@@ -106,13 +105,13 @@
 			w.t.Fatalf("attempt %d of %d", r.sends, r.id)
 		case a.After <= 0:
 			w.t.Fatalf("time-out %v", a.After)
-		case r.ambiguous && c.Effect == EffectOnce:
+		case r.mayHaveRun && c.Effect == EffectOnce:
 			w.t.Fatalf("once request %d sent again", r.id)
-		case r.ambiguous && c.Effect == EffectByKey &&
-			(m.Zone != r.ambiguousZone || between(r.ambiguousAt, w.now) > c.RepeatWindow):
+		case r.mayHaveRun && c.Effect == EffectByKey &&
+			(m.Zone != r.ranZone || between(r.ranAt, w.now) > c.RepeatWindow):
 			w.t.Fatalf("by-key request %d sent outside its group or window", r.id)
 		}
-		r.inFlight, r.server, r.sentAt, r.calledOff = true, a.Server, w.now, false
+		r.inFlight, r.server, r.sentAt, r.cancelled = true, a.Server, w.now, false
 		r.timeoutAt = min(w.now+Time(a.After), r.deadline)
 		r.sends++
 		r.lost = w.rng.Float64() < w.lost
@@ -120,7 +119,7 @@
 		if r.ended || r.inFlight {
 			w.t.Fatalf("final answer for %d, ended %v, in flight %v", r.id, r.ended, r.inFlight)
 		}
-		if a.Kind == Refuse && r.ambiguous && c.Effect != EffectRepeatable {
+		if a.Kind == Refuse && r.mayHaveRun && c.Effect != EffectRepeatable {
 			w.t.Fatalf("refusal of %d that may have run", r.id)
 		}
 		r.ended = true
@@ -132,7 +131,7 @@
 		if a.Attempt != r.sends-1 {
 			w.t.Fatalf("cancellation of attempt %d of %d", a.Attempt, r.sends)
 		}
-		r.calledOff = r.inFlight
+		r.cancelled = r.inFlight
 	}
 }
 
@@ -158,14 +157,14 @@
 		r.state = r.state && role != RoleRead
 	}
 	ran := st == ServerError || st == TimedOut || st == ConnectionReset || st == Cancelled
-	if ran && role != RoleRead && !r.ambiguous {
-		r.ambiguous, r.ambiguousAt, r.ambiguousZone = true, r.sentAt, m.Zone
+	if ran && role != RoleRead && !r.mayHaveRun {
+		r.mayHaveRun, r.ranAt, r.ranZone = true, r.sentAt, m.Zone
 	}
-	if r.first {
+	if r.started {
 		r.ended = true
 	}
 	if r.inFlight = false; !r.lost {
-		r.freeSince = w.now
+		r.idleSince = w.now
 	}
 	e.Closed = r.ended
 	w.deliver(e)
@@ -178,7 +177,7 @@
 		if !r.ended && !r.inFlight && w.now >= r.deadline {
 			w.t.Fatalf("request %d lost at its deadline", id)
 		}
-		if r.state && (!r.inFlight || r.lost) && between(r.freeSince, w.now) > w.set.ReleaseWithin {
+		if r.state && (!r.inFlight || r.lost) && between(r.idleSince, w.now) > w.set.ReleaseWithin {
 			w.t.Fatalf("read state of request %d held past ReleaseWithin", id)
 		}
 	}
@@ -255,9 +254,9 @@
 
 // step advances one attempt.
 func (w *ruleChecker) step(r *checkedRequest, bad float64) {
-	if !r.ended && !r.first && w.rng.IntN(3000) == 0 {
+	if !r.ended && !r.started && w.rng.IntN(3000) == 0 {
 		if r.ended = true; !r.lost {
-			r.freeSince = w.now
+			r.idleSince = w.now
 		}
 		w.deliver(Event{Kind: ClientLeft, ID: r.id})
 	}
@@ -266,22 +265,22 @@
 	}
 	role := w.set.Kinds[w.members[r.server].Kind].Role
 	switch {
-	case !r.first && w.now >= r.timeoutAt:
+	case !r.started && w.now >= r.timeoutAt:
 		w.end(r, TimedOut)
-	case r.calledOff:
+	case r.cancelled:
 		w.end(r, Cancelled)
 	case w.rng.IntN(20) > 0:
 	case r.lost && w.rng.IntN(20) == 0: // the connection finally breaks
 		w.end(r, ConnectionReset)
 	case r.lost:
-	case w.rng.Float64() < bad && !r.first:
+	case w.rng.Float64() < bad && !r.started:
 		w.end(r, []Status{ServerError, Full, ConnectFailed, ConnectionReset}[w.rng.IntN(4)])
-	case r.first && w.rng.Float64() < bad:
+	case r.started && w.rng.Float64() < bad:
 		w.end(r, ConnectionReset)
 	case role == RoleRead:
 		w.end(r, PromptRead)
-	case !r.first:
-		r.first, r.state = true, false
+	case !r.started:
+		r.started, r.state = true, false
 		w.deliver(Event{Kind: AnswerStarted, ID: r.id, Attempt: r.sends - 1, Server: r.server,
 			Latency: between(r.sentAt, w.now)})
 	default:
--- a/logic/server.go
+++ b/logic/server.go
@@ -79,7 +79,7 @@
 }
 
 // markUnreachable records that the server could not be reached, if its previous attempt failed as
-// well. Credits do not accrue meanwhile, beyond maxAccrual.
+// well. Credits for the time until now are limited to those of maxAccrual.
 func (s *server) markUnreachable(now Time, unreachable bool, maxAccrual time.Duration) {
 	if unreachable && s.failures > 1 {
 		s.lastUnreachableAt, s.creditsAccruedAt = now, max(s.creditsAccruedAt, now-Time(maxAccrual))
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// For a cell without writers, relative to an average reader.
+	// For a reader in a cell without writers; an average reader has 1.
 	minTrafficWeight = 0.5
-	// For a cell of few readers, relative to an average reader.
+	// For a reader in a cell of few readers.
 	maxTrafficWeight = 1.5
-	// Assumed where the memory is unknown: only shares relative to servers of its kind count then.
+	// Assumed where the memory is unknown; shares are then comparable only within the kind.
 	defaultMemoryTokens = 1e5
 	// Exponent of warmth in traffic weights, where little is seen of peers.
 	coldWeightExponent = 8.0
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -17,7 +17,7 @@
 	maxCreditWindows = 4
 	// Time constant of the rates that determine the cold budgets.
 	rateTimeConstant = 10 * time.Second
-	// Discovery is taken to report a start within this time (protocol).
+	// Discovery reports a start within this time, by the protocol.
 	discoveryDelay = 6 * time.Second
 )
 
@@ -26,7 +26,7 @@
 	count, warmthSum float64            // number of usable servers, and the sum of their warmth
 	cold             []*server          // cold servers that affinity keys are mapped to
 	served           decayingValue      // own requests served per unit of warmth
-	offered          decayingValue      // own requests that came to the stage
+	offered          decayingValue      // own requests that reached the stage
 	recent           [32]affinitySample // ring buffer of the latest requests
 	last             int
 }
@@ -109,10 +109,10 @@
 
 // mayUseCold reports whether this gateway may send to s now. For a server in slow start each send
 // takes a credit. Credits accrue with time: this gateway's share of what the settings let the whole
-// fleet send, by the rate that a unit of warmth serves. The share is what its own requests had of
-// that rate, so the shares of all gateways add up to the fleet's rate, however uneven they are.
-// Fractions of a credit are granted at random. Credits expire: saved up, they would be used all at
-// once.
+// fleet send, by the rate that a unit of warmth serves. The share is the part of that rate that its
+// own requests had, so the shares of all gateways add up to the fleet's rate, however uneven they
+// are. Fractions of a credit are granted at random. Credits expire: saved up, they would be used
+// all at once.
 func (g *Gateway) mayUseCold(s *server) bool {
 	w := g.assumedWarmth(s)
 	if w >= 1 {
@@ -138,7 +138,7 @@
 	return s.coldCredits > 0
 }
 
-// countAtStage counts a request at the stage that it comes to. Until it ends it counts per server,
+// countAtStage counts a request at the stage that it reaches. Until it ends it counts per server,
 // whatever the warmth; once done, per unit of warmth; if it failed, not at all.
 func (g *Gateway) countAtStage(r *request) {
 	st := &g.stages[r.stageIndex()]
