--- a/router/admit.go
+++ b/router/admit.go
@@ -12,8 +12,8 @@
 // the machine runs late.
 const answerMargin = 20 * time.Millisecond
 
-// maxQueuedPerName bounds the requests queued behind one name, because each holds its body and its
-// connection. A client that sends one name more often than this is faulty.
+// maxQueuedPerName bounds the requests that wait for the open request of their name, because each
+// holds its body and its connection. A client that sends one name more often than this is faulty.
 const maxQueuedPerName = 8
 
 // admission assigns request IDs and passes requests to the decider.
@@ -35,8 +35,8 @@
 		return
 	}
 	// A name identifies one request at the workers: two at once would share their held state and
-	// each other's attempts. But any client may use a name, and workers may reject the open request
-	// as not belonging to anyone, so a second one waits for the outcome.
+	// each other's attempts. But any client may use any name, and workers may reject the open
+	// request as invalid, so a second one waits for the outcome.
 	if first.mayHaveRun || first.answered || len(a.queued[ex.Name]) >= maxQueuedPerName {
 		a.core.completion.duplicate(ex)
 		return
@@ -51,7 +51,7 @@
 	})
 }
 
-// timeLeft returns how long the decider may take over a request.
+// timeLeft returns the time that the decider has for a request.
 func (a *admission) timeLeft(ex *exchange) time.Duration {
 	return max(ex.Patience-time.Since(ex.Received)-answerMargin, 0)
 }
@@ -82,9 +82,9 @@
 	return true
 }
 
-// advanceQueue processes the requests queued behind first. If first may have run, they may be
-// copies of it and fail. If first ended without running and its held state has been released, the
-// first in the queue is dispatched.
+// advanceQueue processes the requests that wait for first, which has their name. If first may have
+// run, they may be copies of it and fail. If first ended without running and its held state has
+// been released, the first in the queue is dispatched.
 func (a *admission) advanceQueue(first *exchange) {
 	for queue := a.queued[first.Name]; len(queue) > 0; queue = a.queued[first.Name] {
 		ex := queue[0]
@@ -111,6 +111,7 @@
 	}
 }
 
+// sweep removes the finished exchanges.
 func (a *admission) sweep() {
 	for _, ex := range a.finished {
 		if a.exchanges[ex.ID] == ex {
--- a/router/api.go
+++ b/router/api.go
@@ -31,7 +31,7 @@
 	// Refuse reports that repeating the request after the given time is harmless. last is the
 	// status of the last attempt, NotSent if there was none.
 	Refuse(after time.Duration, last logic.Status)
-	// Fail reports that the request was abandoned.
+	// Fail reports that the request has failed. last is as in Refuse.
 	Fail(last logic.Status)
 }
 
@@ -48,7 +48,7 @@
 // Answer is a worker's answer that has begun.
 type Answer interface {
 	io.ReadCloser
-	// Head returns what the transport passes to the front beside the bytes.
+	// Head returns what the transport passes to the front besides the bytes.
 	Head() any
 	// Kept returns the number of prompt tokens that the worker found cached, known after io.EOF.
 	Kept() uint32
@@ -90,15 +90,15 @@
 // Transport sends requests to workers. Its methods return at once.
 type Transport interface {
 	// Send starts an attempt. The returned function cancels it at any time. The channel that it
-	// returns is closed within 10 ms, once the worker knows of the cancellation; it is nil if the
-	// request is not at a worker. Until then the attempt counts as in flight, and nothing that
-	// requires its end may follow. An attempt that is not cancelled ends only when its worker knows
-	// of the end.
+	// returns is closed when the worker has noticed the cancellation, after 10 ms at the latest; it
+	// is nil if the request is not at a worker. Until then the attempt counts as in flight, and
+	// nothing that requires its end may follow. An attempt that is not cancelled ends only when its
+	// worker has noticed the end.
 	Send(Attempt, Sink) (cancel func() (acknowledged <-chan struct{}))
 	// Release asks the given workers to release everything held for the named request, each a
 	// little after the previous one until one accepts. It calls done once, after it has returned,
-	// with the worker that accepted or the reason why none did. done gets neither if such workers
-	// hold no state.
+	// with the worker that accepted or the reason why none did. Both are nil if the transport's
+	// workers hold no state.
 	Release(name string, workers []*Worker, done func(by *Worker, err error))
 	// Forget drops the state that is kept for a worker that has left or restarted.
 	Forget(*Worker)
@@ -111,7 +111,8 @@
 const (
 	AttemptAllowed Allowance = iota
 	WorkerDenied             // this worker must not get the attempt now; another one may
-	RepeatDenied             // nothing may be repeated now: the request ends with the status of its last attempt
+	// nothing may be repeated now: the request ends with the status of its last attempt
+	RepeatDenied
 )
 
 // Permit is asked right before an attempt is sent, on the core's goroutine. It must return at once.
--- a/router/core.go
+++ b/router/core.go
@@ -50,7 +50,7 @@
 	stopped chan struct{}
 	// open requests, and closed ones whose last attempt is still in flight
 	open             atomic.Int64
-	releasesInFlight atomic.Int64 // releases in flight
+	releasesInFlight atomic.Int64
 	workers          workerSet
 	maxOpen          int64 // 0 means no bound
 	count            Counters
@@ -148,16 +148,17 @@
 	})
 }
 
-// Zoner is a decider that accepts a traffic map.
+// Zoner is a decider that accepts cost factors of zones.
 type Zoner interface {
-	SetZones(figures []float64)
+	SetZones(costs []float64)
 }
 
-// SetZones passes one figure for each zone to the decider, if it accepts them; nil removes them.
-func (c *Core) SetZones(figures []float64) {
+// SetZones passes the cost factor of each zone to the decider, if it accepts them; nil removes
+// them.
+func (c *Core) SetZones(costs []float64) {
 	c.post(func() {
 		if z, ok := c.routing.decider.(Zoner); ok {
-			z.SetZones(figures)
+			z.SetZones(costs)
 		}
 	})
 }
@@ -167,8 +168,8 @@
 	Retune(classes []logic.Class, maxAttempts int)
 }
 
-// Retune passes new rules for requests that arrive from now on to the decider, if it accepts them.
-// The bound on attempts of open requests is not lowered.
+// Retune passes new classes and a new bound on attempts to the decider, if it accepts them, for
+// requests that arrive from now on. Open requests keep their bound.
 func (c *Core) Retune(classes []logic.Class, maxAttempts int) {
 	c.post(func() {
 		if r, ok := c.routing.decider.(Retuner); ok {
@@ -185,17 +186,17 @@
 
 // Close informs the decider that the process is about to end: open requests get their final answer
 // within the given time, or are moved. With 0 they end at once, and requests that still arrive are
-// abandoned.
+// refused.
 func (c *Core) Close(in time.Duration) {
 	c.post(func() { c.routing.push(logic.Event{Kind: logic.Closing, Latency: in}) })
 }
 
-// CancelSilent ends the answers from which nothing has been received for the given time: a process
-// that ends cannot wait for their workers.
+// CancelSilent ends the answers from which nothing has been received for the given time, because a
+// process that ends cannot wait for their workers.
 func (c *Core) CancelSilent(silent time.Duration) { c.post(func() { c.sender.cancelSilent(silent) }) }
 
-// WaitForReleases waits, at most for settleTimeout, until the latest releases have ended. It returns the
-// number of releases still in flight.
+// WaitForReleases waits until the latest releases have ended, for settleTimeout at most. It returns
+// the number of releases still in flight.
 func (c *Core) WaitForReleases(ctx context.Context) int64 {
 	timeout := time.After(settleTimeout)
 	for next := settleDelay; ; next = settlePollInterval {
--- a/router/core_test.go
+++ b/router/core_test.go
@@ -33,7 +33,7 @@
 	released     chan string
 	releaseTaken chan struct{} // releases end only when this can be received from, if it is set
 	refuse       atomic.Int64  // number of further releases that no worker accepts
-	acknowledged chan struct{} // closed when workers know of a cancellation; nil means at once
+	acknowledged chan struct{} // closed when workers have noticed a cancellation; nil means at once
 }
 
 func newFakeTransport() *fakeTransport {
@@ -129,8 +129,8 @@
 	require.Equal(t, "a", <-w.released)
 }
 
-// A release uses a connection of its own. If the next read overtakes it, it removes the state of
-// that read, and the writer turns the request away.
+// A release uses a connection of its own. If the next read overtakes the release, the release
+// removes the state of that read, and the writer turns the request away.
 func TestSendWaitsForEarlierRelease(t *testing.T) {
 	w := newFakeTransport()
 	w.releaseTaken = make(chan struct{})
@@ -177,7 +177,7 @@
 	submit(c, "a")
 	first := <-w.sent
 	again, _ := submit(c, "a")
-	refused, _ := submit(c, "b") // a request queued behind its name counts as open
+	refused, _ := submit(c, "b") // a request that waits for another of its name counts as open
 	require.Equal(t, "refused", <-refused.answers)
 	require.Empty(t, w.sent, "two requests of one name are in flight")
 	first.Ended(Outcome{Status: logic.ServerError})
@@ -394,9 +394,9 @@
 	f.fakeClient.Fail(last)
 }
 
-// A cancelled attempt is in flight until its worker knows of the cancellation: nothing is repeated
-// or refused before that. Its client may leave meanwhile, and the attempt's latency ends with the
-// cancellation.
+// A cancelled attempt is in flight until its worker has noticed the cancellation: nothing is
+// repeated or refused before that. Its client may leave meanwhile, and the attempt's latency ends
+// with the cancellation.
 func TestNothingFollowsUntilCancelIsAcknowledged(t *testing.T) {
 	const wait = 10 * time.Millisecond
 	w := newFakeTransport()
@@ -492,13 +492,13 @@
 type earlyStartTransport struct{ *fakeTransport }
 
 func (w earlyStartTransport) Send(a Attempt, s Sink) func() <-chan struct{} {
-	giveUp := w.fakeTransport.Send(a, s)
+	cancel := w.fakeTransport.Send(a, s)
 	s.Started(fakeAnswer{strings.NewReader("")})
 	time.Sleep(20 * a.Wait) // the core is blocked meanwhile
-	return giveUp
+	return cancel
 }
 
-// Once the answer has begun, the attempt's time-out, queued behind it, must not end it.
+// Once the answer has begun, the attempt's time-out, which is queued after it, must not end it.
 func TestAttemptTimeoutDoesNotEndStartedAnswer(t *testing.T) {
 	ended, w := make(chan logic.Event, 4), newFakeTransport()
 	c := New(Config{Decider: deciderFunc(func(e logic.Event) []logic.Action {
--- a/router/history.go
+++ b/router/history.go
@@ -15,8 +15,8 @@
 // that can happen to them.
 const maxSteps = 64
 
-// Rate limits of the log lines on requests, in lines per second and lines at once. Refusals come by
-// the thousand in an overload and must not crowd out the others.
+// Rate limits of the log lines on requests: lines per second, and lines at once. An overload causes
+// thousands of refusals, which must not crowd out the other lines.
 const (
 	failureLinesPerSecond, failureLinesBurst = 20, 100
 	refusedLinesPerSecond, refusedLinesBurst = 2, 20
@@ -82,8 +82,8 @@
 	h.steps = append(h.steps, s)
 }
 
-// isFailure reports whether an outcome is worth a log line. Attempts cancelled because the client
-// left, and attempts that workers turn away, are not.
+// isFailure reports whether an outcome is logged as a failure. Attempts cancelled because the
+// client left, and attempts that workers turn away, are not.
 func isFailure(s logic.Status) bool {
 	switch s {
 	case logic.Served, logic.PromptRead, logic.Full, logic.Cancelled:
@@ -92,19 +92,20 @@
 	return true
 }
 
-// text lists the steps with their times in milliseconds since from.
-func (h *history) text(from time.Time, out *attempt) string {
+// text lists the steps with their times in milliseconds since from, and the attempt in flight, if
+// it is not nil.
+func (h *history) text(from time.Time, inFlight *attempt) string {
 	var b strings.Builder
 	for i := range h.steps {
 		s := &h.steps[i]
 		fmt.Fprintf(&b, "%.1f %s; ", milliseconds(s.at.Sub(from)), s)
 	}
-	if out != nil {
-		if w := out.written.Load(); w != nil {
-			s := step{kind: stepWritten, attempt: out.number, worker: out.toWorker, written: w}
+	if inFlight != nil {
+		if w := inFlight.written.Load(); w != nil {
+			s := step{kind: stepWritten, attempt: inFlight.number, worker: inFlight.toWorker, written: w}
 			fmt.Fprintf(&b, "%.1f %s; ", milliseconds(w.At.Sub(from)), &s)
 		}
-		fmt.Fprintf(&b, "attempt %d in flight; ", out.number)
+		fmt.Fprintf(&b, "attempt %d in flight; ", inFlight.number)
 	}
 	if h.dropped > 0 {
 		fmt.Fprintf(&b, "and %d more; ", h.dropped)
--- a/router/release.go
+++ b/router/release.go
@@ -45,9 +45,9 @@
 	})
 }
 
-// request asks the workers once. A release uses a connection of its own and could overtake an
-// attempt that is sent right after it, which would then lose the state of its new read. Therefore
-// such an attempt waits for the release.
+// request asks the workers once. A release uses a connection of its own, so an attempt that is sent
+// right after it could reach its worker first, and the release would then remove the state of the
+// new read. Therefore such an attempt waits for the release.
 func (r *releaser) request(ex *exchange) {
 	ex.openReleases++
 	sends := ex.sends
@@ -80,9 +80,8 @@
 	r.core.admission.report(ex)
 }
 
-// retryLater repeats the release after releaseRetryDelay. It does not if the request has been sent
-// again since, or if another request has its name: a release would remove the state that is read
-// for that.
+// retryLater repeats the release after releaseRetryDelay, unless the request has been sent again
+// since, or another request has its name: the release would remove the state that is read for that.
 func (r *releaser) retryLater(ex *exchange, sends int) {
 	if ex.sends != sends || ex.releaseRetries == maxReleaseRetries {
 		return
--- a/router/route.go
+++ b/router/route.go
@@ -39,7 +39,7 @@
 			r.do(&r.actions[i])
 		}
 		if len(r.events) == 0 {
-			r.core.admission.sweep() // which may dispatch requests queued behind removed ones
+			r.core.admission.sweep() // which may dispatch requests that waited for removed ones
 		}
 	}
 }
@@ -55,14 +55,14 @@
 	case logic.Log:
 		r.log.Info(a.Text)
 	default:
-		if ex == nil { // the request has ended, which the decider may not know yet
+		if ex == nil { // the request has ended; the decider may not have been informed yet
 			return
 		}
 		switch a.Kind {
 		case logic.Send:
 			r.core.sender.send(ex, a)
 		case logic.CancelAttempt:
-			r.core.sender.callOff(ex, a.Attempt)
+			r.core.sender.cancelAttempt(ex, a.Attempt)
 		case logic.Refuse:
 			r.core.completion.refuse(ex, a.After, a.Why)
 		case logic.Fail:
--- a/router/rules/rules.go
+++ b/router/rules/rules.go
@@ -30,12 +30,12 @@
 	AlreadyAnswered     // the request has its final answer, or its client has left
 	AttemptInFlight     // another attempt of the request is in flight
 	MayHaveRun          // it must not run twice, and may have run
-	OutsideGroup        // it may have run at workers that do not know of each other's requests
-	WindowExpired       // the workers that know of it may have forgotten it
+	OutsideGroup        // it may have run in another group, so the target would not discard the repeat
+	WindowExpired       // the group may no longer remember it, and would not discard the repeat
 	DeadlineExpired     // its client's time is over
 	HeldTooLong         // its read state was neither used nor released in time
 	SentAfterClientLeft // its client had left before the attempt began
-	AnsweredLate        // its final answer came after its client's time
+	AnsweredLate        // its final answer was given after its client's time
 	NeverAnswered       // it has no answer though its client's time is over
 	TimeoutTooLong      // a worker would be given more time than the client has left
 )
@@ -50,10 +50,10 @@
 func (v Result) Violation() bool { return v >= AlreadyAnswered }
 
 const (
-	// AnswerWithin is how long after its client's time a request may get its final answer.
+	// AnswerWithin is how long after the end of its client's time a request may get its final answer.
 	AnswerWithin = 500 * time.Millisecond
-	// LateReadAnswerWithin is how long after it was read a request may be answered that was read
-	// only after its client's time, because its connection waited to be accepted.
+	// LateReadAnswerWithin is how long after being read a request may get its final answer if it
+	// was read only after its client's time, because its connection waited to be accepted.
 	LateReadAnswerWithin = 100 * time.Millisecond
 	// ClientLeftSlack is how long after its client has left an attempt may begin.
 	ClientLeftSlack = 100 * time.Millisecond
@@ -181,8 +181,8 @@
 	return HeldTooLong
 }
 
-// Released records the release of held state that no attempt waits for, and checks whether it comes
-// in time.
+// Released records the release of held state that no attempt waits for, and checks whether it is in
+// time.
 func (r *Request) Released(now time.Time) Result {
 	v := r.Held(now)
 	r.heldSince, r.released = time.Time{}, r.inFlight
@@ -216,8 +216,8 @@
 	}
 }
 
-// Answer records the final answer and checks whether it comes in time. A streamed answer counts
-// from its beginning.
+// Answer records the final answer and checks whether it is in time. A streamed answer counts from
+// its beginning.
 func (r *Request) Answer(now time.Time) Result {
 	r.answered = true
 	if now.After(r.answerBy) {
@@ -227,7 +227,7 @@
 }
 
 // AnswerBegan records that an answer begins, which ends the hold of a read state, and checks
-// whether it comes in time.
+// whether it is in time.
 func (r *Request) AnswerBegan(now time.Time) Result {
 	r.heldSince, r.released = time.Time{}, false
 	return r.Answer(now)
@@ -250,8 +250,8 @@
 	return Allowed
 }
 
-// WorkerTimeout returns the time-out that a worker is given for its answer, which is awaited until the
-// given time. It is cut to the client's remaining time if it exceeds that by more than
+// WorkerTimeout returns the time-out that a worker is given for its answer, which is awaited until
+// the given time. It is cut to the client's remaining time if it exceeds that by more than
 // TimeoutSlack.
 func WorkerTimeout(now, until, clientEnds time.Time) (time.Duration, Result) {
 	left, wait := clientEnds.Sub(now), until.Sub(now)
--- a/router/rules/rules_test.go
+++ b/router/rules/rules_test.go
@@ -97,7 +97,7 @@
 // sent meanwhile.
 func TestReadStateIsHeldUntilAnsweredOrReleased(t *testing.T) {
 	start := time.Now()
-	const most = 300*time.Millisecond + HeldSlack
+	const limit = 300*time.Millisecond + HeldSlack
 	ends := func(status logic.Status, unreached bool) func(*Request, time.Time) {
 		return func(r *Request, now time.Time) { r.Ended(now, status, unreached) }
 	}
@@ -134,17 +134,17 @@
 				act(r, start.Add(time.Duration(i+1)*100*time.Millisecond))
 			}
 		}
-		require.Equal(t, Allowed, r.Held(start.Add(max(c.from, 0)+most)), name)
+		require.Equal(t, Allowed, r.Held(start.Add(max(c.from, 0)+limit)), name)
 		want := HeldTooLong
 		if c.from < 0 {
 			want = Allowed
 		}
-		require.Equal(t, want, r.Held(start.Add(max(c.from, 0)+most+1)), name)
+		require.Equal(t, want, r.Held(start.Add(max(c.from, 0)+limit+1)), name)
 		require.Equal(t, Allowed, r.Held(start.Add(time.Hour)), name+": reported once")
 	}
 	r := New(Config{HeldFor: 300 * time.Millisecond})
 	r.Ended(start, logic.PromptRead, false)
-	require.Equal(t, HeldTooLong, r.Released(start.Add(most+1)), "a late release")
+	require.Equal(t, HeldTooLong, r.Released(start.Add(limit+1)), "a late release")
 	require.Equal(t, Allowed, r.Held(start.Add(time.Hour)))
 }
 
--- a/router/send.go
+++ b/router/send.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// finishOnceAcknowledged cancels an attempt and finishes it once its worker knows of the
+// finishOnceAcknowledged cancels an attempt and finishes it once its worker has noticed the
 // cancellation.
 func (s *sender) finishOnceAcknowledged(a *attempt, o Outcome) {
 	acknowledged := a.cancel()
@@ -163,7 +163,7 @@
 	}
 }
 
-// finish reports the end of an attempt after its worker knows of the end. If the request were
+// finish reports the end of an attempt after its worker has noticed the end. If the request were
 // repeated or refused earlier, it could run twice.
 func (s *sender) finish(a *attempt, o Outcome) {
 	a.ex.attempt = nil
@@ -205,16 +205,15 @@
 	a.ex.history.add(step{kind: stepEnded, attempt: a.number, worker: a.toWorker, outcome: &o})
 }
 
-// callOff cancels an attempt whose answer has not begun.
-func (s *sender) callOff(ex *exchange, number int) {
+// cancelAttempt cancels the numbered attempt, if it is in flight and its answer has not begun.
+func (s *sender) cancelAttempt(ex *exchange, number int) {
 	if a := ex.attempt; a != nil && a.number == number && !ex.answered {
 		ex.history.add(step{kind: stepCancelled, attempt: number, worker: a.toWorker})
 		s.end(a, Outcome{Status: logic.Cancelled})
 	}
 }
 
-// cancelSilent cancels the running streams from which nothing has been received for the
-// given time.
+// cancelSilent cancels the running streams from which nothing has been received for the given time.
 func (s *sender) cancelSilent(silent time.Duration) {
 	for _, ex := range s.core.admission.exchanges {
 		a := ex.attempt
--- a/router/starts.go
+++ b/router/starts.go
@@ -18,9 +18,9 @@
 // it by the wall clock of another machine, which may be stepped, as may the local one: an age
 // computed as the difference of the two may be wrong by any amount, and a worker that has just
 // started could be taken for a warm one. Therefore a start that first appears in a later list
-// counts from the time that it was received. Only the workers in the first list of a process are
-// dated by the wall clock, since otherwise all of them would count as cold. The zero value is ready
-// to use; it is not safe for concurrent use.
+// counts from the time that it was received. Only the workers in the first list of a process take
+// their start from the wall clock, since otherwise all of them would count as cold. The zero value
+// is ready to use; it is not safe for concurrent use.
 type Starts struct{ known map[string]incarnation }
 
 // incarnation is one run of a worker.
--- a/router/starts_test.go
+++ b/router/starts_test.go
@@ -14,9 +14,9 @@
 	now := time.Now()
 	at := func(ago time.Duration) logic.Time { return logic.Time(now.Add(-ago).UnixNano()) }
 	for name, c := range map[string]struct {
-		ago  time.Duration // the age that the list states
-		news bool
-		want time.Duration // the resulting age
+		ago         time.Duration // the age that the list states
+		listCurrent bool
+		want        time.Duration // the resulting age
 	}{
 		"listed at first, a minute old":            {time.Minute, false, time.Minute},
 		"listed at first, in the future":           {-time.Hour, false, 0},
@@ -26,9 +26,9 @@
 		"listed at first, since the epoch's start": {now.Sub(time.Unix(0, 1)), false, now.Sub(time.Unix(0, 1))},
 	} {
 		var s Starts
-		began := s.Began("w", at(c.ago), c.news, now)
+		began := s.Began("w", at(c.ago), c.listCurrent, now)
 		require.InDelta(t, c.want, now.Sub(began), float64(time.Microsecond), name)
-		require.Equal(t, began, s.Began("w", at(c.ago), !c.news, now.Add(time.Hour)), "%s: unchanged in later lists", name)
+		require.Equal(t, began, s.Began("w", at(c.ago), !c.listCurrent, now.Add(time.Hour)), "%s: unchanged in later lists", name)
 		require.Equal(t, now.Add(2*time.Hour), s.Began("w", at(c.ago)+logic.Time(startJitter)+1, true, now.Add(2*time.Hour)), "%s: another incarnation", name)
 	}
 	var jitters Starts // by less than startJitter from list to list
--- a/router/workers.go
+++ b/router/workers.go
@@ -14,8 +14,8 @@
 	logic.Member
 	Name string
 	Addr string
-	// PreviousListCurrent reports that the previous list was up to date: a start that first appears in this entry
-	// has just happened.
+	// PreviousListCurrent reports that the previous list was up to date: a start that first appears
+	// in this entry has just happened.
 	PreviousListCurrent bool
 }
 
