--- a/downstream/arrivals_test.go
+++ b/downstream/arrivals_test.go
@@ -28,9 +28,9 @@
 		}
 		for len(times) > 0 {
 			rest, n, at := a.take(rapid.IntRange(1, 12).Draw(t, "asked"))
-			for _, came := range times[:n] {
-				require.GreaterOrEqual(t, came, at)
-				require.Less(t, came-at, arrivalMergeWindow)
+			for _, received := range times[:n] {
+				require.GreaterOrEqual(t, received, at)
+				require.Less(t, received-at, arrivalMergeWindow)
 			}
 			a, times = rest, times[n:]
 		}
@@ -41,16 +41,16 @@
 // The receive time of a request is not a reading of the wall clock: a step of the clock would
 // change the client's remaining time.
 func TestReceiveTimeIsMonotonic(t *testing.T) {
-	came := make(chan time.Time, 1)
+	received := make(chan time.Time, 1)
 	_, url := serve(t, Config{Handler: func(c *Call) {
 		_, release, ok := c.Body()
 		if ok {
 			defer release()
 		}
-		came <- c.Received
+		received <- c.Received
 	}})
 	post(t, url, 10)
-	at := <-came
+	at := <-received
 	require.Less(t, time.Since(at), time.Minute)
 	require.NotEqual(t, at, at.Round(0), "Round(0) strips the monotonic reading")
 }
@@ -61,13 +61,13 @@
 func TestReceiveTimePrecedesAccept(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	came := make(chan time.Time, 1)
+	received := make(chan time.Time, 1)
 	s := NewServer(l, Config{MaxBody: 1 << 10, MaxConns: maxTestConns, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
 		_, release, ok := c.Body()
 		if ok {
 			defer release()
 		}
-		came <- c.Received
+		received <- c.Received
 	}})
 	c := dial(t, "http://"+l.Addr().String(), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody")
 	wrote := time.Now()
@@ -75,7 +75,7 @@
 	accepting := time.Now()
 	done := make(chan error, 1)
 	go func() { done <- s.Serve() }()
-	at := <-came
+	at := <-received
 	require.True(t, at.Before(accepting), "received %v after it was written, the accept %v", at.Sub(wrote), accepting.Sub(wrote))
 	require.NoError(t, c.Close())
 	require.NoError(t, s.Stop(t.Context(), constantTimeout(0)))
--- a/downstream/body.go
+++ b/downstream/body.go
@@ -19,15 +19,15 @@
 // initialBodyCapacity is the first allocation for a body, which grows as more of it arrives.
 const initialBodyCapacity = 4 << 10
 
-// byteBudget bounds the bytes of all open bodies together.
+// byteBudget bounds the bytes that all connections hold together, of bodies or read ahead.
 type byteBudget struct {
 	limit int64 // 0 means no bound
 	used  atomic.Int64
 }
 
-func (r *byteBudget) reserve(n int64) bool {
-	if r.used.Add(n) > r.limit && r.limit > 0 {
-		r.used.Add(-n)
+func (b *byteBudget) reserve(n int64) bool {
+	if b.used.Add(n) > b.limit && b.limit > 0 {
+		b.used.Add(-n)
 		return false
 	}
 	return true
@@ -40,20 +40,20 @@
 // Bytes are reserved as they arrive, not as they are announced: otherwise clients that announce
 // much and send little could exhaust the budget.
 func (c *Call) Body() (body []byte, release func(), ok bool) {
-	in := &c.server.bodies
-	body, err := readBody(c.RequestBodyStream(), c.Request.Header.ContentLength(), c.server.cfg.MaxBody, in)
+	budget := &c.server.bodies
+	body, err := readBody(c.RequestBodyStream(), c.Request.Header.ContentLength(), c.server.cfg.MaxBody, budget)
 	if err == nil && !c.conn.beginPhase(serving) {
 		err = net.ErrClosed
 	}
 	if err != nil {
-		in.used.Add(-int64(cap(body)))
+		budget.used.Add(-int64(cap(body)))
 		c.refuseBody(err)
 		return nil, nil, false
 	}
 	c.bodyRead = true
 	c.ReadWhole = time.Now()
 	c.Received = processStart.Add(time.Duration(c.conn.lastReceived.Load()))
-	return body, func() { in.used.Add(-int64(cap(body))) }, true
+	return body, func() { budget.used.Add(-int64(cap(body))) }, true
 }
 
 func (c *Call) refuseBody(err error) {
@@ -76,24 +76,24 @@
 
 // readBody reads a body of the announced size, -1 if none is announced. Its capacity is reserved in
 // the budget, also if reading fails.
-func readBody(r io.Reader, size, most int, in *byteBudget) ([]byte, error) {
+func readBody(r io.Reader, size, maxSize int, budget *byteBudget) ([]byte, error) {
 	if r == nil || size == 0 {
 		return nil, nil
 	}
-	if size > most {
+	if size > maxSize {
 		return nil, errTooLarge
 	}
 	if size > 0 {
-		most = size
+		maxSize = size
 	}
 	var body []byte
 	for {
 		if len(body) == cap(body) {
-			if len(body) > most {
+			if len(body) > maxSize {
 				return body, errTooLarge
 			}
-			next := min(max(2*cap(body), initialBodyCapacity), most+1)
-			if !in.reserve(int64(next - cap(body))) {
+			next := min(max(2*cap(body), initialBodyCapacity), maxSize+1)
+			if !budget.reserve(int64(next - cap(body))) {
 				return body, errOverloaded
 			}
 			body = append(make([]byte, 0, next), body...)
@@ -101,7 +101,7 @@
 		n, err := r.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
-		case err == io.EOF && len(body) > most:
+		case err == io.EOF && len(body) > maxSize:
 			return body, errTooLarge
 		// the server's reader reports a connection closed early as the body's end
 		case err == io.EOF && len(body) < size:
--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -21,7 +21,7 @@
 	phase   phase
 	since   time.Time // when the phase began
 	dropped bool      // shut down by the listener; no further request is served
-	// when it is closed if its client has not closed it; zero while the server uses it
+	// when it is closed unless its client has closed it by then; zero while the server uses it
 	lingerDeadline time.Time
 	restRefused    bool // the rest of its request is not awaited
 	ending         bool // it is dropped, lingering or restRefused, or its last answer has been sent
@@ -30,7 +30,7 @@
 	orderElement *list.Element
 	orderClass   evictionClass
 
-	// of which the server holds a slot for this connection; nil if it holds none
+	// the slots of which the server holds one for this connection; nil if it holds none
 	heldSlots workSlots
 	routed    bool // a request on it was passed to the router
 	// when the bytes that the server read last were received, by sinceStart
@@ -81,7 +81,7 @@
 	watchReceiveBuffer = 1 << 20
 )
 
-// watch calls onLeave once if the client closes the connection, also behind pipelined requests. It
+// watch calls onLeave once if the client closes the connection, even after pipelined requests. It
 // ends when the server reads again.
 func (c *conn) watch(onLeave func()) {
 	if c.clientClosed() {
--- a/downstream/crossings_test.go
+++ b/downstream/crossings_test.go
@@ -33,15 +33,15 @@
 		"stream":  func(c *Call) { c.Stream("text/plain", io.NopCloser(strings.NewReader("whole"))) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			goOn := make(chan struct{})
+			proceed := make(chan struct{})
 			_, url := serve(t, Config{Handler: func(c *Call) {
 				if string(c.Path()) == "/next" {
-					<-goOn
+					<-proceed
 					return
 				}
 				first(c)
 			}})
-			defer close(goOn)
+			defer close(proceed)
 			c := dial(t, url, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"+nextRequest)
 			require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -110,13 +110,13 @@
 
 // The bytes read ahead are bounded for each connection and for all together, and are released.
 func TestReadAheadIsBounded(t *testing.T) {
-	const room = maxReadAhead + maxReadAhead/4
-	began, goOn := make(chan struct{}), make(chan struct{})
-	s, url := serve(t, Config{MaxBytes: room * readAheadDivisor, Handler: func(c *Call) {
+	const budget = maxReadAhead + maxReadAhead/4
+	began, proceed := make(chan struct{}), make(chan struct{})
+	s, url := serve(t, Config{MaxBytes: budget * readAheadDivisor, Handler: func(c *Call) {
 		if string(c.Path()) == "/first" {
 			c.conn.watch(func() {})
 			began <- struct{}{}
-			<-goOn
+			<-proceed
 		}
 	}})
 	var clients []net.Conn
@@ -127,9 +127,9 @@
 		require.NoError(t, err)
 		clients = append(clients, c)
 	}
-	require.Eventually(t, func() bool { return s.listener.readAheadBudget.used.Load() > room-2*maxReadAheadStep }, testTimeout, time.Millisecond)
-	require.LessOrEqual(t, s.listener.readAheadBudget.used.Load(), int64(room))
-	close(goOn)
+	require.Eventually(t, func() bool { return s.listener.readAheadBudget.used.Load() > budget-2*maxReadAheadStep }, testTimeout, time.Millisecond)
+	require.LessOrEqual(t, s.listener.readAheadBudget.used.Load(), int64(budget))
+	close(proceed)
 	for _, c := range clients {
 		answers := bufio.NewReader(c)
 		for range 1 + maxReadAhead/len(nextRequest) {
@@ -226,10 +226,10 @@
 
 // The last answer of a connection must not be lost because its client sends bytes meanwhile.
 func TestLastAnswerIsNotResetByLaterBytes(t *testing.T) {
-	began, goOn := make(chan struct{}), make(chan struct{})
+	began, proceed := make(chan struct{}), make(chan struct{})
 	_, url := serve(t, Config{Handler: func(c *Call) {
 		close(began)
-		<-goOn
+		<-proceed
 		c.Response.SetConnectionClose()
 		c.SetBodyString(strings.Repeat("z", 100<<10))
 	}})
@@ -237,7 +237,7 @@
 	<-began
 	_, err := io.WriteString(c, "GET /half")
 	require.NoError(t, err)
-	close(goOn)
+	close(proceed)
 	require.Equal(t, 100<<10, strings.Count(readToEnd(t, c), "z"))
 }
 
@@ -246,11 +246,11 @@
 func TestStopAnswersRequestsAlreadyRead(t *testing.T) {
 	for name, together := range map[string]bool{"together": true, "one after the other": false} {
 		t.Run(name, func(t *testing.T) {
-			began, goOn := make(chan struct{}, 3), make(chan struct{})
+			began, proceed := make(chan struct{}, 3), make(chan struct{})
 			s, url := serve(t, Config{MaxBytes: 1 << 20, Handler: func(c *Call) {
 				c.conn.watch(func() {})
 				began <- struct{}{}
-				<-goOn
+				<-proceed
 				c.SetBodyString("done")
 			}})
 			rest := strings.Repeat("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 2)
@@ -267,7 +267,7 @@
 					testTimeout, time.Millisecond, "the rest is read ahead, and the watch continues")
 			}
 			s.stopping.Store(true)
-			close(goOn)
+			close(proceed)
 			go func() {
 				for range 2 {
 					<-began
@@ -305,9 +305,9 @@
 // another request than the client's.
 func TestTruncatedBodyIsNotPassedOn(t *testing.T) {
 	for way, leave := range leaveWays {
-		for _, came := range []int{0, 1, 5000, 20000, 39999} {
+		for _, received := range []int{0, 1, 5000, 20000, 39999} {
 			for _, chunked := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s after %d, chunked %v", way, came, chunked), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s after %d, chunked %v", way, received, chunked), func(t *testing.T) {
 					t.Parallel()
 					whole := make(chan int, 1)
 					s, url := serve(t, Config{MaxBody: 64 << 10, Handler: func(c *Call) {
@@ -320,7 +320,7 @@
 					if chunked {
 						head = "Transfer-Encoding: chunked\r\n\r\n9c40\r\n"
 					}
-					c := dial(t, url, "POST / HTTP/1.1\r\nHost: x\r\n"+head+strings.Repeat("x", came))
+					c := dial(t, url, "POST / HTTP/1.1\r\nHost: x\r\n"+head+strings.Repeat("x", received))
 					waitPhase(t, s, reading)
 					require.Eventually(t, func() bool { return !hasPendingBytes(s) }, testTimeout, time.Millisecond, "all received bytes are read")
 					require.NoError(t, leave(c))
--- a/downstream/faults_test.go
+++ b/downstream/faults_test.go
@@ -103,23 +103,23 @@
 }
 
 // Any of the errors that Linux documents for a broken connection means that the client has left and
-// nobody waits for the answer.
+// its answer is not awaited any more.
 func TestBrokenConnectionCountsAsClientLeave(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPIPE} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			inner, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			l := &failingConnListener{Listener: inner}
-			began, left, goOn := make(chan struct{}), make(chan struct{}), make(chan struct{})
+			began, left, proceed := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			s := NewServer(l, Config{MaxConns: maxTestConns, MaxBytes: 1 << 20, Counters: &metrics.Set{}, Problem: TextProblem, Handler: func(c *Call) {
 				c.conn.watch(func() { close(left) })
 				close(began)
-				<-goOn
+				<-proceed
 			}})
 			go func() { _ = s.Serve() }()
 			c, err := net.Dial("tcp", inner.Addr().String())
 			require.NoError(t, err)
-			defer func() { close(goOn); _, _ = c.Close(), inner.Close() }()
+			defer func() { close(proceed); _, _ = c.Close(), inner.Close() }()
 			_, err = io.WriteString(c, nextRequest)
 			require.NoError(t, err)
 			<-began
--- a/downstream/handover_test.go
+++ b/downstream/handover_test.go
@@ -35,21 +35,21 @@
 // During an upgrade clients keep arriving. The old process must end all the same, with every
 // request answered: the open ones and those that arrive meanwhile.
 func TestStopEndsWhileAnotherProcessAccepts(t *testing.T) {
-	inHand, goOn := make(chan struct{}), make(chan struct{})
+	began, proceed := make(chan struct{}), make(chan struct{})
 	first := true
 	old, l := serveAt(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {
 		if first {
 			first = false
-			close(inHand)
-			<-goOn
+			close(began)
+			<-proceed
 		}
 	})
 	url := "http://" + l.Addr().String()
 	held := make(chan int)
 	go func() { held <- post(t, url, 0).StatusCode }()
-	<-inHand
-	var taken atomic.Int64
-	serveAt(t, l.Addr().String(), func(http.ResponseWriter, *http.Request) { taken.Add(1) })
+	<-began
+	var served atomic.Int64
+	serveAt(t, l.Addr().String(), func(http.ResponseWriter, *http.Request) { served.Add(1) })
 
 	ended := make(chan error, 1)
 	go func() { ended <- old.Stop(context.Background(), constantTimeout(time.Minute)) }()
@@ -58,13 +58,13 @@
 		raw, err := l.(*net.TCPListener).SyscallConn()
 		closed = err != nil || raw.Control(func(uintptr) {}) != nil
 	}
-	require.Positive(t, taken.Load())
+	require.Positive(t, served.Load())
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with an open request: %v", err)
 	default:
 	}
-	close(goOn)
+	close(proceed)
 	require.Equal(t, http.StatusOK, <-held)
 	require.NoError(t, <-ended)
 	for range 20 {
@@ -146,7 +146,8 @@
 	require.Regexp(t, "^HTTP/1.1 503 ", string(text))
 }
 
-// Neither must a connection that was shut down just before, and whose client keeps its side open.
+// A connection that was shut down just before, and whose client keeps its side open, must not keep
+// a process from exiting.
 func TestDropUnreadShortensLinger(t *testing.T) {
 	s, l := serveAt(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
 	s.listener.lingerTimeout = time.Hour
@@ -164,8 +165,8 @@
 	require.NoError(t, <-ended)
 }
 
-// Neither must a connection that is accepted afterwards from a long queue: nothing is served on it
-// any more.
+// A connection that is accepted late, from a long queue, must not keep a process from exiting:
+// nothing is served on it any more.
 func TestConnectionAcceptedAfterDropUnreadIsShut(t *testing.T) {
 	s, l := serveAt(t, "127.0.0.1:0", func(http.ResponseWriter, *http.Request) {})
 	ended := make(chan error, 1)
--- a/downstream/listener.go
+++ b/downstream/listener.go
@@ -18,7 +18,7 @@
 	maxConns        int
 	count           router.Counters
 	readAheadBudget byteBudget // bytes read ahead by watches
-	// for connections that have had a request routed, and for others
+	// slots for connections that have had a request routed, and for other connections
 	routedSlots, unroutedSlots workSlots
 	// beforeShut, if set, is called right before a connection is shut down, so that tests can send
 	// bytes at that moment.
--- a/downstream/server.go
+++ b/downstream/server.go
@@ -18,7 +18,7 @@
 
 const (
 	headBuffer = 16 << 10
-	// for a complete request; on a new connection it counts from the accept
+	// until a request is complete; on a new connection it counts from the accept
 	requestReadTimeout  = 2500 * time.Millisecond
 	defaultWriteTimeout = 10 * time.Second
 	idleTimeout         = 10 * time.Minute // until a client's next request
@@ -40,7 +40,8 @@
 	MaxConns int
 	Counters router.Counters
 
-	// for a client to accept an answer, or the next event of a stream; 0 means the default
+	// how long a client may take to accept an answer, or the next event of a stream; 0 means the
+	// default
 	writeTimeout time.Duration
 }
 
@@ -236,7 +237,7 @@
 	Received, ReadWhole time.Time
 	server              *Server
 	conn                *conn
-	bodyRead            bool // completely
+	bodyRead            bool // the body has been read completely
 }
 
 // closeAfterAnswer closes the connection after the answer. Further requests on it are not served.
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -56,7 +56,7 @@
 // Many large bodies at once would exceed the memory limit. A body beyond the budget is refused, and
 // the budget is released afterwards.
 func TestOpenBodiesAreBounded(t *testing.T) {
-	holding, goOn := make(chan struct{}), make(chan struct{})
+	holding, proceed := make(chan struct{}), make(chan struct{})
 	_, url := serve(t, Config{MaxBytes: 1000, Handler: func(c *Call) {
 		body, release, ok := c.Body()
 		if !ok {
@@ -65,7 +65,7 @@
 		defer release()
 		if len(body) == 600 {
 			holding <- struct{}{}
-			<-goOn
+			<-proceed
 		}
 	}})
 	first := make(chan int)
@@ -75,7 +75,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, refused.StatusCode)
 	require.NotEmpty(t, refused.Header.Get("Retry-After"))
 	require.Equal(t, http.StatusOK, post(t, url, 300).StatusCode, "there is room for a smaller one")
-	close(goOn)
+	close(proceed)
 	require.Equal(t, http.StatusOK, <-first)
 	require.Equal(t, http.StatusOK, post(t, url, 900).StatusCode)
 }
@@ -83,10 +83,10 @@
 // Requests may be pipelined: the watch of the first must end before that of the second begins, and
 // a byte that it has read must not be lost.
 func TestPipelinedRequestsAreKept(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	_, url := serve(t, Config{Handler: func(c *Call) {
 		c.conn.watch(func() {})
-		<-goOn
+		<-proceed
 		c.SetBodyString("done")
 	}})
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -95,10 +95,10 @@
 	const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	_, err = c.Write([]byte(request + request)) // both are read at once
 	require.NoError(t, err)
-	goOn <- struct{}{}
+	proceed <- struct{}{}
 	_, err = c.Write([]byte(request)) // and this one by the watch of the second
 	require.NoError(t, err)
-	close(goOn)
+	close(proceed)
 	answers := make([]byte, 0, 1024)
 	for strings.Count(string(answers), "done") < 3 {
 		buf := make([]byte, 512)
@@ -158,8 +158,8 @@
 	require.Equal(t, "/good", <-served)
 }
 
-// Clients that connect and send nothing, or stop half-way, come by the hundreds. Each connection is
-// closed in time, and other clients are served meanwhile.
+// Hundreds of clients may connect and send nothing, or stop half-way. Each connection is closed in
+// time, and other clients are served meanwhile.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	s, url := serve(t, Config{MaxBytes: 64 << 10, Handler: func(c *Call) {
 		if _, release, ok := c.Body(); ok {
@@ -188,13 +188,13 @@
 // An idle connection that its client keeps for good is evicted for new ones; one with an open
 // request is not.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	began, goOn := make(chan struct{}), make(chan struct{})
+	began, proceed := make(chan struct{}), make(chan struct{})
 	s, url := serve(t, Config{Handler: func(c *Call) {
 		if _, release, ok := c.Body(); ok {
 			release()
 			if string(c.Path()) == "/held" {
 				began <- struct{}{}
-				<-goOn
+				<-proceed
 			}
 		}
 	}})
@@ -206,7 +206,7 @@
 		require.NoError(t, err)
 	}
 	require.LessOrEqual(t, s.listener.open(), maxTestConns)
-	close(goOn)
+	close(proceed)
 	text, err := io.ReadAll(held)
 	require.NoError(t, err)
 	require.Contains(t, string(text), "200 OK")
--- a/downstream/turns.go
+++ b/downstream/turns.go
@@ -31,13 +31,13 @@
 func newWorkSlots() workSlots { return make(workSlots, 1+slotsPerProcessor*runtime.GOMAXPROCS(0)) }
 
 // acquire waits for a slot.
-func (t workSlots) acquire() { t <- struct{}{} }
+func (s workSlots) acquire() { s <- struct{}{} }
 
 // release frees a slot.
-func (t workSlots) release() { <-t }
+func (s workSlots) release() { <-s }
 
 // yield lets runnable goroutines run, and pauses if that took long.
-func (t workSlots) yield() {
+func (s workSlots) yield() {
 	from := time.Now()
 	runtime.Gosched()
 	if pause := pauseAfter(time.Since(from)); pause > 0 {
--- a/downstream/turns_test.go
+++ b/downstream/turns_test.go
@@ -27,37 +27,37 @@
 // Slots are released whatever happens to a connection: served, refused, left half-way, routed and
 // waiting, or closed.
 func TestWorkSlotsAreReleased(t *testing.T) {
-	waiting, goOn := make(chan struct{}, 1), make(chan struct{})
+	waiting, proceed := make(chan struct{}, 1), make(chan struct{})
 	s, url := serve(t, Config{Handler: func(c *Call) {
 		if string(c.Path()) == "/wait" {
 			waiting <- struct{}{}
-			<-goOn
+			<-proceed
 		}
 	}})
-	turns := cap(s.listener.unroutedSlots)
+	slots := cap(s.listener.unroutedSlots)
 	addr := strings.TrimPrefix(url, "http://")
-	say := func(text string) net.Conn {
+	send := func(text string) net.Conn {
 		c, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
 		_, err = io.WriteString(c, text)
 		require.NoError(t, err)
 		return c
 	}
-	for range 2 * turns {
-		require.NoError(t, say("GET / HTTP/1.1\r\nHost: x\r\n").Close())
-		require.NoError(t, say("nonsense\r\n\r\n").Close())
-		require.NoError(t, say("").Close())
+	for range 2 * slots {
+		require.NoError(t, send("GET / HTTP/1.1\r\nHost: x\r\n").Close())
+		require.NoError(t, send("nonsense\r\n\r\n").Close())
+		require.NoError(t, send("").Close())
 	}
-	for range min(turns+1, maxTestConns-2) {
-		defer say("GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").Close()
+	for range min(slots+1, maxTestConns-2) {
+		defer send("GET /wait HTTP/1.1\r\nHost: x\r\n\r\n").Close()
 		<-waiting
 	}
-	c := say("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	c := send("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	defer c.Close()
 	status, err := bufio.NewReader(c).ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, status, "200")
-	close(goOn)
+	close(proceed)
 	require.Eventually(t, func() bool { return len(s.listener.unroutedSlots) <= 1 }, time.Minute, time.Millisecond, "except the slot for the next connection")
 }
 
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -21,7 +21,7 @@
 	conn          *conn
 	head          *fasthttp.ResponseHeader
 	stream        io.Reader // nil for a status that has no body
-	isEventStream bool      // a stream of events, which must have one at least
+	isEventStream bool      // a stream of events, which must have at least one
 	ready         []byte    // complete events that Read has not returned yet
 	partial       []byte    // the received part of an incomplete event
 	scanner       eventScanner
@@ -121,7 +121,7 @@
 	afterCR     bool // the previous byte was a CR
 }
 
-// scan processes the next part of the stream. It returns the offset behind the part's last blank
+// scan processes the next part of the stream. It returns the offset after the part's last blank
 // line, and whether an event with data has ended.
 func (e *eventScanner) scan(part []byte) (end int, hasData bool) {
 	const field = "data"
@@ -186,7 +186,8 @@
 	case err == io.EOF && b.isEventStream && b.attempt.isAborted() && !hasEndMark(b.tail):
 		err = errAborted
 		b.conn.shutdown()
-	case err == io.EOF && b.isEventStream && len(b.tail) == 0: // may answer an earlier request
+	// An empty stream may answer an earlier request, and this request's answer may follow.
+	case err == io.EOF && b.isEventStream && len(b.tail) == 0:
 		b.conn.shutdown()
 	case err == io.EOF:
 		b.load = b.attempt.client.parseReport(b.load, lastComment(b.tail, b.attempt.client.cfg.LoadHeader))
--- a/upstream/chunked.go
+++ b/upstream/chunked.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxChunk      = 256 << 10 // bytes; a whole body may hold as much
+	maxChunk      = 256 << 10 // bytes, as much as a whole body may hold
 	maxTrailers   = 16
 	maxSizeDigits = 8 // hexadecimal digits of a chunk's size
 )
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -149,8 +149,8 @@
 	require.Equal(t, logic.ServerError, (<-e.outcomes).Status)
 }
 
-// Without Content-Length and chunked encoding, a complete answer can't be distinguished
-// from a truncated one.
+// Without Content-Length and chunked encoding, a complete answer can't be distinguished from a
+// truncated one.
 func TestAnswerWithoutAnEndIsAReset(t *testing.T) {
 	c, w, _ := startWorker(t, func(nc net.Conn) {
 		request(nc)
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -129,7 +129,7 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// staleWithin bounds the time in which a request fails that was written to a connection that the
+// staleWithin is the time within which a request fails if it is written to a connection that the
 // worker had dropped.
 const staleWithin = 50 * time.Millisecond
 
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -203,17 +203,17 @@
 				}
 			}
 			quiet.Store(true)
-			var most time.Duration
+			var longest time.Duration
 			for range 8 {
-				most = max(most, release(workers))
+				longest = max(longest, release(workers))
 			}
-			require.Less(t, most, releaseTimeout)
-			t.Logf("%d workers: at most %v", n, most)
+			require.Less(t, longest, releaseTimeout)
+			t.Logf("%d workers: at most %v", n, longest)
 		})
 	}
 }
 
-// When workers fail together, as many releases start at once as reads were in flight there. Calls
+// When workers fail together, as many releases start at once as reads were in flight at them. Calls
 // to silent workers last until they time out, here as long as the whole release, and must not
 // occupy all connections while running workers could be called.
 func TestManyReleasesReachARunningWorker(t *testing.T) {
@@ -274,12 +274,12 @@
 
 // Releases can open spare connections while attempts use all others.
 func TestReleaseHasSpareConnections(t *testing.T) {
-	taken, proceed := make(chan struct{}, 1), make(chan struct{})
+	releaseRead, proceed := make(chan struct{}, 1), make(chan struct{})
 	defer close(proceed)
 	c, w, _ := startWorker(t, func(nc net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(nc))
 		if err == nil && req.Method == http.MethodDelete {
-			taken <- struct{}{}
+			releaseRead <- struct{}{}
 			_, _ = io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 		}
 		<-proceed
@@ -293,7 +293,7 @@
 	done := make(chan struct{})
 	c.Release("a", []*router.Worker{w}, func(*router.Worker, error) { close(done) })
 	<-done
-	require.Len(t, taken, 1)
+	require.Len(t, releaseRead, 1)
 }
 
 // A worker sends bytes on an idle connection, a partial line or another answer. They must not count
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -54,7 +54,7 @@
 // connRequirements states which connections get may return.
 type connRequirements struct {
 	fresh      bool          // only a new connection
-	reuseDelay time.Duration // least idle time of a reused connection
+	reuseDelay time.Duration // minimum idle time of a reused connection
 	spare      int           // connections that may be opened beyond the pool's limit
 }
 
--- a/upstream/release.go
+++ b/upstream/release.go
@@ -53,7 +53,7 @@
 	}()
 }
 
-// releaseSearch is one release that is in search of a worker that accepts it.
+// releaseSearch is the search of one release for a worker that accepts it.
 type releaseSearch struct {
 	client   *Client
 	ctx      context.Context
@@ -114,15 +114,15 @@
 // callNext calls n of the pending workers, every second one drawn at random. Workers whose window
 // is full are called again later.
 func (s *releaseSearch) callNext(n int) {
-	for asked := 0; asked < n && len(s.pending) > 0; {
-		if asked%2 == 1 {
+	for called := 0; called < n && len(s.pending) > 0; {
+		if called%2 == 1 {
 			drawn := rand.IntN(len(s.pending))
 			s.pending[0], s.pending[drawn] = s.pending[drawn], s.pending[0]
 		}
 		w := s.pending[0]
 		s.pending = s.pending[1:]
 		if s.call(w) {
-			asked++
+			called++
 		} else {
 			s.failed = append(s.failed, w)
 		}
--- a/upstream/window.go
+++ b/upstream/window.go
@@ -9,7 +9,7 @@
 // maxWindow bounds the releases that are in flight to one worker.
 const maxWindow = 32
 
-// window limits the releases in flight to a worker: one while the worker is not known to run, twice
+// window limits the releases in flight to a worker: one until the worker accepts a release, twice
 // as many after each release that it accepts, and one again after a failure.
 type window struct{ size, inFlight int }
 
