--- a/conffile/conffile.go
+++ b/conffile/conffile.go
@@ -63,8 +63,8 @@
 	return fmt.Errorf("%s:%d: unknown key %s", f.Path, line, name)
 }
 
-// ValueError returns the error for an invalid value of a key, such as "source[2].servers". For a missing
-// key it names the line of the enclosing table.
+// ValueError returns the error for an invalid value of a key, such as "source[2].servers". For a
+// missing key it names the line of the enclosing table.
 func (f *File) ValueError(key string, value any, reason string) error {
 	if d, ok := value.(Duration); ok {
 		value = d.Duration
--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -108,7 +108,8 @@
 	return suspended, f.Version, nil
 }
 
-// Discovered implements Taker. It forwards the members, with the suspended ones as draining.
+// Discovered implements MemberReceiver. It forwards the members, with the suspended ones as
+// draining.
 func (c *Cordon) Discovered(members []router.Member, whole bool) { c.gate.Discovered(members, whole) }
 
 // replaceSet installs a set; c.mu is held. If the version is missing or not higher than the current
--- a/cordon/gate.go
+++ b/cordon/gate.go
@@ -9,9 +9,9 @@
 	"lichenshelf/router"
 )
 
-// Gate sits between a list of workers and its taker. It keeps the last state of each worker, and
-// forwards workers that get only a share of their traffic: as draining for a share of 0, with a
-// reduced weight for a share below 1. It is safe for concurrent use.
+// Gate sits between a source of worker lists and their receiver. It keeps the last state of each
+// worker, and forwards workers that get only a share of their traffic: as draining for a share of
+// 0, with a reduced weight for a share below 1. It is safe for concurrent use.
 type Gate struct {
 	next MemberReceiver
 
@@ -25,7 +25,7 @@
 	return &Gate{next: next, last: map[string]router.Member{}, shares: map[string]float64{}}
 }
 
-// Discovered implements Taker. It forwards the members, adjusted by their shares.
+// Discovered implements MemberReceiver. It forwards the members, adjusted by their shares.
 func (g *Gate) Discovered(members []router.Member, whole bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/store/api.go
+++ b/store/api.go
@@ -171,8 +171,8 @@
 }
 
 // write applies a command under the name that the call gives it. The answer carries the index of
-// the operation even if the write was rejected, since the state that caused the rejection is part
-// of that index.
+// the operation even if the write was rejected, since the state that caused the rejection had been
+// reached by then.
 func (a *API) write(ctx *fasthttp.RequestCtx, c command) (*Result, error) {
 	c, err := named(ctx, c)
 	if err != nil {
@@ -213,7 +213,7 @@
 			ctx.SetStatusCode(fasthttp.StatusNoContent)
 			return nil
 		}
-		if _, now := a.replica.Read(path); err != nil || errors.Is(now, ErrNoNode) {
+		if _, readErr := a.replica.Read(path); err != nil || errors.Is(readErr, ErrNoNode) {
 			return a.replyNode(ctx, path, f) // the node was created or removed
 		}
 	}
--- a/store/client.go
+++ b/store/client.go
@@ -230,7 +230,8 @@
 	}
 	session := sessionsPath + "/" + s.Session
 	defer func() { _, _, _ = c.call(fasthttp.MethodDelete, session, nil) }()
-	// The node of an earlier session exists until that session times out.
+	// The node of an earlier session exists until that session times out, and this call fails
+	// until then.
 	if _, err := c.expect(fasthttp.MethodPost, nodesPath+node+"?session="+s.Session, data, fasthttp.StatusCreated); err != nil {
 		return err
 	}
--- a/store/damage_test.go
+++ b/store/damage_test.go
@@ -88,11 +88,11 @@
 				if prev > 0 {
 					prevTerm = leader[prev-1].Term
 				}
-				took := f.appendEntries(prev, prevTerm, leader[next-1:last])
-				if next = last + 1; !took && rapid.Bool().Draw(rt, "the leader got the answer") {
+				accepted := f.appendEntries(prev, prevTerm, leader[next-1:last])
+				if next = last + 1; !accepted && rapid.Bool().Draw(rt, "the leader got the answer") {
 					next = max(prev, 1)
 				}
-				for i := uint64(1); took && i <= last; i++ {
+				for i := uint64(1); accepted && i <= last; i++ {
 					var got raft.Log
 					require.NoError(rt, d.GetLog(i, &got), "entry %d of %d", i, last)
 					require.Equal(rt, leader[i-1].Term, got.Term, "entry %d of %d", i, last)
--- a/store/disk_test.go
+++ b/store/disk_test.go
@@ -58,8 +58,8 @@
 	return out
 }
 
-// A failed write of entries is reported, and none of the failed entries appears behind entries that
-// are written later.
+// A failed write of entries is reported, and none of the failed entries follows entries that are
+// written later.
 func TestFailedEntriesDoNotReappear(t *testing.T) {
 	for _, keeps := range []bool{false, true} {
 		d, f := newFailingDisk(keeps)
--- a/store/follower.go
+++ b/store/follower.go
@@ -173,15 +173,16 @@
 	return err
 }
 
-// CompareAndSet sets the data of a node that is at the given version, as Replica.Swap does.
+// CompareAndSet sets the data of a node that is at the given version, as Replica.CompareAndSet
+// does.
 func (f *Follower) CompareAndSet(ctx context.Context, p string, data []byte, version int64) error {
 	return withContext(ctx, func() error {
 		return f.send(fasthttp.MethodPut, p, nodesPath+p+"?version="+strconv.FormatInt(version, 10), data)
 	})
 }
 
-// CreateAll creates a node that must not exist yet, and its missing parents. ErrNodeExists means that
-// the node exists.
+// CreateAll creates a node that must not exist yet, and its missing parents. ErrNodeExists means
+// that the node exists.
 func (f *Follower) CreateAll(ctx context.Context, p string, data []byte) error {
 	return withContext(ctx, func() error { return f.create(p, data) })
 }
--- a/store/follower_test.go
+++ b/store/follower_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func (c *cluster) followers(n int, pace time.Duration) []*Follower {
+func (c *cluster) followers(n int, interval time.Duration) []*Follower {
 	c.leader()
 	var addrs []string
 	for _, cfg := range c.cfg {
@@ -19,7 +19,7 @@
 	out := make([]*Follower, n)
 	for i := range out {
 		k := i % len(addrs)
-		out[i] = NewFollower(fmt.Sprintf("f-%d", i), pace, append(addrs[k:len(addrs):len(addrs)], addrs[:k]...)...)
+		out[i] = NewFollower(fmt.Sprintf("f-%d", i), interval, append(addrs[k:len(addrs):len(addrs)], addrs[:k]...)...)
 	}
 	return out
 }
--- a/store/forward.go
+++ b/store/forward.go
@@ -231,8 +231,8 @@
 	return resultError(r.propose(ctx, command{Op: opSession, Session: id, Timeout: timeout, Claim: &claim{password, holder}}))
 }
 
-// AttachSession makes another connection the holder of a session. ErrNoSession means that the session
-// has ended or that the password does not match.
+// AttachSession makes another connection the holder of a session. ErrNoSession means that the
+// session has ended or that the password does not match.
 func (r *Replica) AttachSession(ctx context.Context, id string, password []byte, holder string) error {
 	return resultError(r.propose(ctx, command{Op: opAttach, Session: id, Claim: &claim{password, holder}}))
 }
--- a/store/leader.go
+++ b/store/leader.go
@@ -14,10 +14,10 @@
 // ErrNoReplica means that a name is not that of a replica.
 var ErrNoReplica = errors.New("no such replica")
 
-// TransferLeadership transfers leadership to another replica, as before this one is stopped for long. It
-// returns ErrNotLeader if this replica is not the leader, ErrNoReplica if the name is not that of a
-// peer, and another error if the other replica does not take over within an election time-out; this
-// replica remains the leader then.
+// TransferLeadership transfers leadership to another replica, for example before this one is
+// stopped for a long time. It returns ErrNotLeader if this replica is not the leader, and
+// ErrNoReplica if the name is not that of a peer. If the other replica does not take over within an
+// election time-out, it returns another error, and this replica remains the leader.
 func (r *Replica) TransferLeadership(to string) error {
 	for _, p := range r.cfg.Peers {
 		switch {
--- a/store/publish.go
+++ b/store/publish.go
@@ -158,9 +158,9 @@
 	return resultError(r.propose(ctx, command{Op: opPut, Path: path, Data: data}))
 }
 
-// CompareAndSet sets the data of a node that is at the given version, at the leader. A call with an unknown
-// outcome that is applied late does not overwrite later writes. ErrBadVersion means that the node
-// is at another version.
+// CompareAndSet sets the data of a node that is at the given version, at the leader. A call with an
+// unknown outcome that is applied late does not overwrite later writes. ErrBadVersion means that
+// the node is at another version.
 func (r *Replica) CompareAndSet(ctx context.Context, path string, data []byte, version int64) error {
 	return resultError(r.propose(ctx, command{Op: opSet, Path: path, Data: data, Version: version}))
 }
--- a/store/publish_test.go
+++ b/store/publish_test.go
@@ -92,7 +92,7 @@
 	for i, s := range []struct {
 		query, text string
 		status      int
-		says        string
+		answer      string
 	}{
 		{"request=a&by=me", "one", 201, "1"},
 		{"request=a&by=me", "one", 201, "1"}, // a repeat, as after a lost answer
@@ -106,9 +106,9 @@
 		{"", "text", 400, "a request's name"},
 		{"request=e&expect=x", "text", 400, "expect is"},
 	} {
-		status, says := c.publish(i%3, s.query, s.text)
-		require.Equal(t, s.status, status, "%s: %s", s.query, says)
-		require.Contains(t, says, s.says, s.query)
+		status, answer := c.publish(i%3, s.query, s.text)
+		require.Equal(t, s.status, status, "%s: %s", s.query, answer)
+		require.Contains(t, answer, s.answer, s.query)
 	}
 	for i := range c.replicas {
 		c.close(i)
@@ -127,8 +127,8 @@
 	require.Equal(t, []string{"one", "two", "one"}, []string{list[0].Text, list[1].Text, list[2].Text})
 	require.Equal(t, uint64(1), list[2].From)
 	require.Equal(t, "me", list[0].By)
-	status, says := c.publish(0, "request=x", "text")
-	require.Equal(t, 201, status, says)
+	status, answer := c.publish(0, "request=x", "text")
+	require.Equal(t, 201, status, answer)
 	resp, err := http.Post(c.url(0, "/v1/config/unknown?request=x"), "", nil)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
--- a/store/reads.go
+++ b/store/reads.go
@@ -290,7 +290,8 @@
 	}
 }
 
-// waitConfirmed returns once a state with the given index may be returned under a freshness.
+// waitConfirmed waits until a state with the given index meets the consistency requirement of a
+// read. A read of the newest state requires that the leader has applied that index as well.
 func (a *API) waitConfirmed(f freshness, index uint64) error {
 	wait, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
--- a/store/repair.go
+++ b/store/repair.go
@@ -18,9 +18,9 @@
 // lost.
 var ErrDamaged = errors.New("the log has a gap, and no other replica has the missing entries")
 
-// recovery takes the vote from a replica that may have lost acknowledged entries. The entries may
+// recovery suspends the vote of a replica that may have lost acknowledged entries. The entries may
 // have been committed by a majority that included this replica: a leader elected with its vote
-// might lack them. The replica accepts entries as usual, and regains its vote once it has caught up
+// might not have them. The replica accepts entries as usual, and votes again once it has caught up
 // with a leader that the others have elected.
 type recovery struct {
 	marker string // path of the recovery file
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// end gives the replica its vote back. If the recovery file can't be removed, the next start begins
+// end restores the replica's vote. If the recovery file can't be removed, the next start begins
 // another recovery.
 func (r *recovery) end() error {
 	r.active.Store(false)
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// endRecovery gives the replica its vote back once it has caught up.
+// endRecovery ends a recovery, if one is active, once the replica has caught up.
 func (r *Replica) endRecovery() {
 	if !r.recovery.active.Load() {
 		return
--- a/store/replica.go
+++ b/store/replica.go
@@ -42,7 +42,8 @@
 	Follow []string `toml:"follow"`
 	Name   string   `toml:"name"`
 
-	// Pace shortens raft's heartbeat, election and lease time-outs if it is not 0.
+	// Pace, if it is not 0, is raft's heartbeat and election time-out; the lease time-out is half
+	// of it, and the commit time-out a twentieth.
 	Pace time.Duration `toml:"-"`
 	Log  io.Writer     `toml:"-"`
 }
--- a/store/sessions.go
+++ b/store/sessions.go
@@ -23,7 +23,7 @@
 	minCheckInterval = 10 * time.Millisecond
 )
 
-// Touch renews a session: its owner is alive.
+// Touch renews a session whose owner is alive.
 func (r *Replica) Touch(id string) error {
 	if !r.IsLeader() {
 		return ErrNotLeader
--- a/store/steps.go
+++ b/store/steps.go
@@ -51,7 +51,7 @@
 // attach makes a connection the holder of a session.
 func (t *tree) attach(session string, c *claim) error {
 	stored, ok := t.Claims[session]
-	if _, lives := t.Sessions[session]; !ok || !lives || c == nil || !bytes.Equal(stored.Password, c.Password) {
+	if _, exists := t.Sessions[session]; !ok || !exists || c == nil || !bytes.Equal(stored.Password, c.Password) {
 		return fmt.Errorf("%w: %s", ErrNoSession, session)
 	}
 	t.Claims[session] = *c
--- a/store/writes_test.go
+++ b/store/writes_test.go
@@ -160,7 +160,7 @@
 	for range 5 {
 		require.NoError(t, first.Set("/n", nil, AnyVersion))
 	}
-	require.NoError(t, NewClient(addr).Set("/n", nil, AnyVersion), "no answer was dropped since the refusal that told the client its version")
+	require.NoError(t, NewClient(addr).Set("/n", nil, AnyVersion), "no answer was dropped since the refusal that gave the client its version")
 	require.NoError(t, NewClient("127.0.0.1:1", addr).Set("/n", nil, AnyVersion), "nothing was sent to the unreachable replica")
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
