--- a/front/platform/config_test.go
+++ b/front/platform/config_test.go
@@ -34,12 +34,12 @@
 	require.Equal(t, logic.Draining, members[0].Health)
 	require.Equal(t, logic.Time(5e6), members[0].Since)
 	require.Equal(t, 1, members[0].Zone)
-	for _, spoil := range []func(*Instance){
+	for _, corrupt := range []func(*Instance){
 		func(i *Instance) { i.ID = "" }, func(i *Instance) { i.Addr = "nowhere" },
 		func(i *Instance) { i.Lifecycle = "odd" }, func(i *Instance) { i.StartedAtMs = -1 },
 	} {
 		bad := good
-		spoil(&bad)
+		corrupt(&bad)
 		ready := good
 		ready.ID, ready.Lifecycle = "s-01", "in_service"
 		left, err := testConfig().members(&ids, List{Instances: []Instance{good, bad, ready}}, false)
--- a/front/platform/describe.go
+++ b/front/platform/describe.go
@@ -90,8 +90,8 @@
 	return strconv.Itoa(n)
 }
 
-// Warnings returns warnings about settings that are valid but unlikely to be intended. Each names the
-// key, the value and what the router does with it. The router starts despite warnings.
+// Warnings returns warnings about settings that are valid but unlikely to be intended. Each names
+// the key, the value and what the router does with it. The router starts despite warnings.
 func (c *Config) Warnings() []string { return c.warnings }
 
 // findWarnings returns the warnings about the flat settings.
--- a/front/platform/describe_test.go
+++ b/front/platform/describe_test.go
@@ -113,7 +113,7 @@
 	c, err := parseSettings(t)
 	require.NoError(t, err)
 	front := NewFront(c, nil)
-	for name, taken := range map[string]bool{
+	for name, accepted := range map[string]bool{
 		"9b1f03aa5c7e2d41": true, "9B1F-03AA_5c.7e": true, "x": true, strings.Repeat("a", 128): true,
 		"": false, "a/b": false, "a b": false, "a%2fb": false, "ä": false, "..\r\nX: y": false, strings.Repeat("a", 129): false,
 	} {
@@ -123,6 +123,6 @@
 		h.Set(headerFacts, "prompt_len=5")
 		h.Set(headerName, name)
 		_, err := front.request(&h)
-		require.Equal(t, taken, err == nil, fmt.Sprintf("%.40q: %v", name, err))
+		require.Equal(t, accepted, err == nil, fmt.Sprintf("%.40q: %v", name, err))
 	}
 }
--- a/front/platform/watch.go
+++ b/front/platform/watch.go
@@ -45,8 +45,8 @@
 // Watch follows discovery and passes worker lists to a MemberSink. Package agentrule decides when
 // it sends requests and how many are open at once.
 type Watch struct {
-	// OnList, if set before Run, is called with the address and version of each list before the list
-	// is applied.
+	// OnList, if set before Run, is called with the address and version of each list before the
+	// list is applied.
 	OnList func(addr string, generation int64)
 	// OnError, if set before Run, is called when following discovery fails.
 	OnError func(error)
@@ -104,10 +104,10 @@
 	return w
 }
 
-// SwitchDiscovery switches at once to the discovery address of a reloaded configuration. Lists from the old
-// address are applied until the new one answers. ROUTER_DISCOVERY overrides the file only at the
-// start, since it can't change in a running process. Nothing changes if the address in the file is
-// the same as before.
+// SwitchDiscovery switches at once to the discovery address of a reloaded configuration. Lists from
+// the old address are applied until the new one answers. ROUTER_DISCOVERY overrides the file only
+// at the start, since it can't change in a running process. Nothing changes if the address in the
+// file is the same as before.
 func (w *Watch) SwitchDiscovery(c *Config) error {
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		return fmt.Errorf("discovery address: %w", err)
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Refresh sends discovery a new request for changes since the applied list. Open calls are kept until
-// it has been answered.
+// Refresh sends discovery a new request for changes since the applied list. Open calls are kept
+// until it has been answered.
 func (w *Watch) Refresh() {
 	select {
 	case w.refresh <- struct{}{}:
@@ -152,7 +152,7 @@
 		for _, id := range drop {
 			c := w.calls[id]
 			w.drop(id)
-			if c.received || len(w.calls) == 0 { // otherwise it was a second call next to another one
+			if c.received || len(w.calls) == 0 { // otherwise another call is still open
 				w.reportFailure(fmt.Errorf("discovery at %s says nothing", c.addr))
 			}
 		}
--- a/front/zkfront/bench_test.go
+++ b/front/zkfront/bench_test.go
@@ -42,7 +42,7 @@
 }
 
 // BenchmarkFanOut measures the time from a change until the last of 2,000 watching sessions has
-// received the event, with 3,000 idle sessions besides.
+// received the event, while 3,000 other sessions are idle.
 func BenchmarkFanOut(b *testing.B) {
 	const watching, idle = 2000, 3000
 	c := newCluster(b)
--- a/front/zkfront/server.go
+++ b/front/zkfront/server.go
@@ -318,7 +318,7 @@
 }
 
 var (
-	errBehind  = errors.New("replica is behind the state that the client has seen")
+	errLagging = errors.New("replica lags behind the state that the client has seen")
 	errExpired = errors.New("session has ended or its password is wrong")
 	errFull    = errors.New("too many sessions")
 	errClosed  = errors.New("session closed")
@@ -333,7 +333,7 @@
 	seen, sessions := uint64(0), 0
 	s.replica.View(func(v store.View) { seen, sessions = v.Index(), v.Sessions() })
 	if hello.LastZxidSeen > int64(seen) {
-		return errBehind // another replica may be further ahead
+		return errLagging // another replica may be further ahead
 	}
 	c.timeout = min(max(time.Duration(hello.TimeoutMs)*time.Millisecond, s.cfg.TimeoutMin), s.cfg.TimeoutMax)
 	answer := zkwire.ConnectResponse{TimeoutMs: int32(c.timeout.Milliseconds()), SessionID: hello.SessionID,
@@ -366,8 +366,8 @@
 	}
 	current := false
 	s.replica.View(func(v store.View) {
-		holder, lives := v.Holder(c.session)
-		if current = lives && holder == c.holder; !current {
+		holder, exists := v.Holder(c.session)
+		if current = exists && holder == c.holder; !current {
 			return
 		}
 		s.mu.Lock()
--- a/front/zkfront/watches.go
+++ b/front/zkfront/watches.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// missedEvent returns the event that a watch would have reported since the zxid since, if it had
-// been set then. It returns false if there was none, in which case the watch must be set again.
+// missedEvent returns the event that a watch would have reported for a change after the given zxid.
+// It returns false if there was none, in which case the watch must be set again.
 func missedEvent(set string, exists bool, stat zkwire.Stat, since int64) (zkwire.EventType, bool) {
 	switch {
 	case set == "exist":
