--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -138,8 +138,8 @@
 				return err
 			}
 		}
-		for _, doubt := range daemon.ConfigWarnings(c) {
-			if err := printLine("  warning: %s", doubt); err != nil {
+		for _, warning := range daemon.ConfigWarnings(c) {
+			if err := printLine("  warning: %s", warning); err != nil {
 				return err
 			}
 		}
--- a/internal/cli/collect.go
+++ b/internal/cli/collect.go
@@ -63,7 +63,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
-		return 0, errors.New("this router keeps no trail")
+		return 0, errors.New("this router keeps no event log")
 	default:
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
 		return 0, fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(text)))
--- a/internal/cli/lag.go
+++ b/internal/cli/lag.go
@@ -9,15 +9,15 @@
 	"lichenshelf/fleet/audit"
 )
 
-// maxBehind bounds the histogram; larger lags are counted as this many versions.
-const maxBehind = 1_000_000
+// maxLag bounds the histogram; larger lags are counted as this many versions.
+const maxLag = 1_000_000
 
 // printLagSummary prints by how many versions sends lagged behind. lichenplot draws the same data.
 func printLagSummary(w io.Writer, trails []audit.Trail) error {
-	sends := hdrhistogram.New(0, maxBehind, 3)
+	sends := hdrhistogram.New(0, maxLag, 3)
 	for _, p := range audit.LagPoints(trails) {
 		if p.Sends > 0 {
-			if err := sends.RecordValues(int64(min(p.Lag, maxBehind)), int64(p.Sends)); err != nil {
+			if err := sends.RecordValues(int64(min(p.Lag, maxLag)), int64(p.Sends)); err != nil {
 				return fmt.Errorf("audit lag: %w", err)
 			}
 		}
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -123,7 +123,7 @@
 
 type reportView struct {
 	Source string `json:"source"`
-	Word   string `json:"word"`
+	Status string `json:"word"`
 	Addr   string `json:"addr,omitempty"`
 	AgeMs  int64  `json:"age_ms"`
 	Held   bool   `json:"held,omitempty"`
@@ -158,9 +158,9 @@
 			}
 			o.Addr, o.Weight, o.Cell, o.SinceMs = m.Member.Addr, m.Member.Weight, m.Member.Cell, m.Member.Since/1e6
 		}
-		for _, word := range m.Listings {
-			o.Reports = append(o.Reports, reportView{Source: word.Source, Word: word.Entry.Status.String(), Addr: word.Entry.Addr,
-				AgeMs: now.Sub(word.At).Milliseconds(), Held: word.Held, Damped: word.Damped, Stale: word.Stale})
+		for _, l := range m.Listings {
+			o.Reports = append(o.Reports, reportView{Source: l.Source, Status: l.Entry.Status.String(), Addr: l.Entry.Addr,
+				AgeMs: now.Sub(l.At).Milliseconds(), Held: l.Held, Damped: l.Damped, Stale: l.Stale})
 		}
 		v.Workers = append(v.Workers, o)
 	}
@@ -190,20 +190,20 @@
 		if len(m.Conflict) > 0 {
 			why += ", listed at " + strings.Join(m.Conflict, " and ")
 		}
-		var words []string
+		var reports []string
 		for _, x := range m.Reports {
-			word := x.Source + ": " + x.Word
+			report := x.Source + ": " + x.Status
 			for _, mark := range []struct {
 				set  bool
 				text string
 			}{{x.Held, " held"}, {x.Damped, " damped"}, {x.Stale, " stale"}} {
 				if mark.set {
-					word += mark.text
+					report += mark.text
 				}
 			}
-			words = append(words, word)
+			reports = append(reports, report)
 		}
-		fmt.Fprintf(&out, "%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, m.Addr, why, strings.Join(words, ", "))
+		fmt.Fprintf(&out, "%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, m.Addr, why, strings.Join(reports, ", "))
 	}
 	if _, err := io.WriteString(t, out.String()); err != nil {
 		return err
--- a/internal/cli/register.go
+++ b/internal/cli/register.go
@@ -23,8 +23,8 @@
 // minSessionTimeout leaves room for a few late heartbeats.
 const minSessionTimeout = 300 * time.Millisecond
 
-// registerCommand keeps a backend registered while it runs: it is meant to be started beside the
-// backend and to end with it.
+// registerCommand keeps a backend registered while the command runs: it is meant to be started and
+// stopped together with the backend.
 func registerCommand(log *logrus.Logger) *cli.Command {
 	return &cli.Command{
 		Name: "register", Usage: "keep a backend registered in the store until SIGTERM",
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -16,8 +16,7 @@
 )
 
 const (
-	// acksPath is the parent of one node for each configuration, which is the parent of one for
-	// each router.
+	// acksPath is the parent of the acknowledgements, which are at acksPath/CONFIGURATION/ROUTER.
 	acksPath         = "/acks"
 	ackTimeout       = 5 * time.Second
 	ackRetryInterval = time.Second
@@ -28,9 +27,10 @@
 
 // Ack is a router's acknowledgement of the configuration version that it uses.
 type Ack struct {
-	Router  string   `json:"router"`
-	Version uint64   `json:"version"`
-	Number  uint64   `json:"number"`            // identifies all versions it acts on, as in its event log
+	Router  string `json:"router"`
+	Version uint64 `json:"version"`
+	// Number identifies all versions that the router acts on, as in its event log.
+	Number  uint64   `json:"number"`
 	Restart []string `json:"restart,omitempty"` // keys that take effect at its next start
 	Fault   string   `json:"fault,omitempty"`   // why a later version was refused
 	Refused uint64   `json:"refused,omitempty"` // the refused version
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -38,11 +38,11 @@
 	counters              *metrics.Set
 	files                 Files
 	fronts                []front
-	frontsMu              sync.RWMutex // guards fronts against readers that run beside the start
+	frontsMu              sync.RWMutex // guards fronts, which other goroutines read during the start
 	watch                 *platform.Watch
 	sources               *sources.Config          // nil without a file
 	feeds                 map[string]*sources.Feed // by front, for fronts that take sources
-	ctx                   context.Context          // ends with the program; used by what a reload starts
+	ctx                   context.Context          // ends with the program; for goroutines of a reload
 	replica               *store.Replica
 	storeClient           storeClient // nil without a store
 	api                   *store.API
@@ -66,7 +66,7 @@
 	lastListAddr    atomic.Pointer[string] // address of the discovery whose list was used last
 }
 
-// shuttableFront is a front that can be told to refuse new requests.
+// shuttableFront is a front that can be made to refuse new requests.
 type shuttableFront interface{ Shut(bool) }
 
 type front struct {
--- a/internal/daemon/ending.go
+++ b/internal/daemon/ending.go
@@ -13,11 +13,10 @@
 	// movePhaseDivisor divides the time until open requests are cancelled; streams move to other
 	// routers in the last such part of it.
 	movePhaseDivisor = 6
-	// dropDelay is the time from the cancellation of requests until what still keeps connections
-	// open is ended: partial requests, and streams from which nothing was received for
-	// silentStreamTimeout, some ten times the usual time between two events. Closing a connection
-	// then takes 0.2 s, a release up to 0.1 s, and the platform kills the process 0.7 s after the
-	// cancellation.
+	// dropDelay is the time from the cancellation of requests until dropStalled, which drops
+	// partial requests and streams from which nothing was received for silentStreamTimeout: about
+	// ten times the usual time between two events. Closing a connection then takes 0.2 s, a release
+	// up to 0.1 s, and the platform kills the process 0.7 s after the cancellation.
 	dropDelay           = 300 * time.Millisecond
 	silentStreamTimeout = 500 * time.Millisecond
 )
@@ -73,7 +72,8 @@
 	return now.acceptFor
 }
 
-// dropStalled ends what keeps connections open and will not end by itself in time.
+// dropStalled drops partial requests and silent streams, which keep connections open and would not
+// end by themselves in time.
 func (f *front) dropStalled(shutdownTiming) {
 	f.server.DropUnread()
 	f.core.CancelSilent(silentStreamTimeout)
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// reload reads the files again that may change while the router runs. If a file cannot be read,
-// what it configures stays unchanged.
+// reload rereads the files that may change while the router runs. If a file cannot be read, what it
+// configures stays unchanged.
 func (d *daemon) reload() {
 	if d.watch != nil {
 		// The whole file is checked before anything is applied: a file that fails changes nothing.
--- a/internal/daemon/sources.go
+++ b/internal/daemon/sources.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// ownList forwards discovery's list to the current own port of a front's feed, which a reload may
-// replace.
+// ownList forwards discovery's list to the port of the front's own list in a feed. A reload may
+// replace that port, so it is looked up for each list.
 type ownList struct{ feed *sources.Feed }
 
 func (o ownList) Discovered(members []router.Member, whole bool) {
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -68,8 +68,8 @@
 }
 
 // openReplica opens the replica. A disk that temporarily rejects writes does not fail the start:
-// opening is retried for storeStartTimeout. A disk that does not answer is waited for as long; a
-// call that still hangs then is abandoned, and the process exits.
+// opening is retried for storeStartTimeout. If the disk does not answer within that time,
+// openReplica abandons the call, and the process exits.
 func (d *daemon) openReplica(starting context.Context, cfg store.Config) (*store.Replica, error) {
 	ctx, cancel := context.WithTimeout(starting, storeStartTimeout)
 	defer cancel()
--- a/internal/daemon/straggler.go
+++ b/internal/daemon/straggler.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// stragglerMonitor updates this router where it lags behind the other routers or the published
-// configuration, or shuts it out.
+// stragglerMonitor brings this router up to date if it lags behind the other routers or the
+// published configuration, or shuts it out.
 type stragglerMonitor struct {
 	d             *daemon
 	machine       *straggler.Machine
@@ -93,7 +93,8 @@
 }
 
 func (s *stragglerMonitor) run(ctx context.Context) {
-	// A previous process of this name may have left slots; its end has lifted the shut-out.
+	// A previous process of this name may have left slots. They are no longer needed, since its
+	// shut-out ended with it.
 	s.releaseOwnSlots(ctx)
 	tick := time.NewTicker(s.interval)
 	defer tick.Stop()
@@ -120,7 +121,7 @@
 	at := straggler.Time(began.Sub(s.start))
 	s.view.Held = s.d.versionLog.held()
 	if s.d.configFollower != nil {
-		// Set even if this router uses no published version: it is 0 then.
+		// Set even if this router uses no published version; the version is 0 then.
 		s.view.Held[configPart] = s.d.configFollower.version()
 	}
 	newest, age, known := s.d.fleet.Newest()
@@ -199,7 +200,7 @@
 func (s *stragglerMonitor) catchUp() {
 	if s.d.configFollower != nil && s.view.Held[configPart] < s.view.Newest[configPart] {
 		s.d.configFollower.retryRefused()
-		if !s.storeAnswered { // other routers that reached the store have the text
+		if !s.storeAnswered { // other routers may have reached the store and have the text
 			s.d.fleet.RequestText(configPart, s.view.Held[configPart], s.d.configFollower.offer)
 		}
 	}
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -20,8 +20,8 @@
 	return c.SyscallConn()
 }
 
-// WaitPeerClosed waits, without reading, until the peer has closed its side or reset the connection. It
-// fails with the read deadline's error, or if the connection is closed locally.
+// WaitPeerClosed waits, without reading, until the peer has closed its side or reset the
+// connection. It fails with the read deadline's error, or if the connection is closed locally.
 func WaitPeerClosed(raw syscall.RawConn) error {
 	return raw.Read(func(fd uintptr) bool {
 		events, err := poll(fd, unix.POLLRDHUP)
--- a/internal/standin/deaf/listener.go
+++ b/internal/standin/deaf/listener.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// dialTimeout is the time after which a connection attempt is taken as proof that the queue is
-// full.
+// dialTimeout bounds a connection attempt; one that takes longer shows that the queue is full.
 const dialTimeout = 100 * time.Millisecond
 
 // Listener is a listener with a full accept queue. Its methods are safe for concurrent use.
--- a/internal/standin/link/relay.go
+++ b/internal/standin/link/relay.go
@@ -24,8 +24,8 @@
 	// not even acknowledge what is sent to it, its connections stay open and silent, and new ones
 	// are not established.
 	Blackhole bool
-	// Heals, together with Vanish, simulates a network cut that heals: what the far end sends
-	// meanwhile is delivered late and not lost, since TCP retransmits it.
+	// Heals, together with Blackhole, simulates a network cut that heals: data that the far end
+	// sends during the fault is delivered late and not lost, since TCP retransmits it.
 	Heals bool
 	// Pieces forwards bytes in small pieces, in both directions, as small writes over a slow link
 	// arrive.
@@ -72,8 +72,8 @@
 // Addr returns the address on which the relay listens, as host:port.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// CanBlackhole returns nil if relays of this process support Fault.Vanish, or else the reason why not.
-// Some kernels allow only privileged processes to attach a filter to a socket.
+// CanBlackhole returns nil if relays of this process support Fault.Blackhole, or else the reason
+// why not. Some kernels allow only privileged processes to attach a filter to a socket.
 func CanBlackhole() error {
 	r, err := New("127.0.0.1:0")
 	if err != nil {
@@ -83,9 +83,9 @@
 	return dropIncoming(r.listener, true)
 }
 
-// Set replaces the current fault; the zero value ends it. Set panics for a fault with Vanish where
-// that is not supported (CanBlackhole): if the relay read and dropped the bytes instead, the kernel
-// would acknowledge them, which is a different fault.
+// Set replaces the current fault; the zero value ends it. Set panics for a fault with Blackhole
+// where that is not supported (see CanBlackhole): if the relay read and dropped the bytes instead,
+// the kernel would acknowledge them, which is a different fault.
 func (r *Relay) Set(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/link/relay_test.go
+++ b/internal/standin/link/relay_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Under Fault.Vanish the far end acknowledges nothing and no connection to it is established; when
-// the fault ends, data sent meanwhile arrives.
+// Under Fault.Blackhole the far end acknowledges nothing and no connection to it is established;
+// when the fault ends, data sent meanwhile arrives.
 func TestBlackholedPeerAcknowledgesNothing(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
