--- a/discovery/storesource/source_test.go
+++ b/discovery/storesource/source_test.go
@@ -52,7 +52,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
-	replica, err := store.Open(store.Config{ID: "r", DataDir: t.TempDir(), Pace: 100 * time.Millisecond,
+	replica, err := store.Open(store.Config{ID: "r", DataDir: t.TempDir(), HeartbeatTimeout: 100 * time.Millisecond,
 		Peers: []store.Peer{{ID: "r", Raft: l.Addr().String()}}})
 	require.NoError(t, err)
 	defer func() { require.NoError(t, replica.Close()) }()
--- a/front/zkfront/front_test.go
+++ b/front/zkfront/front_test.go
@@ -86,7 +86,7 @@
 }
 
 func (c *cluster) start(i int) {
-	r, err := store.Open(store.Config{ID: c.peers[i].ID, DataDir: c.dirs[i], Peers: c.peers, Pace: 250 * time.Millisecond})
+	r, err := store.Open(store.Config{ID: c.peers[i].ID, DataDir: c.dirs[i], Peers: c.peers, HeartbeatTimeout: 250 * time.Millisecond})
 	require.NoError(c.t, err)
 	m := &member{replica: r, api: store.NewAPI(r, nil)}
 	api, err := net.Listen("tcp", c.apis[i])
--- a/store/bootstrap_test.go
+++ b/store/bootstrap_test.go
@@ -19,7 +19,7 @@
 		defer l.Close()
 		return l.Addr().String()
 	}
-	cfg := Config{ID: "a", DataDir: t.TempDir(), Pace: 50 * time.Millisecond, Peers: []Peer{{ID: "a", Raft: free(), API: free()}}}
+	cfg := Config{ID: "a", DataDir: t.TempDir(), HeartbeatTimeout: 50 * time.Millisecond, Peers: []Peer{{ID: "a", Raft: free(), API: free()}}}
 	logs, err := raftboltdb.NewBoltStore(filepath.Join(cfg.DataDir, "raft.db"))
 	require.NoError(t, err)
 	require.NoError(t, logs.SetUint64([]byte("CurrentTerm"), 1))
--- a/store/replica.go
+++ b/store/replica.go
@@ -42,10 +42,10 @@
 	Follow []string `toml:"follow"`
 	Name   string   `toml:"name"`
 
-	// Pace, if it is not 0, is raft's heartbeat and election time-out; the lease time-out is half
+	// HeartbeatTimeout, if it is not 0, is raft's heartbeat and election time-out; the lease time-out is half
 	// of it, and the commit time-out a twentieth.
-	Pace time.Duration `toml:"-"`
-	Log  io.Writer     `toml:"-"`
+	HeartbeatTimeout time.Duration `toml:"-"`
+	Log              io.Writer     `toml:"-"`
 }
 
 const (
@@ -177,7 +177,7 @@
 	rc := raft.DefaultConfig()
 	rc.LocalID = raft.ServerID(self.ID)
 	rc.Logger = r.cfg.logger()
-	if p := r.cfg.Pace; p > 0 {
+	if p := r.cfg.HeartbeatTimeout; p > 0 {
 		rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout, rc.CommitTimeout = p, p, p/2, p/20
 	}
 	snapshots, err := raft.NewFileSnapshotStore(r.cfg.DataDir, snapshotsKept, io.Discard)
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -47,7 +47,7 @@
 	}
 	dir := t.TempDir()
 	for i, p := range peers {
-		c.cfg = append(c.cfg, Config{ID: p.ID, DataDir: filepath.Join(dir, p.ID), Peers: peers, Pace: testPace})
+		c.cfg = append(c.cfg, Config{ID: p.ID, DataDir: filepath.Join(dir, p.ID), Peers: peers, HeartbeatTimeout: testPace})
 		c.open(i)
 	}
 	t.Cleanup(func() {
