--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -17,7 +17,7 @@
 
 // New returns the command line.
 func New() *cli.Command {
-	return &cli.Command{Name: "lichenlab", Usage: "try the router out against emulated workers, on loopback alone", Commands: []*cli.Command{
+	return &cli.Command{Name: "lichenlab", Usage: "try the router out against emulated workers, on loopback only", Commands: []*cli.Command{
 		{Name: "demo", Usage: "start workers, routers and clients, and show what happens", Flags: []cli.Flag{
 			&cli.IntFlag{Name: "routers", Value: 3, Usage: "number of routers, 1 to 16"},
 			&cli.DurationFlag{Name: "for", Value: 15 * time.Second, Usage: "how long clients send requests"},
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -61,17 +61,17 @@
 	case c.For < 3*time.Second || c.For > time.Hour:
 		return fmt.Errorf("%w: for is %v, not from 3s to 1h", ErrConfig, c.For)
 	case !(c.Rate > 0 && c.Rate <= 500):
-		return fmt.Errorf("%w: rate is %g, not over 0 and up to 500", ErrConfig, c.Rate)
+		return fmt.Errorf("%w: rate is %g, not over 0 and at most 500", ErrConfig, c.Rate)
 	case c.Fault != NoFault && c.Fault != FaultWorker && c.Fault != FaultRouter && c.Fault != FaultLink:
 		return fmt.Errorf("%w: fault is %q, not worker, router or link", ErrConfig, c.Fault)
 	case c.Fault == FaultLink && (c.Alone || c.Routers < 2):
-		return fmt.Errorf("%w: fault is link, and there are none between the routers", ErrConfig)
+		return fmt.Errorf("%w: fault is link, but there are no links between the routers", ErrConfig)
 	case c.Fault == FaultRouter && c.Routers < 2:
-		return fmt.Errorf("%w: fault is router, and there is only one", ErrConfig)
+		return fmt.Errorf("%w: fault is router, but there is only one router", ErrConfig)
 	case c.Plot != "" && filepath.Ext(c.Plot) != ".png":
 		return fmt.Errorf("%w: plot is %q, which does not end in .png", ErrConfig, c.Plot)
 	case len(c.Router) == 0:
-		return fmt.Errorf("%w: router is empty, no command to start", ErrConfig)
+		return fmt.Errorf("%w: router is empty: no command to start a router", ErrConfig)
 	}
 	return nil
 }
--- a/lab/demo/plot.go
+++ b/lab/demo/plot.go
@@ -24,8 +24,8 @@
 // plot writes a PNG with two plots by second: the requests by outcome, and the time of first
 // tokens.
 func (r *Report) plot(path string) error {
-	fates, first := plot.New(), plot.New()
-	fates.Title.Text, first.Title.Text = "requests a second by fate", "first token, ms"
+	outcomes, first := plot.New(), plot.New()
+	outcomes.Title.Text, first.Title.Text = "requests a second by fate", "first token, ms"
 	first.X.Label.Text = "seconds"
 	for f := range emulator.NumOutcomes {
 		points := make(plotter.XYs, len(r.Seconds))
@@ -37,7 +37,7 @@
 		if !seen {
 			continue
 		}
-		if err := addLine(fates, points, emulator.Outcome(f).String(), colours[f]); err != nil {
+		if err := addLine(outcomes, points, emulator.Outcome(f).String(), colours[f]); err != nil {
 			return err
 		}
 	}
@@ -56,9 +56,9 @@
 	for _, m := range r.marks {
 		notes = append(notes, fmt.Sprintf("%.0f s: %s", m.at, m.text))
 	}
-	fates.X.Label.Text = strings.Join(notes, "; ")
+	outcomes.X.Label.Text = strings.Join(notes, "; ")
 	img := vgimg.New(24*vg.Centimeter, 16*vg.Centimeter)
-	plots := [][]*plot.Plot{{fates}, {first}}
+	plots := [][]*plot.Plot{{outcomes}, {first}}
 	for i, row := range plot.Align(plots, draw.Tiles{Rows: 2, Cols: 1, PadY: vg.Centimeter / 2}, draw.New(img)) {
 		plots[i][0].Draw(row[0])
 	}
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -53,11 +53,11 @@
 	ids     atomic.Int64
 	start   time.Time
 
-	mu       sync.Mutex
-	seconds  []Second
-	answers  map[string]int // number of final answers by request
-	trips    map[string][]Transmission
-	patience time.Duration
+	mu            sync.Mutex
+	seconds       []Second
+	answers       map[string]int // number of final answers by request
+	transmissions map[string][]Transmission
+	patience      time.Duration
 }
 
 // Transmission is one transmission of a request to a router, until it ended.
@@ -72,7 +72,7 @@
 // NewClients returns clients of routers that wait for patience for the beginning of an answer.
 func NewClients(routers []string, patience time.Duration) *Clients {
 	return &Clients{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, routers: routers,
-		avoided: make([]atomic.Bool, len(routers)), answers: map[string]int{}, trips: map[string][]Transmission{}, patience: patience, start: time.Now()}
+		avoided: make([]atomic.Bool, len(routers)), answers: map[string]int{}, transmissions: map[string][]Transmission{}, patience: patience, start: time.Now()}
 }
 
 // Avoid makes clients skip a router, or use it again. They still try an avoided router if it is the
@@ -115,7 +115,7 @@
 		from := time.Now()
 		outcome, firstToken, sent = c.try(id, c.routers[router], at, q)
 		c.mu.Lock()
-		c.trips[id] = append(c.trips[id], Transmission{router, from, time.Now()})
+		c.transmissions[id] = append(c.transmissions[id], Transmission{router, from, time.Now()})
 		c.mu.Unlock()
 		if sent {
 			break
@@ -208,7 +208,7 @@
 func (c *Clients) Transmissions(id string) []Transmission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Transmission(nil), c.trips[id]...)
+	return append([]Transmission(nil), c.transmissions[id]...)
 }
 
 // Answers returns the number of final answers of each request that got one.
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -288,8 +288,9 @@
 func zoneName(i int) string { return "z" + strconv.Itoa(i) }
 func kindName(i int) string { return "k" + strconv.Itoa(i) }
 
-// watch serves discovery: the present list, or with the parameter "watch" all lists from a
-// generation on and each further one, with an empty line each second without one.
+// watch serves discovery. Without the parameter "watch" it returns the present list. With it, it
+// streams the lists after the generation in "from" and each new one, and an empty line after each
+// second without a new list.
 func (e *Emulator) watch(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	whole := e.list(true)
@@ -417,6 +418,7 @@
 	}
 }
 
+// event is the server-sent event of one token.
 const event = "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"
 
 func tokens(n int) []byte { return bytes.Repeat([]byte(event), max(n, 0)) }
--- a/lab/emulator/layout.go
+++ b/lab/emulator/layout.go
@@ -130,9 +130,9 @@
 	for z := range e.cfg.Zones() {
 		zones = append(zones, zoneName(z))
 	}
-	mine := 0
+	ownZone := 0
 	if rules.Zoned {
-		mine = i % len(zones)
+		ownZone = i % len(zones)
 	}
 	class := func(name, effect string, points float64) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "group": "all", "points": points,
@@ -143,7 +143,7 @@
 		"name": fmt.Sprintf("r-%d", i), "seed": fmt.Sprintf("%x", 77+i), "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known": map[string]any{"generation": 0, "reset": true, "instances": []any{}},
 		"settings": map[string]any{
-			"balancers": n, "my-zone": mine, "zones": zones, "skus": kinds,
+			"balancers": n, "my-zone": ownZone, "zones": zones, "skus": kinds,
 			"bounds": map[string]any{"cancel": true, "retry-after": true, "max-retry-after-ns": 2000000000, "most-tries": rules.Attempts,
 				"connect-timeout-ns": 250000000, "conn-idle-ns": 30000000000, "open-cap": 1000},
 			"categories": []any{class("query", "repeatable", 1), class("file", "once", 3)},
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -107,7 +107,7 @@
 	Read       EventKind = iota // the reader holds the state; Kept prompt tokens were cached
 	FirstToken                  // the first token is written
 	Token                       // Tokens more are written
-	Done                        // the answer is complete; Kept is set if this server read the prompt
+	Done                        // complete; Kept as in Read if this server also read the prompt
 	Lost                        // the server broke off the job
 )
 
@@ -157,9 +157,10 @@
 	cachedTokens  float64 // size of texts
 }
 
+// text is a text in a server's cache.
 type text struct {
 	tokens float64
-	used   time.Duration
+	used   time.Duration // time of the latest use
 }
 
 type job struct {
@@ -403,8 +404,8 @@
 // change continuously.
 const coldInterval = 50 * time.Millisecond
 
-// Next returns the time to call Advance at the latest, unless a call changes the site before, and
-// false if nothing is due.
+// Next returns the latest time for the next call of Advance, provided that no other call changes
+// the site before then. It returns false if nothing is due.
 func (s *Site) Next() (time.Duration, bool) {
 	best, any := time.Duration(math.MaxInt64), false
 	for _, v := range s.servers {
@@ -502,7 +503,8 @@
 func (s *Site) work(v *server, to time.Duration, out []Event) []Event {
 	const tiny = 1e-9
 	span, speed, step := (to - v.advancedTo).Seconds(), s.capacity(v, v.advancedTo), s.step(v, v.advancedTo)
-	// Answers come before reads: a prompt that is read within the span has no token written yet.
+	// Answers are advanced before reads: an answer whose prompt is read within this span gets its
+	// first token in a later one.
 	var keep []*job
 	for _, w := range v.writes {
 		if w.remaining > 0 {
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -69,12 +69,13 @@
 	h.ops = append(h.ops, op)
 }
 
-// Read records a client's read of a value that was called at a time and returns now.
+// Read records that a client's read of a register, called at the given time, returned value now.
 func (h *History) Read(client int, register, value string, called int64) {
 	h.add(porcupine.Operation{ClientId: client, Input: call{register, false, ""}, Output: value, Call: called, Return: h.Now()})
 }
 
-// Wrote records a client's write. One that was not acknowledged may have taken effect or not.
+// Wrote records a client's write, called at the given time and, if acknowledged, returned now. An
+// unacknowledged write may have taken effect or not.
 func (h *History) Wrote(client int, register, value string, called int64, acknowledged bool) {
 	op := porcupine.Operation{ClientId: client, Input: call{register, true, value}, Call: called, Return: unknownReturn}
 	if acknowledged {
--- a/lab/judge/cold.go
+++ b/lab/judge/cold.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// Cold describes the load that a worker can bear after its start, as the routers' settings have it.
+// Cold describes the load that a worker can handle after its start, with the values of the routers'
+// settings.
 type Cold struct {
 	Share    float64       // part of its warm capacity at the start; grows linearly to all of it
 	Within   time.Duration // from the start until the worker is warm
-	Multiple float64       // of the load that a worker bears, at which it falls over
+	Multiple float64       // load at which a worker crashes, relative to its capacity
 	Window   time.Duration // in which its attempts are counted
 }
 
@@ -52,9 +53,10 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// checkStarts finds the starts after which a worker got more than it can bear, most of it from
-// informed routers. The settings do not say what a warm worker can bear; it is at least the highest
-// number that any warm worker of the role got in a window. The caller holds the lock.
+// checkStarts finds the starts after which a worker received more attempts than it can handle,
+// most of them from informed routers. The settings do not say how many a warm worker can handle; it
+// is at least the highest number that any warm worker of the role received in a window. The caller
+// holds the lock.
 func (j *Judge) checkStarts() {
 	peak := map[bool]float64{}
 	for role, all := range j.arrivals {
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -20,13 +20,14 @@
 // The rules, each with what violates it.
 const (
 	Lost Rule = "lost" // no final answer, a late one, or more than one
-	// Duplicate: ran more than once, two attempts open at once, or refused though it may have run.
+	// Duplicate: the request ran more than once, had two attempts open at once, or was refused
+	// though it may have run.
 	Duplicate  Rule = "duplicate"
 	Drain      Rule = "drain"    // sent to a worker that was known to be leaving
 	Pinned     Rule = "pinned"   // a read state was held too long
 	TimeBudget Rule = "told"     // a worker was given more time than the client had left
 	AfterEnd   Rule = "gone"     // an attempt arrived after its client left or was answered
-	Failback   Rule = "failback" // a worker that had just started got more than it can bear
+	Failback   Rule = "failback" // a worker received too many attempts just after its start
 )
 
 // Violation is one violation of a rule.
@@ -44,7 +45,7 @@
 // Limits are the tolerances of the rules.
 type Limits struct {
 	Answer     time.Duration // how long after the client's deadline a final answer may come
-	Grace      time.Duration // how long attempts may still go to a worker after its leaving is known
+	Grace      time.Duration // how long attempts may still go to a worker known to be leaving
 	Held       time.Duration // how long a read state may be held with no attempt that uses it
 	TimeBudget time.Duration // by how much the time given to a worker may exceed what is left
 	AfterEnd   time.Duration // how long after its client left or was answered an attempt may arrive
@@ -345,7 +346,7 @@
 		return
 	}
 	if !a.nextArrived.IsZero() && at.Sub(a.nextArrived) > j.limits.Overlap+j.limits.Slack {
-		j.violate(r, Duplicate, "open at %s for %v beside another attempt", a.worker, at.Sub(a.nextArrived))
+		j.violate(r, Duplicate, "open at %s for %v together with another attempt", a.worker, at.Sub(a.nextArrived))
 	}
 	if outcome == NeverRan && !a.reader {
 		r.runs = slices.DeleteFunc(r.runs, func(t time.Time) bool { return t.Equal(a.arrived) })
@@ -458,7 +459,7 @@
 	return false
 }
 
-// Open returns the requests of a router that have no end yet, hold a read state or have an open
+// Open returns the requests of a router that have not ended, hold a read state or have an open
 // attempt.
 func (j *Judge) Open(router string) (ids []string) {
 	j.mu.Lock()
--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -114,7 +114,7 @@
 			j.Final("a", Failed, start)
 			a.Ended(MayHaveRun, at(time.Minute))
 		}},
-		"state released beside an open attempt that uses it, and not again after it": {play: func(j *Judge) {
+		"state released while an open attempt uses it, and not again afterwards": {play: func(j *Judge) {
 			j.Arrived("a", "r", true, start, patience).Ended(Read, start)
 			a := j.Arrived("a", "w", false, start, patience)
 			j.Released("a", start)
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -24,7 +24,7 @@
 	Prompt       float64   // median of the tokens that a turn adds (log-normal)
 	Answer       float64   // median of an answer's tokens (log-normal)
 	Spread       float64   // sigma of Prompt and Answer
-	MaxTokens    float64   // maximum of a prompt's tokens; that of an answer's is a tenth of it
+	MaxTokens    float64   // maximum of a prompt's tokens; an answer's maximum is a tenth of it
 }
 
 // Request is one request of a client.
@@ -47,7 +47,7 @@
 	lengths  []float64 // of the shared texts, in tokens
 	sessions []session
 	at       time.Duration
-	last     uint64
+	last     uint64 // number of the latest session
 }
 
 type session struct {
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -67,8 +67,8 @@
 	return virtual.Fault{At: at, Do: func(w *virtual.World) { w.Site.Set(name, f) }}
 }
 
-// deployments cover all roles, the effects of classes, routers that see most and hardly any of a
-// fleet's requests, cold servers, and faults.
+// deployments cover all roles, the effects of classes, routers that receive most or only a
+// small part of a fleet's requests, cold servers, and faults.
 var deployments = map[string]deployment{
 	"readers-writers": {site: uneven(), routers: 2, rate: 32, faults: []virtual.Fault{
 		kill(2*time.Second, "reader-0"), fault(3*time.Second, "writer-1", engine.Fault{Silent: true}), fault(5*time.Second, "writer-2", engine.Fault{Errors: true}),
--- a/lab/virtual/exchange.go
+++ b/lab/virtual/exchange.go
@@ -58,6 +58,7 @@
 	r.run()
 }
 
+// do performs an action that the router's decisions returned.
 func (r *gateway) do(a logic.Action) {
 	w := r.w
 	if a.Kind == logic.SetTimer {
@@ -87,6 +88,8 @@
 	}
 }
 
+// close ends a request for its client and counts it in counter; only the first call for a request
+// counts.
 func (r *gateway) close(ex *exchange, counter *int) {
 	if ex.closed {
 		return
@@ -98,6 +101,7 @@
 	r.forget(ex)
 }
 
+// forget removes a closed request once it has no open attempt.
 func (r *gateway) forget(ex *exchange) {
 	if ex.closed && ex.attempt == nil {
 		r.w.after(0, func() {
@@ -109,7 +113,7 @@
 	}
 }
 
-func (r *gateway) send(ex *exchange, server logic.ServerID, wait time.Duration) {
+func (r *gateway) send(ex *exchange, server logic.ServerID, timeout time.Duration) {
 	w := r.w
 	at := &attempt{number: ex.sends, server: server, name: r.listed[server].Name, since: r.listed[server].Since, sent: w.now}
 	if r.front != nil {
@@ -146,7 +150,7 @@
 	}
 	ex.sends++
 	ex.attempt = at
-	w.after(wait, func() { r.end(ex, at, logic.TimedOut, 0) })
+	w.after(timeout, func() { r.end(ex, at, logic.TimedOut, 0) })
 	w.after(w.cfg.Hop, func() {
 		if ex.attempt != at {
 			return
@@ -213,7 +217,7 @@
 	r.run()
 }
 
-// releaseWork takes completed work off the router's shared counts.
+// releaseWork subtracts completed work from the router's shared counts.
 func (r *gateway) releaseWork(at *attempt, done counts.Work) {
 	if r.node != nil {
 		r.node.Charge(at.name, counts.Work{Unread: -done.Unread, Held: -done.Held})
--- a/lab/virtual/queue.go
+++ b/lab/virtual/queue.go
@@ -7,7 +7,7 @@
 
 type event struct {
 	at  time.Duration
-	seq int
+	seq int // order of scheduling, in which events of the same time happen
 	do  func()
 }
 
--- a/lab/virtual/router.go
+++ b/lab/virtual/router.go
@@ -45,10 +45,10 @@
 		set.Zone = r.zone
 	}
 	r.decide = logic.New(set, RouterSeed(w.cfg.Seed, i))
-	if w.cfg.FarFigure > 0 {
-		figures := slices.Repeat([]float64{w.cfg.FarFigure}, zones)
-		figures[r.zone] = 1
-		r.decide.SetZones(figures)
+	if w.cfg.FarCost > 0 {
+		costs := slices.Repeat([]float64{w.cfg.FarCost}, zones)
+		costs[r.zone] = 1
+		r.decide.SetZones(costs)
 	}
 	if w.cfg.Fleet == nil {
 		return r, nil
@@ -102,8 +102,8 @@
 }
 
 // applyZones does what the fleet's agent does with the zone map: it reports the capacity of the
-// zones' workers to the node, sets the share of workers in barred zones to 0, and passes a figure
-// for each zone to the decisions.
+// zones' workers to the node, sets the share of workers in barred zones to 0, and passes a cost
+// factor for each zone to the decisions.
 func (r *gateway) applyZones(shares map[string]float64) map[string]float64 {
 	routing, ok := r.node.ZoneRouting(r.w.now)
 	if !ok {
--- a/lab/virtual/virtual.go
+++ b/lab/virtual/virtual.go
@@ -34,14 +34,15 @@
 	Hop      time.Duration // latency of one way between two processes
 	Fleet    *node.Config  // nil: routers share nothing
 	Loss     float64       // part of the fleet's messages that are lost
-	Zoned    bool          // router i is in zone i modulo the number of zones; else all are in zone 0
+	// Zoned puts router i into zone i modulo the number of zones; else all routers are in zone 0.
+	Zoned bool
 	// Zones, with Zoned, makes the fleet judge zones and move traffic between them; nil: each
 	// router decides on its own. The site's zones are its Judge.Zones by index.
 	Zones *node.ZoneConfig
-	// FarFigure, without Zones, is the figure of all zones but a router's own; 0: the default
-	// figure.
-	FarFigure   float64
-	MeasureFrom time.Duration // totals leave out what happens before
+	// FarCost, without Zones, is the cost factor (logic.Gateway.SetZones) of all zones but a
+	// router's own; 0: the usual cost of distance.
+	FarCost     float64
+	MeasureFrom time.Duration // start of the time that the totals of a Result cover
 	For         time.Duration // requests arrive for so long
 	Seed        uint64
 	Faults      []Fault
@@ -50,7 +51,7 @@
 	Record func(router int, now logic.Time, events []logic.Event, actions []logic.Action)
 }
 
-// Fault is a change of the world at a time, such as the begin or the end of a fault.
+// Fault is a change of the world at a time, such as the beginning or the end of a fault.
 type Fault struct {
 	At time.Duration
 	Do func(w *World)
@@ -70,7 +71,7 @@
 	// WastedReads counts reads whose state was not used for a served answer.
 	WastedReads     int
 	MovedTokens     float64 // tokens of read states fetched from another zone
-	Late            int     // answers whose first token came after the class's aim
+	Late            int     // answers whose first token was later than the class's aim
 	Seconds         []Second
 	OverloadCrashes int
 	Held            int // read states left at the end of the run
--- a/lab/virtual/virtual_test.go
+++ b/lab/virtual/virtual_test.go
@@ -19,8 +19,8 @@
 
 var seeds = flag.Int("seeds", 3, "number of seeds to run for each comparison")
 
-// terms returns the fleet's settings of deploy/fleet.toml.
-func terms() *node.Config {
+// fleetConfig returns the settings of deploy/fleet.toml.
+func fleetConfig() *node.Config {
 	return &node.Config{Lease: 2 * time.Second, Floor: 0.1, Burst: time.Second, Drift: 0.01, Period: 500 * time.Millisecond, CountsPeriod: 100 * time.Millisecond, Fanout: 2, Digest: 32,
 		Observers: 2, Quorum: 2, MaxOut: 0.3, MinFailures: 3, Hold: 3 * time.Second, Return: 10 * time.Second}
 }
@@ -42,7 +42,7 @@
 // left, and the same seed gives the same run.
 func TestEachRequestEndsOnce(t *testing.T) {
 	for _, n := range []int{1, 3, 8} {
-		for _, fleet := range []*node.Config{nil, terms()} {
+		for _, fleet := range []*node.Config{nil, fleetConfig()} {
 			cfg := usual(n, 40, uint64(n))
 			cfg.Fleet = fleet
 			cfg.Loss = 0.2
@@ -71,7 +71,7 @@
 			}
 		}}}
 		free := play(t, cfg)
-		cfg.Fleet = terms()
+		cfg.Fleet = fleetConfig()
 		cfg.Fleet.MaxOut = 0 // no worker is taken out, so that failing workers cause repeats
 		cfg.Fleet.RepeatsPerSecond = limit
 		r := play(t, cfg)
@@ -88,7 +88,7 @@
 	const limit = 6.0
 	for _, n := range []int{1, 8, 40} {
 		cfg := usual(n, 40, uint64(n))
-		cfg.Fleet = terms()
+		cfg.Fleet = fleetConfig()
 		cfg.Fleet.ColdPerSecond = limit
 		kill := Fault{8 * time.Second, func(w *World) { w.Kill("reader-0", 2*time.Second) }}
 		cfg.Faults = []Fault{kill}
@@ -134,7 +134,7 @@
 // pair runs the same requests with routers that share nothing and with a fleet, over some seeds.
 func pair(t *testing.T, kind, seeds int, make func(seed uint64) Config) (p99, busiest [2]float64, served [2]int, all Result) {
 	for seed := range uint64(seeds) {
-		for i, fleet := range []*node.Config{nil, terms()} {
+		for i, fleet := range []*node.Config{nil, fleetConfig()} {
 			cfg := make(100 + seed)
 			cfg.MeasureFrom, cfg.Fleet = 6*time.Second, fleet
 			r := play(t, cfg)
@@ -148,9 +148,9 @@
 	return
 }
 
-// Compares routers with and without shared counts over the same requests. Without counts, each
-// router sees little of the others' open attempts. The results of -seeds 20 are in
-// docs/measurements/fleet-state.md.
+// Shared counts must lower the p99 of first tokens over the same requests, with 8 routers or more.
+// Without counts, each router knows little of the others' open attempts. The results of -seeds 20
+// are in docs/measurements/fleet-state.md.
 func TestCountsInPairs(t *testing.T) {
 	for _, n := range []int{2, 8, 40} {
 		for name, make := range map[string]func(uint64) Config{
@@ -185,7 +185,7 @@
 		const faultBegin = 5 * time.Second
 		cfg.Faults = []Fault{{faultBegin, func(w *World) { w.Site.Set("reader-0", engine.Fault{Errors: true}) }}}
 		alone := play(t, cfg)
-		cfg.Fleet = terms()
+		cfg.Fleet = fleetConfig()
 		r := play(t, cfg)
 		// longest returns the longest time without an attempt since the fault, the number of
 		// attempts since then, and the start of that time.
@@ -221,7 +221,7 @@
 	each := map[int]float64{}
 	for _, n := range []int{3, 10, 80, 200} {
 		cfg := usual(n, 60, 9)
-		cfg.Fleet, cfg.MeasureFrom, cfg.For = terms(), 4*time.Second, 10*time.Second
+		cfg.Fleet, cfg.MeasureFrom, cfg.For = fleetConfig(), 4*time.Second, 10*time.Second
 		cfg.Fleet.RepeatsPerSecond = 20
 		r := play(t, cfg)
 		span := (cfg.For + cfg.Patience - cfg.MeasureFrom).Seconds()
@@ -231,7 +231,7 @@
 	require.Less(t, each[200], 2*each[10])
 }
 
-// zoned returns three identical zones with six routers, and a load that two of the zones can bear.
+// zoned returns three identical zones with six routers, and a load that two of the zones can serve.
 func zoned(seed uint64) Config {
 	cfg := usual(6, 20, seed)
 	cfg.Site.Servers = nil
@@ -246,7 +246,7 @@
 
 // mapped adds a fleet that decides the zone map.
 func mapped(cfg Config) Config {
-	cfg.Fleet = terms()
+	cfg.Fleet = fleetConfig()
 	cfg.Fleet.MaxOut = 0 // no single workers are taken out by agreement, to test zones alone
 	zones := node.ZoneConfig{Safe: 0.8, Capacity: map[string]solver.Zone{}, Terms: traffic.Terms{Fresh: 5 * time.Second, Fade: 20 * time.Second, Spill: 0.2},
 		Judge: zone.Config{Zones: []string{"a", "b", "c"}, MinAttempts: 3, Failing: 0.2, Lost: 0.8, Strain: 0.8, Confirm: time.Second, Hold: 5 * time.Second,
@@ -262,16 +262,16 @@
 	return cfg
 }
 
-// All workers of a zone fail for twelve seconds. Compares three ways over the same requests: the
-// default figure for far workers, plain locality, and the zone map. The results of -seeds 10 are in
-// docs/measurements/zones.md.
+// All workers of a zone fail for twelve seconds. The test compares three modes over the same
+// requests: the usual cost of far workers ("usual figure"), a high cost ("locality"), and the zone
+// map. The results of -seeds 10 are in docs/measurements/zones.md.
 func TestZonesInPairs(t *testing.T) {
 	const faultBegin, faultEnd = 20 * time.Second, 32 * time.Second
 	type sums struct{ before, during, after, late, moved, near, back float64 }
 	byName := map[string]*sums{}
 	for name, make := range map[string]func(Config) Config{
 		"usual figure": func(c Config) Config { return c },
-		"locality":     func(c Config) Config { c.FarFigure = 20; return c },
+		"locality":     func(c Config) Config { c.FarCost = 20; return c },
 		"map":          mapped,
 	} {
 		s := &sums{}
