--- a/test/clocks_test.go
+++ b/test/clocks_test.go
@@ -77,7 +77,7 @@
 	sent := time.Now()
 	time.Sleep(700 * time.Millisecond)
 	close(more)
-	eventually(t, func() bool { return len(k.received(http.MethodPost)) == 2 }, "the second request is sent on")
+	eventually(t, func() bool { return len(k.received(http.MethodPost)) == 2 }, "the second request is forwarded")
 	got := k.received(http.MethodPost)[1]
 	require.Equal(t, second, got.id)
 	stated, err := strconv.Atoi(got.header.Get("X-Time-Left-Ms"))
--- a/test/crossings_test.go
+++ b/test/crossings_test.go
@@ -111,7 +111,7 @@
 	for name, tc := range map[string]struct {
 		reader      func(http.ResponseWriter, *http.Request)
 		unreachable int // unreachable writers, in place of a reachable one
-		ahead       int // pipelined requests behind the first
+		ahead       int // pipelined requests after the first
 	}{
 		"while it is read":                {reader: slow},
 		"with one request ahead":          {reader: slow, ahead: 1},
@@ -151,7 +151,7 @@
 				for _, k := range workers {
 					for _, got := range k.received(http.MethodPost) {
 						require.Less(t, got.at.Sub(left), disconnectDelay, "%s at %s", got.id, k.name)
-						require.Equal(t, ids[0], got.id, "a request behind the first, at %s", k.name)
+						require.Equal(t, ids[0], got.id, "a request after the first, at %s", k.name)
 					}
 				}
 			})
@@ -278,7 +278,7 @@
 }
 
 // follow requests streams concurrently and returns how many began and how many were completed. It
-// ends a stream in which an event comes later than maxGap after the one before.
+// ends a stream in which an event is received later than maxGap after the one before.
 func (s *lockstep) follow(p *program, addr string, streams int, maxGap time.Duration) (begun, ended int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -316,9 +316,9 @@
 	return begun, ended
 }
 
-// Guards against events that are held back until the next one comes. Writers send an event only
-// after the client has received the one before, beside clients that read nothing of long streams. A
-// link with a delay of 200 ms shows that the check can fail.
+// Guards against events that are held back until the next one arrives. Writers send an event
+// only after the client has received the one before, while other clients read nothing of their long
+// streams. A link with a delay of 200 ms shows that the check can fail.
 func TestEventsAreForwardedImmediately(t *testing.T) {
 	const streams, stuck, each = 200, 10, 8
 	steps := &lockstep{acks: map[string]chan struct{}{}}
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -19,7 +19,8 @@
 	tenant                                                     string
 	attempts                                                   int
 	stopSendingWithin, releaseWithin, connIdle, connectTimeout time.Duration
-	maxRetryAfter                                              time.Duration // 0: clients get no Retry-After
+	// maxRetryAfter is the largest Retry-After; 0: clients get none.
+	maxRetryAfter time.Duration
 	// repeatWindow is the time in which workers discard repeats by key; 0: 5 s.
 	repeatWindow time.Duration
 	// listsByRequest: discovery lists are requested, not watched.
--- a/test/disk_hang_test.go
+++ b/test/disk_hang_test.go
@@ -14,7 +14,7 @@
 )
 
 // putWithinTimeout writes to the store and reports whether the write was acknowledged within the
-// timeout of the client hasty.
+// timeout of shortTimeoutClient.
 func putWithinTimeout(t *testing.T, url, body string) bool {
 	req, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 	disks[leader].Set(syscalls.Hang(syscalls.Fdatasync))
 	require.False(t, putWithinTimeout(t, "http://"+apis[leader]+"/v1/nodes/n", "never"), "acknowledged, and on no disk")
 	other := (leader + 1) % len(programs)
-	eventually(t, func() bool { return putWithinTimeout(t, "http://"+apis[other]+"/v1/nodes/n", "beside") }, "the other replicas accept writes")
+	eventually(t, func() bool { return putWithinTimeout(t, "http://"+apis[other]+"/v1/nodes/n", "meanwhile") }, "the other replicas accept writes")
 
 	stuck := programs[leader]
 	stuck.signal(syscall.SIGTERM)
@@ -53,7 +53,7 @@
 	programs[leader] = start(t, stuck.addr, nil, stuck.cmd.Args[2:]...)
 	eventually(t, func() bool {
 		_, n := storeCall(t, http.MethodGet, "http://"+apis[leader]+"/v1/nodes/n", "")
-		return n["data"] == "beside"
+		return n["data"] == "meanwhile"
 	}, "the write acknowledged meanwhile is present")
 }
 
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -199,14 +199,14 @@
 		for _, errno := range errnos {
 			r.CloseClientConnections()
 			w.CloseClientConnections()
-			time.Sleep(20 * time.Millisecond) // the router has noticed the closes
+			time.Sleep(20 * time.Millisecond) // the router notices the closes meanwhile
 			failed := faults.Failed(call)
 			faults.Set(syscalls.Next(call, 2, errno))
 			require.Equal(t, http.StatusOK, p.ask("query", newID(), 3*time.Second).status, errno.Error())
 			require.Equal(t, failed+2, faults.Failed(call), errno.Error())
 		}
 	}
-	require.False(t, p.logged("outcome=connect_failed"), "a worker was blamed")
+	require.False(t, p.logged("outcome=connect_failed"), "a local failure was counted against a worker")
 }
 
 // Guards against a missed disconnect: once a client has sent more than the router reads ahead, the
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -224,7 +224,7 @@
 	return json.NewDecoder(resp.Body).Decode(into) == nil
 }
 
-// peerStates returns the states in which a router has its peers.
+// peerStates returns the state of each peer according to a router.
 func (f *fleetRig) peerStates(i int) map[string]string {
 	var p struct {
 		Routers []struct{ Name, State string }
@@ -338,7 +338,7 @@
 }
 
 // All peers find a killed router silent; a lost link alone makes no router silent, since heartbeats
-// also arrive by way of others; and a second process under a name fences the first one.
+// also arrive through other routers; and a second process under a name fences the first one.
 func TestFleetMembership(t *testing.T) {
 	f := newFleetRig(t, 5)
 	alive := func(i, n int) func() bool {
@@ -361,7 +361,7 @@
 	for i := range 4 {
 		eventually(t, func() bool { return f.peerStates(i)["r-4"] == "silent" }, "the killed router is silent")
 	}
-	require.True(t, alive(1, 3)(), "heartbeats of r-0 arrive by way of others")
+	require.True(t, alive(1, 3)(), "heartbeats of r-0 arrive through other routers")
 
 	// A second process with the same files, but for the listen addresses, which are in use.
 	text, err := os.ReadFile(f.args[2][4])
@@ -391,9 +391,9 @@
 	require.Contains(t, out, "fenced: a later process has this name")
 }
 
-// A worker that answers 500 at once goes out at all routers, also at those that sent it few
-// requests, and is used again once it answers correctly. Checked against the requests that the
-// worker itself received.
+// A worker that answers 500 at once must be taken out at all routers, also at those that sent it
+// few requests, and be used again once it answers correctly. The requests that the worker itself
+// received decide.
 func TestFleetTakesABadWorkerOutAndBack(t *testing.T) {
 	var failing atomic.Bool
 	failing.Store(true)
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -66,7 +66,7 @@
 	os.Exit(code)
 }
 
-// eventually fails the test unless f returns true within patient.
+// eventually fails the test unless f returns true within eventualTimeout.
 func eventually(t *testing.T, f func() bool, what string) {
 	t.Helper()
 	require.Eventually(t, f, eventualTimeout, pollInterval, what)
@@ -105,7 +105,7 @@
 	return startCommand(t, exec.Command(binary, args...), addr, env)
 }
 
-// startWithFaults is like start and returns a handle that makes the system calls with the given
+// startWithFaults is like start, and also returns a handle that makes system calls of the given
 // numbers fail.
 func startWithFaults(t *testing.T, calls []int, addr string, env []string, args ...string) (*program, *syscalls.Faults) {
 	cmd, faults, err := syscalls.Command(calls, binary, args...)
@@ -222,12 +222,12 @@
 type worker struct {
 	*httptest.Server
 	name, kind string
-	serve      func(w http.ResponseWriter, r *http.Request) // replaces the default answer
+	serve      func(w http.ResponseWriter, r *http.Request) // replaces the default answer, unless nil
 	onRelease  func(id string)                              // called for each release, unless nil
 	mu         sync.Mutex
 	calls      []call
-	conns      int
-	open       int
+	conns      int // connections accepted so far
+	open       int // connections that are open now
 }
 
 // The default stream of a worker: its first event and the rest.
@@ -539,7 +539,8 @@
 	return file
 }
 
-// startPlatform starts the program with a discovery that lists the workers, and waits until it is ready.
+// startPlatform starts the program with a discovery that lists the workers, and waits until it is
+// ready.
 func startPlatform(t *testing.T, workers ...*worker) (*program, *discovery) {
 	d := newDiscovery(t)
 	d.addList(true, "in_service", workers...)
@@ -559,7 +560,8 @@
 	return p
 }
 
-// startPlatformWithFaults is like platform and returns a handle that makes the system calls fail.
+// startPlatformWithFaults is like startPlatform, and also returns a handle that makes system calls
+// of the given numbers fail.
 func startPlatformWithFaults(t *testing.T, calls []int, workers ...*worker) (*program, *syscalls.Faults, *discovery) {
 	d := newDiscovery(t)
 	d.addList(true, "in_service", workers...)
@@ -570,7 +572,8 @@
 	return p.waitReady(), faults, d
 }
 
-// startPlatformWithClock is like platform and returns a handle that steps the program's wall clock.
+// startPlatformWithClock is like startPlatform, and also returns a handle that steps the program's
+// wall clock.
 func startPlatformWithClock(t *testing.T, workers ...*worker) (*program, *clock.Clock, *discovery) {
 	library, err := clockLibrary()
 	require.NoError(t, err)
--- a/test/held_test.go
+++ b/test/held_test.go
@@ -155,18 +155,18 @@
 	for name, tc := range map[string]struct {
 		serve       func(http.ResponseWriter, *http.Request) // half of the reachable writers
 		unreachable int                                      // number of unreachable writers
-		lateAccept  bool                                     // they become reachable after one second
-		leave       time.Duration                            // clients disconnect after it, unless 0
-		patient     time.Duration                            // the clients' time limit
+		lateAccept  bool                                     // they are reachable after one second
+		leave       time.Duration                            // clients then disconnect, unless 0
+		timeout     time.Duration                            // the clients' time limit
 		served      bool                                     // all requests are served in the end
 	}{
-		"writers that can't be reached": {unreachable: 6, patient: patience, served: true},
-		"writers that come up late":     {unreachable: 6, lateAccept: true, patient: patience, served: true},
-		"no writer can be reached":      {unreachable: 8, patient: 2 * time.Second},
-		"writers that turn away":        {serve: full, patient: patience, served: true},
-		"writers that hang":             {serve: neverAnswer, patient: time.Second},
-		"writers that break off":        {serve: closeConnection, patient: patience},
-		"clients that leave":            {unreachable: 6, serve: neverAnswer, leave: 150 * time.Millisecond, patient: patience},
+		"writers that can't be reached": {unreachable: 6, timeout: patience, served: true},
+		"writers that come up late":     {unreachable: 6, lateAccept: true, timeout: patience, served: true},
+		"no writer can be reached":      {unreachable: 8, timeout: 2 * time.Second},
+		"writers that turn away":        {serve: full, timeout: patience, served: true},
+		"writers that hang":             {serve: neverAnswer, timeout: time.Second},
+		"writers that break off":        {serve: closeConnection, timeout: patience},
+		"clients that leave":            {unreachable: 6, serve: neverAnswer, leave: 150 * time.Millisecond, timeout: patience},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -199,7 +199,7 @@
 				if tc.leave > 0 {
 					time.AfterFunc(tc.leave, leave)
 				}
-				resp, err := http.DefaultClient.Do(p.request("query", id, tc.patient).WithContext(ctx))
+				resp, err := http.DefaultClient.Do(p.request("query", id, tc.timeout).WithContext(ctx))
 				status := 0
 				if err == nil {
 					status = resp.StatusCode
@@ -261,7 +261,7 @@
 // This holds whether or not something on the way acknowledges the bytes (the kernel of a worker
 // that is stopped or cut off, a proxy).
 func TestUnacknowledgedSendDoesNotStopReleaseTimer(t *testing.T) {
-	require.NoError(t, link.CanBlackhole(), "this system makes the test one for privileged users")
+	require.NoError(t, link.CanBlackhole(), "on this system the test needs privileges")
 	testLostSends(t, link.Fault{Blackhole: true})
 }
 
@@ -279,7 +279,7 @@
 	}
 }
 
-// testLostSends makes a writer unreachable behind connections that stay open, and checks how long
+// testLostSends makes a writer unreachable while connections to it stay open, and checks how long
 // its reader holds read states.
 func testLostSends(t *testing.T, fault link.Fault) {
 	for _, class := range []string{"file", "query"} {
--- a/test/lab_test.go
+++ b/test/lab_test.go
@@ -30,7 +30,7 @@
 	"lichenshelf/metrics"
 )
 
-var soakFor = flag.Duration("soak", 0, "how long the soak tests inject random faults; without it they are skipped")
+var soakFor = flag.Duration("soak", 0, "how long the soak tests inject random faults; without it they are skipped or short")
 
 const (
 	labRepeats = 8.0 // per second, over all routers
@@ -112,16 +112,16 @@
 }
 
 // stopClients ends new requests, waits for the open ones, and counts the outcomes of all.
-func (l *labRig) stopClients() (fates [emulator.NumOutcomes]int, all int) {
+func (l *labRig) stopClients() (outcomes [emulator.NumOutcomes]int, all int) {
 	l.stop()
 	<-l.done
 	for _, s := range l.clients.Seconds() {
 		for f, n := range s.Outcomes {
-			fates[f] += n
+			outcomes[f] += n
 			all += n
 		}
 	}
-	return fates, all
+	return outcomes, all
 }
 
 // repeatsExcess returns by how many the repeated attempts that workers received exceed the limit in
@@ -188,12 +188,12 @@
 			for until := l.seconds() + 5; l.seconds() < until; {
 				time.Sleep(pollInterval)
 			}
-			fates, all := l.stopClients()
-			t.Logf("%d requests: %d served, %d refused, %d failed", all, fates[emulator.Served], fates[emulator.Refused], fates[emulator.Failed])
+			outcomes, all := l.stopClients()
+			t.Logf("%d requests: %d served, %d refused, %d failed", all, outcomes[emulator.Served], outcomes[emulator.Refused], outcomes[emulator.Failed])
 			cold := l.arrivalsWhileCold("reader-0", up)
 			require.LessOrEqual(t, limitExcess(cold, labCold, 1, 5, lateness), 0.0, "%d attempts while it was cold", len(cold))
 			require.LessOrEqual(t, l.repeatsExcess(), 0.0)
-			require.Zero(t, fates[emulator.Unreached]+fates[emulator.Late])
+			require.Zero(t, outcomes[emulator.Unreached]+outcomes[emulator.Late])
 			l.requireOneAnswerEach()
 			eventually(t, func() bool { return l.site.Held() == 0 }, "the states held by readers are released")
 			out, err := command(t, "fleet", "budgets", "--operator", l.layout.Routers[0].Operator)
@@ -204,7 +204,7 @@
 }
 
 // All routers are replaced one after the other while clients send requests. Each request still ends
-// once, and afterwards all routers have each other alive.
+// once, and afterwards each router reports all others as alive.
 func TestFleetRollingRelease(t *testing.T) {
 	l := newLabRig(t, 5, labFleet+fmt.Sprintf("repeats_per_s = %g\n", labRepeats), 20, 5)
 	began := time.Now()
@@ -220,20 +220,20 @@
 		eventually(t, func() bool {
 			out, err := command(t, "fleet", "members", "--operator", l.layout.Routers[i].Operator)
 			return err == nil && strings.Count(out, "alive") == 5
-		}, "each router has all others alive")
+		}, "each router reports all others as alive")
 	}
-	fates, all := l.stopClients()
-	t.Logf("released in %v; %d requests: %d served, %d broken, %d refused, %d failed", took, all, fates[emulator.Served], fates[emulator.Broken],
-		fates[emulator.Refused], fates[emulator.Failed])
+	outcomes, all := l.stopClients()
+	t.Logf("released in %v; %d requests: %d served, %d broken, %d refused, %d failed", took, all, outcomes[emulator.Served], outcomes[emulator.Broken],
+		outcomes[emulator.Refused], outcomes[emulator.Failed])
 	require.Less(t, took, 30*time.Second)
 	require.LessOrEqual(t, l.repeatsExcess(), 0.0)
-	require.Greater(t, float64(fates[emulator.Served]), 0.8*float64(all))
-	require.Zero(t, fates[emulator.Unreached], "at least one router listens at any time")
+	require.Greater(t, float64(outcomes[emulator.Served]), 0.8*float64(all))
+	require.Zero(t, outcomes[emulator.Unreached], "at least one router listens at any time")
 	l.requireOneAnswerEach()
 }
 
 // One peer of a fleet keeps reporting all workers as failing. The reports of a single router must
-// take no worker out; a worker that does fail still goes out.
+// take no worker out; a worker that does fail must still be taken out.
 func TestFalseReportsOfOneRouterTakeNoWorkerOut(t *testing.T) {
 	const falseReporter = 3
 	l := newLabRig(t, 4, labFleet+"quorum = 2\nleast = 2.0\n", 30, 7, falseReporter)
@@ -282,7 +282,7 @@
 	}
 	l.site.Set("reader-1", engine.Fault{Errors: true})
 	for i := range falseReporter {
-		eventually(t, func() bool { return l.routers[i].logCount("out for all by agreement") > 0 }, "the failing worker goes out")
+		eventually(t, func() bool { return l.routers[i].logCount("out for all by agreement") > 0 }, "the failing worker is taken out")
 		require.True(t, l.routers[i].logged("worker=reader-1"))
 	}
 	require.Positive(t, received.Load())
@@ -309,13 +309,13 @@
 			require.True(t, bytes.HasPrefix(picture, []byte("\x89PNG")))
 		})
 	}
-	for name, spoil := range map[string]func(*demo.Config){
+	for name, invalidate := range map[string]func(*demo.Config){
 		"routers": func(c *demo.Config) { c.Routers = 0 }, "for": func(c *demo.Config) { c.For = time.Second },
 		"rate": func(c *demo.Config) { c.Rate = -1 }, "fault": func(c *demo.Config) { c.Fault = "moon" },
 		"plot": func(c *demo.Config) { c.Plot = "x.gif" }, "links": func(c *demo.Config) { c.Fault, c.Alone = demo.FaultLink, true },
 	} {
 		c := demo.Config{Routers: 3, For: 3 * time.Second, Rate: 10, Router: []string{binary}}
-		spoil(&c)
+		invalidate(&c)
 		require.ErrorIs(t, c.Check(), demo.ErrConfig, name)
 	}
 }
@@ -389,14 +389,14 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(int(time.Second))))
 	}
-	fates, all := l.stopClients()
+	outcomes, all := l.stopClients()
 	repeats := emulator.Repeats(l.site.Record(), demo.Site())
 	worst := -1e9
 	for _, s := range starts {
 		worst = max(worst, limitExcess(l.arrivalsWhileCold(s.name, s.up), labCold, 1, n, lateness))
 	}
 	t.Logf("faults %v; %d requests: %d served, %d broken, %d refused, %d failed, %d unheard, %d late; %d repeats, over the limit by %.1f; "+
-		"%d cold starts, over their limit by %.1f at worst; %d cold workers fell", faults, all, fates[0], fates[1], fates[2], fates[3], fates[4], fates[5],
+		"%d cold starts, over their limit by %.1f at worst; %d cold workers crashed", faults, all, outcomes[0], outcomes[1], outcomes[2], outcomes[3], outcomes[4], outcomes[5],
 		len(repeats), l.repeatsExcess(), len(starts), worst, l.site.OverloadCrashes())
 	require.LessOrEqual(t, l.repeatsExcess(), 0.0)
 	require.LessOrEqual(t, worst, 0.0)
@@ -404,9 +404,9 @@
 	// A router that was killed can't release the states of its open or just answered requests; all
 	// others must.
 	ofKilledRouter := func(id string) bool {
-		for _, trip := range l.clients.Transmissions(id) {
+		for _, transmission := range l.clients.Transmissions(id) {
 			for _, k := range kills {
-				if k.router == trip.Router && k.at.After(trip.From.Add(-time.Second)) && k.at.Before(trip.To.Add(time.Second)) {
+				if k.router == transmission.Router && k.at.After(transmission.From.Add(-time.Second)) && k.at.Before(transmission.To.Add(time.Second)) {
 					return true
 				}
 			}
--- a/test/late_arrival_test.go
+++ b/test/late_arrival_test.go
@@ -29,7 +29,7 @@
 // the router sent before it canceled the attempt, although the client has disconnected, another
 // attempt runs or the state is released. The workers' handlers record what arrives.
 func TestCanceledSendsDoNotArriveAfterNetworkCut(t *testing.T) {
-	require.NoError(t, link.CanBlackhole(), "this system makes the test one for privileged users")
+	require.NoError(t, link.CanBlackhole(), "on this system the test needs privileges")
 	h := newHolds()
 	var workers []*worker
 	var relays []*link.Relay
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -56,7 +56,7 @@
 
 // Guards against requests to a worker later than the grace period after its termination counts as
 // announced, whatever happens to the watch meanwhile. With 300 routers, retries that are spread
-// over the routers of the fleet would come far too late.
+// over the routers of the fleet would be far too late.
 func TestNoRequestsToLeavingWorkerWhenDiscoveryFails(t *testing.T) {
 	const routers = 300
 	for name, leave := range map[string]func(p *program, d *discovery, w *worker) (announced time.Time){
--- a/test/overlap_clients_test.go
+++ b/test/overlap_clients_test.go
@@ -87,12 +87,12 @@
 type sentRequest struct {
 	id     string
 	effect logic.Effect
-	wire   string
-	kills  int64
+	wire   string // the request as written to the connection
+	kills  int64  // how often the router had been killed when the request was sent
 }
 
-// connect returns a kept connection or a new one, or nil if the router can't be reached or takes no
-// new connections any more.
+// connect returns a kept connection or a new one, or nil if the router can't be reached or no
+// longer accepts new connections.
 func (c *overlapClient) connect(to *overlapRouter, fresh bool) *clientConn {
 	if conn := c.conns[to]; conn != nil && !fresh {
 		delete(c.conns, to)
--- a/test/overlap_hand_test.go
+++ b/test/overlap_hand_test.go
@@ -21,7 +21,7 @@
 	// resumeTimeout is the time limit for a resume to succeed, with retries.
 	resumeTimeout      = 15 * time.Second
 	startFaultDuration = 300 * time.Millisecond
-	// crowdSize is a number of idle clients, more than a router has descriptors.
+	// crowdSize is the number of idle clients in a crowd, which exceeds a router's descriptors.
 	crowdSize = overlapSockets + 50
 )
 
--- a/test/overlap_test.go
+++ b/test/overlap_test.go
@@ -44,8 +44,8 @@
 	overlapClients = 3
 	// acceptsAfterTerm is how long clients open new connections after SIGTERM.
 	acceptsAfterTerm = 300 * time.Millisecond
-	// maxKillDeadline is the upper limit of the longest request deadline in the computation of the
-	// kill after SIGTERM.
+	// maxKillDeadline limits the longest request deadline from which the time of the kill after
+	// SIGTERM is computed.
 	maxKillDeadline = 3 * time.Second
 	// killMargin is how long after that deadline the platform kills the process.
 	killMargin = 700 * time.Millisecond
@@ -69,8 +69,8 @@
 	mu           sync.Mutex
 	lifecycles   map[*overlapWorker]string    // last announced, if not in service
 	leavingSince map[*overlapWorker]time.Time // when the worker was last announced as terminating
-	faults       []string
-	played       map[string]int
+	faults       []string                     // violations that do not belong to a request
+	injected     map[string]int               // number of injected faults by name
 
 	blackholeErr error // why this system does not support link.Fault.Blackhole; nil if it does
 
@@ -87,10 +87,10 @@
 	text           string       // the current configuration
 	maxDeadline    atomic.Int64 // of any class in the last configuration, in nanoseconds
 	agent          *discovery
-	agentKnownFrom atomic.Int64 // when the agent's updates count as known, in Unix ns
+	agentKnownFrom atomic.Int64 // from when on its agent's updates count as known, in Unix ns
 	kills          atomic.Int64
 	termAt         atomic.Int64 // time of SIGTERM in Unix nanoseconds; 0: not terminating
-	crowds         atomic.Int64 // idle crowds that use up its descriptors, or just did
+	crowds         atomic.Int64 // crowds of idle clients that use up its descriptors, or just did
 	tempDir        string       // shared by all its processes
 	starts         atomic.Int64
 	busy           sync.Mutex // held by the fault that acts on the router
@@ -231,13 +231,13 @@
 func newOverlapRig(t *testing.T, seed uint64) *overlapRig {
 	library, err := clockLibrary()
 	require.NoError(t, err)
-	r := &overlapRig{t: t, rng: rand.New(rand.NewPCG(seed, 0)), library: library, lifecycles: map[*overlapWorker]string{}, leavingSince: map[*overlapWorker]time.Time{}, played: map[string]int{},
+	r := &overlapRig{t: t, rng: rand.New(rand.NewPCG(seed, 0)), library: library, lifecycles: map[*overlapWorker]string{}, leavingSince: map[*overlapWorker]time.Time{}, injected: map[string]int{},
 		judge: judge.New(judge.Limits{Answer: 500 * time.Millisecond, Grace: 300 * time.Millisecond, Held: 600 * time.Millisecond, TimeBudget: timeLeftTolerance,
 			AfterEnd: 100 * time.Millisecond, Overlap: 50 * time.Millisecond, Window: 2 * time.Second, Slack: overlapTolerance,
 			// The limits for cold workers are those in settings.
 			Cold: judge.Cold{Share: 0.3, Within: 10 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond}})}
 	if r.blackholeErr = link.CanBlackhole(); r.blackholeErr != nil {
-		t.Logf("not played: machines that vanish: %v", r.blackholeErr)
+		t.Logf("the fault vanish is not injected: %v", r.blackholeErr)
 	}
 	for i := range overlapReaders + overlapWriters + overlapMixed {
 		kind := "reader"
@@ -376,7 +376,7 @@
 	r.finish()
 	broken := r.judge.Violations(time.Now())
 	requests, attempts, ends := r.judge.Counts()
-	t.Logf("seed %d: %d requests, %d attempts, ends %v, troubles %v", seed, requests, attempts, ends, r.played)
+	t.Logf("seed %d: %d requests, %d attempts, ends %v, troubles %v", seed, requests, attempts, ends, r.injected)
 	for _, f := range r.faults {
 		t.Error(f)
 	}
--- a/test/overlap_troubles_test.go
+++ b/test/overlap_troubles_test.go
@@ -16,14 +16,15 @@
 	"lichenshelf/internal/standin/syscalls"
 )
 
-// injectFault injects one random fault into a router or worker that has no other fault, and ends it.
+// injectFault injects one random fault into a router or worker that has no other fault, and ends
+// it.
 func (r *overlapRig) injectFault(rng *rand.Rand) {
 	names := slices.DeleteFunc(slices.Sorted(maps.Keys(overlapFaults)), func(name string) bool { return name == "vanish" && r.blackholeErr != nil })
 	name := names[rng.IntN(len(names))]
 	done := overlapFaults[name](r, rng)
 	if done {
 		r.mu.Lock()
-		r.played[name]++
+		r.injected[name]++
 		r.mu.Unlock()
 	}
 	time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond)
@@ -195,7 +196,7 @@
 	o.start()
 }
 
-// upgrade starts a new process beside the current one, then terminates the old one.
+// upgrade starts a new process while the current one runs, and then terminates the old one.
 func (o *overlapRouter) upgrade(*rand.Rand) {
 	p, _, _ := o.process()
 	o.start()
@@ -315,7 +316,7 @@
 		syscalls.Openat:  {syscall.EMFILE, syscall.ENFILE, syscall.EIO},
 		syscalls.Bind:    {syscall.ENOBUFS},
 	}
-	draw := rand.New(rand.NewPCG(rng.Uint64(), 0)) // separate, since the calls come in any order
+	draw := rand.New(rand.NewPCG(rng.Uint64(), 0)) // not rng, as system calls occur in any order
 	calls.Set(func(call int) syscalls.Fault {
 		if draw.IntN(4) > 0 {
 			return syscalls.Fault{}
--- a/test/overlap_workers_test.go
+++ b/test/overlap_workers_test.go
@@ -91,8 +91,8 @@
 }
 
 func (k *overlapWorker) answer(w http.ResponseWriter, r *http.Request, id string, a *judge.Attempt, faults int64) {
-	now := behavior(k.behavior.Load())
-	switch now {
+	mode := behavior(k.behavior.Load())
+	switch mode {
 	case hangs:
 		<-r.Context().Done()
 		return
@@ -119,8 +119,8 @@
 	if !sleepUnlessDone(r, time.Duration(5+rand.IntN(40))*time.Millisecond) {
 		return
 	}
-	if now == answersTwice || now == closesAfterAnswer {
-		k.answerUncleanly(w, id, a, now)
+	if mode == answersTwice || mode == closesAfterAnswer {
+		k.answerUncleanly(w, id, a, mode)
 		return
 	}
 	if k.kind == "reader" {
@@ -137,7 +137,7 @@
 		})
 		return
 	}
-	k.stream(w, r, id, a, faults, now == breaksOff)
+	k.stream(w, r, id, a, faults, mode == breaksOff)
 }
 
 // stream answers with events that contain the id of the request.
@@ -176,12 +176,12 @@
 	}
 	defer c.Close()
 	head, body := "HTTP/1.1 202 Accepted\r\n", `{"cached_tokens":64}`
-	fate := judge.Read
+	outcome := judge.Read
 	if k.kind != "reader" {
-		head, fate = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n", judge.Began
+		head, outcome = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n", judge.Began
 		body = fmt.Sprintf("data: {\"id\":%q,\"events\":0}\n\ndata: [DONE]\n\n", id)
 	}
-	a.Ended(fate, time.Now())
+	a.Ended(outcome, time.Now())
 	answer := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	if _, err := io.WriteString(c, answer); err != nil {
 		return
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -27,7 +27,8 @@
 	return newWorker(t, "s-00000001", "reader", nil), newWorker(t, "s-00000002", "writer", writer)
 }
 
-// heldStream returns a handler that sends the first event of a stream, and the rest once more is closed.
+// heldStream returns a handler that sends the first event of a stream, and the rest once more is
+// closed.
 func heldStream(more <-chan struct{}) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		beginStream(w)
@@ -70,7 +71,8 @@
 	require.NoError(t, err)
 }
 
-// A stream that breaks off must not look complete, or its client would take the answer for whole.
+// A stream that breaks off must not look complete, or its client would use the answer as a whole
+// one.
 func TestBrokenStreamHasNoLastChunk(t *testing.T) {
 	r, w := pair(t, func(w http.ResponseWriter, r *http.Request) {
 		beginStream(w)
--- a/test/signals_test.go
+++ b/test/signals_test.go
@@ -38,17 +38,17 @@
 	require.Less(t, time.Since(from), killDelay+loadTolerance)
 }
 
-// killDelay is how long after SIGTERM the platform kills a process: the longest deadline, at most 3
-// s, plus 0.7 s.
+// killDelay is how long after SIGTERM the platform kills a process: the longest deadline, limited
+// to 3 s, plus 0.7 s.
 const killDelay = 3700 * time.Millisecond
 
 // Guards against open requests that are still unanswered when the platform kills the process: a new
 // configuration with shorter deadlines makes the kill earlier. Requests must be answered by then,
-// also if the SIGHUP and the SIGTERM come together, repeatedly, or in the reverse order.
+// also if the SIGHUP and the SIGTERM arrive together, repeatedly, or in the reverse order.
 func TestReloadShortensShutdown(t *testing.T) {
 	const limit = 800 * time.Millisecond
 	for name, c := range map[string]struct {
-		taken   bool // the reload is complete before SIGTERM
+		taken   bool // the reload is complete before the signals
 		signals []syscall.Signal
 		away    time.Duration // how long the file can't be opened, from the signals on
 	}{
--- a/test/sizes_test.go
+++ b/test/sizes_test.go
@@ -16,7 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// processUsage returns the peak memory of a process in bytes and the number of its open descriptors.
+// processUsage returns the peak memory of a process in bytes and the number of its open
+// descriptors.
 func processUsage(t *testing.T, pid int) (memory, descriptors int) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
--- a/test/sources_test.go
+++ b/test/sources_test.go
@@ -231,10 +231,10 @@
 			return dns.Honest(m)
 		}
 	}
-	spoilt := func(spoil func(*mdns.Msg)) func(dns.Query, *mdns.Msg) dns.Reply {
+	corrupted := func(corrupt func(*mdns.Msg)) func(dns.Query, *mdns.Msg) dns.Reply {
 		return func(_ dns.Query, m *mdns.Msg) dns.Reply {
 			m.Answer = m.Answer[:2]
-			spoil(m)
+			corrupt(m)
 			return dns.Honest(m)
 		}
 	}
@@ -248,8 +248,8 @@
 			m.Truncated = true
 			return dns.Honest(m)
 		},
-		"wrong id":       spoilt(func(m *mdns.Msg) { m.Id ^= 1 }),
-		"wrong question": spoilt(func(m *mdns.Msg) { m.Question[0].Name = "else.test." }),
+		"wrong id":       corrupted(func(m *mdns.Msg) { m.Id ^= 1 }),
+		"wrong question": corrupted(func(m *mdns.Msg) { m.Question[0].Name = "else.test." }),
 	} {
 		failed, works := s.logCount("source failed"), s.logCount("source works again")
 		s.dns.Script(script)
@@ -353,26 +353,26 @@
 		m.Rcode = mdns.RcodeNameError
 		return dns.Reply{Msgs: []*mdns.Msg{m}, Delay: 90 * time.Millisecond}
 	})
-	second2, err := dns.New()
+	server2, err := dns.New()
 	require.NoError(t, err)
-	defer second2.Close()
-	second2.Set(srv(a, b, c)...)
+	defer server2.Close()
+	server2.Set(srv(a, b, c)...)
 	n = len(s.dns.Queries())
 	eventually(t, func() bool { return len(s.dns.Queries()) > n }, "a query is open")
-	s.configure(0, second2)
+	s.configure(0, server2)
 	s.reloadFiles()
-	n = len(second2.Queries())
-	eventually(t, func() bool { return len(second2.Queries()) > n+3 }, "the new server is queried")
+	n = len(server2.Queries())
+	eventually(t, func() bool { return len(server2.Queries()) > n+3 }, "the new server is queried")
 	s.waitForSet("a-own", "b", "c-own")
 
 	// One of three name servers gives a false answer; two have to agree.
-	third, err := dns.New()
+	server3, err := dns.New()
 	require.NoError(t, err)
-	defer third.Close()
-	third.Set(srv(a, b, c)...)
+	defer server3.Close()
+	server3.Set(srv(a, b, c)...)
 	s.dns.Script(nil)
 	s.dns.Set(srvName+" 1 IN SRV 1 1 1 evil.test.", "evil.test. 1 IN A 127.0.0.66")
-	s.configure(2, s.dns, second2, third)
+	s.configure(2, s.dns, server2, server3)
 	s.reloadFiles()
 	s.requireUnchanged("a-own", "b", "c-own")
 	require.False(t, s.logged("127.0.0.66"))
@@ -409,18 +409,18 @@
 	s.stopAndCheck()
 }
 
-// The platform's front uses sources beside its discovery watch: a worker that discovery lists as
+// The platform's front uses sources besides its discovery watch: a worker that discovery lists as
 // terminated is not used although DNS still lists it, and workers from DNS have the zone, type and
 // cell that the file gives.
-func TestPlatformUsesSourcesBesideDiscovery(t *testing.T) {
+func TestPlatformUsesSourcesBesidesDiscovery(t *testing.T) {
 	r, w := pair(t, nil)
 	extra := newWorker(t, "extra", "writer", nil)
-	name, err := dns.New()
+	nameServer, err := dns.New()
 	require.NoError(t, err)
-	t.Cleanup(name.Close)
-	name.Set(srv(w, extra)...)
+	t.Cleanup(nameServer.Close)
+	nameServer.Set(srv(w, extra)...)
 	file := filepath.Join(t.TempDir(), "sources.toml")
-	text := fmt.Sprintf(quickDNS, fmt.Sprintf("%q", name.Addr()), 0) + "fronts = [\"platform\"]\nzone = \"z1\"\nmachine_type = \"writer\"\ncell = 1\n"
+	text := fmt.Sprintf(quickDNS, fmt.Sprintf("%q", nameServer.Addr()), 0) + "fronts = [\"platform\"]\nzone = \"z1\"\nmachine_type = \"writer\"\ncell = 1\n"
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	d := newDiscovery(t)
 	d.addList(true, "in_service", r, w)
@@ -438,8 +438,8 @@
 	terminatedAt := p.waitForList(d.addList(false, "terminated", w))
 	require.Equal(t, []string{"127", "s-00000001"}, []string{p.loggedSet()[0][:3], p.loggedSet()[1]})
 	time.Sleep(max(0, 250*time.Millisecond-time.Since(terminatedAt)))
-	n := len(name.Queries())
-	eventually(t, func() bool { return len(name.Queries()) > n+2 }, "DNS still lists it")
+	n := len(nameServer.Queries())
+	eventually(t, func() bool { return len(nameServer.Queries()) > n+2 }, "DNS still lists it")
 	for range 20 {
 		require.Equal(t, 200, p.ask("query", newID(), patience).status)
 	}
@@ -455,17 +455,17 @@
 
 func TestMembersCommand(t *testing.T) {
 	a := newWorker(t, "a", "model", model)
-	name, err := dns.New()
+	nameServer, err := dns.New()
 	require.NoError(t, err)
-	t.Cleanup(name.Close)
-	name.Set(srv(a)...)
-	s := &sourcesRig{t: t, dns: name, listed: []*worker{a}, sources: filepath.Join(t.TempDir(), "sources.toml")}
+	t.Cleanup(nameServer.Close)
+	nameServer.Set(srv(a)...)
+	s := &sourcesRig{t: t, dns: nameServer, listed: []*worker{a}, sources: filepath.Join(t.TempDir(), "sources.toml")}
 	s.configure(0)
 	out, err := command(t, "members", "--sources", s.sources)
 	require.NoError(t, err, out)
 	require.Regexp(t, `a +serving +127\S+ +listed \(list\) +list: serving`, out)
 	require.Regexp(t, `dns +good`, out)
-	name.Script(dns.Code(mdns.RcodeRefused))
+	nameServer.Script(dns.Code(mdns.RcodeRefused))
 	out, err = command(t, "members", "--sources", s.sources, "--json", "--wait", "10s")
 	require.NoError(t, err, out)
 	require.Contains(t, out, `"name":"dns","state":"stale"`)
@@ -475,7 +475,7 @@
 
 	watching := start(t, "", nil, "members", "--sources", s.sources, "--json", "--watch")
 	eventually(t, func() bool { return watching.logged(`"name":"a"`) }, "the set is printed")
-	name.Script(nil)
+	nameServer.Script(nil)
 	eventually(t, func() bool { return watching.logged(`"name":"dns","state":"good"`) }, "a change is printed")
 	watching.signal(syscall.SIGTERM)
 	watching.waitExit()
--- a/test/starved_test.go
+++ b/test/starved_test.go
@@ -84,7 +84,7 @@
 // ends of streams forwarded.
 func TestIdleConnectionsDoNotDelayReleasesAndStreams(t *testing.T) {
 	seen := serveUnderLoad(t, func(ctx context.Context, addr string) int64 { return openCrowd(ctx, addr, crowdConnsPerSecond) })
-	require.Greater(t, seen.served, seen.baseline/minServedDivisor, "too few requests were served beside the crowd")
+	require.Greater(t, seen.served, seen.baseline/minServedDivisor, "too few requests were served during the crowd")
 }
 
 // floods are clients that call without a pause, with one call at a time or many pipelined ones.
@@ -99,8 +99,8 @@
 	}
 }
 
-// Clients beside a flood must be served at least half of their fair share, where a fair share is
-// the same number of calls for each connection.
+// Clients that send requests during a flood must be served at least half of their fair share, where
+// a fair share is the same number of calls for each connection.
 func TestClientsGetFairShareDuringCallFlood(t *testing.T) {
 	for name, flood := range floods {
 		t.Run(name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 	served    int   // streams served under the load
 }
 
-// serveUnderLoad has a router with loadCPUShare of a core serve clients beside a load, and checks
+// serveUnderLoad has a router with loadCPUShare of a core serve clients under a load, and checks
 // that held states are released in time and the ends of streams forwarded. The load returns how
 // many connections or calls it made.
 func serveUnderLoad(t *testing.T, load func(ctx context.Context, addr string) int64) loadResult {
--- a/test/store_test.go
+++ b/test/store_test.go
@@ -121,7 +121,8 @@
 	}
 }
 
-// shortTimeoutClient times out after 2 s, when a stopped process has accepted its connection.
+// shortTimeoutClient times out after 2 s, as a stopped process leaves accepted connections without
+// an answer.
 var shortTimeoutClient = &http.Client{Timeout: 2 * time.Second}
 
 // readNode reads a node from one replica, in one attempt. The status is 0 without a usable answer.
@@ -250,13 +251,13 @@
 	var last, notFound, refused atomic.Int64
 	ctx, stop := context.WithCancel(t.Context())
 	var all sync.WaitGroup
-	patient := &http.Client{Timeout: 4 * time.Second}
+	client := &http.Client{Timeout: 4 * time.Second}
 	ask := func(method, url, body string) (status int, data string, err error) {
 		req, err := http.NewRequest(method, url, strings.NewReader(body))
 		if err != nil {
 			return 0, "", err
 		}
-		resp, err := patient.Do(req)
+		resp, err := client.Do(req)
 		if err != nil {
 			return 0, "", err
 		}
--- a/test/straggler_test.go
+++ b/test/straggler_test.go
@@ -33,8 +33,8 @@
 	routers     []*program
 	names       []string
 	trails      string
-	links       []*relay.Relay   // from all routers to the replicas, one per replica
-	routerLinks [][]*relay.Relay // of each router, its relays before links
+	links       []*relay.Relay   // one per replica, shared by all routers
+	routerLinks [][]*relay.Relay // by router, its own relays to links
 }
 
 // newFollowers starts n routers with one backend; fleetSettings is appended to their fleet files.
@@ -172,7 +172,7 @@
 	for _, name := range f.names[1:] {
 		f.waitForLine(1, name+" 2")
 	}
-	took := func(t audit.Trail) bool {
+	applied := func(t audit.Trail) bool {
 		return slices.ContainsFunc(t.Entries, func(e audit.Entry) bool {
 			return e.Kind == audit.Taken && e.Part == "config/modelapi" && e.Version == 2
 		})
@@ -180,7 +180,7 @@
 	eventually(t, func() bool {
 		require.Equal(t, 200, f.ask(0))
 		live, err := eventlog.Read(filepath.Join(f.trails, f.names[0]))
-		return err == nil && took(live)
+		return err == nil && applied(live)
 	}, "f0 applies version 2")
 	out, err = f.command(1, "show")
 	require.NoError(t, err, out)
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startBeside starts a second process as an upgrade does, with the same addresses, name and folder
-// for temporary files and another console.
-func (p *program) startBeside(t *testing.T, console string, env []string) *program {
+// startSuccessor starts a second process as an upgrade does: with the same addresses, name and
+// folder for temporary files, and with another console.
+func (p *program) startSuccessor(t *testing.T, console string, env []string) *program {
 	next := start(t, p.addr, append(env, "ROUTER_CONSOLE="+console), "serve")
 	operator := &program{t: t, addr: console}
 	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 200 }, "the new process is ready")
@@ -44,7 +44,7 @@
 	resp, err := http.DefaultClient.Do(old.request("query", newID(), patience))
 	require.NoError(t, err, "a stream is in flight at the old process")
 	defer resp.Body.Close()
-	next := old.startBeside(t, second, env)
+	next := old.startSuccessor(t, second, env)
 	old.signal(syscall.SIGTERM)
 	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 503 }, "the old process is terminating")
 	streams := []*http.Response{resp}
@@ -93,7 +93,7 @@
 	text := old.requestText("query", newID(), patience)
 	half := old.sendRaw(text[:len(text)-20])
 	defer half.Close()
-	next := old.startBeside(t, second, env)
+	next := old.startSuccessor(t, second, env)
 	old.signal(syscall.SIGTERM)
 	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 503 }, "the old process is terminating")
 	_, err := io.WriteString(half, text[len(text)-20:])
--- a/test/zone_test.go
+++ b/test/zone_test.go
@@ -73,7 +73,7 @@
 	return n
 }
 
-// waitForState waits until all routers have the zone in this state.
+// waitForState waits until all routers report the zone in this state.
 func (z *zonedRig) waitForState(zone, state string) {
 	z.t.Helper()
 	for i := range z.routers {
@@ -81,10 +81,10 @@
 	}
 }
 
-// Six programs in three zones. All workers of one zone fail at once: all routers have the zone
-// lost, its workers receive nothing more, and the other zones serve. Once its workers are healthy,
-// the zone returns gradually. An operator's drain applies at all routers, a drain of the last zone
-// is refused, and a dry run changes nothing.
+// Six programs in three zones. All workers of one zone fail at once: all routers report the zone
+// as lost, its workers receive nothing more, and the other zones serve. Once its workers are
+// healthy, the zone returns gradually. An operator's drain applies at all routers, a drain of the
+// last zone is refused, and a dry run changes nothing.
 func TestAZoneIsLostAndDrainedByAgreement(t *testing.T) {
 	t.Parallel()
 	rules := demo.Rules
@@ -152,14 +152,14 @@
 		require.NoError(t, err, out)
 		z.waitForState(name, "healthy")
 	}
-	fates, all := z.stopClients()
+	outcomes, all := z.stopClients()
 	z.requireOneAnswerEach()
-	t.Logf("%d requests: %v", all, fates)
-	require.Greater(t, fates[0], all/2)
+	t.Logf("%d requests: %v", all, outcomes)
+	require.Greater(t, outcomes[0], all/2)
 }
 
-// epochs records the epoch of each router's current map, and fails if one has decreased.
-func (z *zonedRig) epochs(last []uint64) {
+// recordEpochs records the epoch of each router's current map, and fails if one has decreased.
+func (z *zonedRig) recordEpochs(last []uint64) {
 	z.t.Helper()
 	for i := range z.routers {
 		if m := z.page(i).Map; m != nil {
@@ -188,13 +188,13 @@
 			}
 		}
 	}
-	deciders := func(of []int) (names []int) {
+	deciders := func(of []int) (indexes []int) {
 		for _, i := range of {
 			if z.page(i).Decides {
-				names = append(names, i)
+				indexes = append(indexes, i)
 			}
 		}
-		return names
+		return indexes
 	}
 	all, others := []int{0, 1, 2, 3, 4, 5}, []int{1, 2, 3, 4, 5}
 	z.waitForState("z0", "healthy")
@@ -216,10 +216,10 @@
 	epoch := z.page(1).Map.Epoch
 	z.routers[0].signal(syscall.SIGCONT)
 	eventually(t, func() bool {
-		z.epochs(last)
+		z.recordEpochs(last)
 		m := z.page(0).Map
 		return m != nil && m.Epoch >= epoch && z.state(0, "z0") == "lost" && slices.Equal(deciders(all), []int{0})
-	}, "it takes over the map decided without it, and decides again")
+	}, "it adopts the map decided without it, and decides again")
 	z.clients.Avoid(0, false)
 	eventually(t, z0Unused, "z0 receives nothing because of its old map")
 
@@ -227,20 +227,20 @@
 	z.layout.SetFaults(func(from, to int) bool { return ofZ1(from) && !ofZ1(to) }, relay.Fault{Drop: [2]bool{true, false}})
 	setFailing(false)
 	for i := range all {
-		eventually(t, func() bool { z.epochs(last); return z.state(i, "z0") == "healthy" }, fmt.Sprintf("z0 is back at router %d", i))
+		eventually(t, func() bool { z.recordEpochs(last); return z.state(i, "z0") == "healthy" }, fmt.Sprintf("z0 is back at router %d", i))
 	}
 	z.layout.SetFaults(func(int, int) bool { return true }, relay.Fault{Delay: 2 * time.Second})
 	for until := z.seconds() + 5; z.seconds() < until; {
-		z.epochs(last)
+		z.recordEpochs(last)
 		time.Sleep(pollInterval)
 	}
 	z.layout.SetFaults(func(int, int) bool { return false }, relay.Fault{})
 	z.waitForState("z0", "healthy")
-	eventually(t, func() bool { z.epochs(last); return slices.Equal(deciders(all), []int{0}) }, "the first router decides again")
+	eventually(t, func() bool { z.recordEpochs(last); return slices.Equal(deciders(all), []int{0}) }, "the first router decides again")
 	t0 := time.Now()
 	eventually(t, func() bool { return z.arrivals(0, t0) > 10 && z.arrivals(1, t0) > 10 && z.arrivals(2, t0) > 10 }, "all zones are used again")
-	fates, n := z.stopClients()
+	outcomes, n := z.stopClients()
 	z.requireOneAnswerEach()
-	t.Logf("%d requests: %v; epochs %v", n, fates, last)
-	require.Greater(t, fates[0], n/2)
+	t.Logf("%d requests: %v; epochs %v", n, outcomes, last)
+	require.Greater(t, outcomes[0], n/2)
 }
