--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -273,7 +273,7 @@
 	Dropped   int64   `json:"dropped"`
 	Heard     int64   `json:"heard"`
 	TakenS    float64 `json:"taken_s"` // since it acknowledged a message; -1: never
-	HeardS    float64 `json:"heard_s"` // since a message of it was received; -1: never
+	HeardS    float64 `json:"heard_s"` // since a message from it was received; -1: never
 	Fault     string  `json:"fault,omitempty"`
 }
 
@@ -289,7 +289,7 @@
 	By     []JudgeLine `json:"by"`
 }
 
-// JudgeLine is one router's judgement on a worker.
+// JudgeLine is one router's judgement of a worker.
 type JudgeLine struct {
 	Router string  `json:"router"`
 	Fault  string  `json:"fault"`
--- a/fleet/agent/config.go
+++ b/fleet/agent/config.go
@@ -218,8 +218,8 @@
 	maxTrailBytes = 1 << 40
 )
 
-// LoadConfig reads and checks the file. Without a name of the fleet the file is not checked
-// further and the fleet is off.
+// LoadConfig reads and checks the file. If it does not name the fleet, the fleet is off and the
+// other keys are not checked.
 func LoadConfig(path string) (*Config, error) {
 	d := func(v time.Duration) conffile.Duration { return conffile.Duration{Duration: v} }
 	c := &Config{Lease: d(2 * time.Second), Floor: 0.1, Burst: d(time.Second), Drift: 0.01, Period: d(500 * time.Millisecond), CountsPeriod: d(100 * time.Millisecond),
--- a/fleet/agent/observer.go
+++ b/fleet/agent/observer.go
@@ -15,12 +15,12 @@
 	"lichenshelf/router"
 )
 
-// Core is the router's core, which gets the workers, other routers' load there, and the zones'
-// figures.
+// Core is the router's core. It receives the workers, other routers' load there, and the zones'
+// cost factors.
 type Core interface {
 	Discovered(members []router.Member, whole bool)
 	ReportLoad(server logic.ServerID, l logic.Load)
-	SetZones(figures []float64)
+	SetZones(factors []float64)
 }
 
 // Front connects one front to the fleet. It permits the attempts of the front's core, filters the
@@ -28,7 +28,7 @@
 type Front struct {
 	agent    *Agent
 	cfg      node.FrontConfig
-	part     *node.Front // guarded by the agent's lock; nil until the core is connected
+	state    *node.Front // guarded by the agent's lock; nil until the core is connected
 	gate     *cordon.Gate
 	core     Core
 	recorder Recorder // nil: no event log
@@ -47,14 +47,14 @@
 }
 
 // Front adds a front. Its workers are judged together with the other routers, and its attempts
-// are taken out of the budgets that all routers share. The core must be connected
-// before anything is sent. If recorder is nil, no events are recorded.
+// are taken out of the budgets that all routers share. The core must be connected before anything
+// is sent. If recorder is nil, no events are recorded.
 func (a *Agent) Front(cfg node.FrontConfig, recorder Recorder) *Front {
 	return &Front{agent: a, cfg: cfg, recorder: recorder}
 }
 
-// Attach connects the front to its core and returns the front as the taker of the lists of workers
-// that would otherwise go to the core.
+// Attach connects the front to its core. It returns the front, which must receive the lists of
+// workers in place of the core.
 func (f *Front) Attach(core Core) cordon.MemberReceiver {
 	f.core, f.gate = core, cordon.NewGate(core)
 	if f.recorder != nil {
@@ -63,7 +63,7 @@
 	a := f.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	f.part = a.node.Front(f.cfg, a.now())
+	f.state = a.node.Front(f.cfg, a.now())
 	a.fronts = append(a.fronts, f)
 	return f
 }
@@ -77,9 +77,9 @@
 	known map[string]int64 // the incarnation of each worker that is listed
 }
 
-// Discovered implements cordon.MemberReceiver. It records that a worker is out after the core has the list,
-// and that a worker is back before that, so that no attempt is sent while the worker is on record
-// as out.
+// Discovered implements cordon.MemberReceiver. It records that a worker is out after the core has
+// the list, and that a worker is back before that, so that no attempt is sent while the worker is
+// on record as out.
 func (n *outRecorder) Discovered(members []router.Member, whole bool) {
 	grace, listed := n.front.cfg.Settings.DrainGrace, map[string]bool{}
 	for _, m := range members {
@@ -126,12 +126,12 @@
 	return out
 }
 
-// Discovered implements cordon.MemberReceiver. It creates a cold worker's budget before the core gets the
-// worker.
+// Discovered implements cordon.MemberReceiver. It creates a cold worker's budget before the core
+// gets the worker.
 func (f *Front) Discovered(members []router.Member, whole bool) {
 	a := f.agent
 	a.mu.Lock()
-	f.part.UpdateWorkers(lines(members), whole, time.Now().UnixNano(), a.now())
+	f.state.UpdateWorkers(lines(members), whole, time.Now().UnixNano(), a.now())
 	f.zones.update(f.cfg.Zones, members, whole, time.Now())
 	a.mu.Unlock()
 	f.gate.Discovered(members, whole)
@@ -141,7 +141,7 @@
 func (f *Front) Allow(w *router.Worker, repeat bool) router.Allowance {
 	a := f.agent
 	a.mu.Lock()
-	r := f.part.Allow(w.Name, repeat, a.now())
+	r := f.state.Allow(w.Name, repeat, a.now())
 	a.mu.Unlock()
 	switch r {
 	case attempts.TooCold:
@@ -164,7 +164,7 @@
 func (w *observingTransport) Send(at router.Attempt, sink router.Sink) func() <-chan struct{} {
 	s := &observedAttempt{Sink: sink, agent: w.front.agent, front: w.front, prompt: at.Request.PromptTokens, worker: at.Worker.Name, since: at.Worker.Since()}
 	s.agent.mu.Lock()
-	s.work = w.front.part.Work(s.worker, &at.Request.Request)
+	s.work = w.front.state.Work(s.worker, &at.Request.Request)
 	s.agent.node.Charge(s.worker, s.work)
 	w.front.zones.sent(s.worker, w.front.cfg.Settings.Kinds, s.agent.now())
 	s.agent.mu.Unlock()
@@ -258,13 +258,13 @@
 // kept records how many tokens of the prompt the worker already had in memory.
 func (s *observedAttempt) kept(tokens float64) {
 	s.agent.mu.Lock()
-	s.front.part.Kept(s.prompt, tokens)
+	s.front.state.Kept(s.prompt, tokens)
 	s.agent.mu.Unlock()
 }
 
 func (s *observedAttempt) observe(status logic.Status) {
-	fault, says := node.FaultOf(status)
-	if !says {
+	fault, relevant := node.FaultOf(status)
+	if !relevant {
 		return
 	}
 	if s.front.recorder != nil && fault != outlier.None {
@@ -290,12 +290,12 @@
 	}
 	a.mu.Lock()
 	parts, loads := a.node.EvaluateWorkers(lists, a.now())
-	parts, figures := a.applyZones(parts)
+	parts, factors := a.applyZones(parts)
 	a.mu.Unlock()
 	for i, f := range fronts {
 		f.gate.Set(parts)
-		if figures != nil {
-			f.core.SetZones(figures[i])
+		if factors != nil {
+			f.core.SetZones(factors[i])
 		}
 		if loads != nil {
 			for _, t := range loads[i] {
--- a/fleet/agent/zones.go
+++ b/fleet/agent/zones.go
@@ -87,10 +87,11 @@
 }
 
 // applyZones reports the zones' workers to the node, sets the parts of workers in barred zones to
-// 0, and returns the zones' figures by front, nil if no zones are set. The caller holds the lock.
+// 0, and returns the zones' cost factors by front, nil if no zones are set. The caller holds the
+// lock.
 func (a *Agent) applyZones(parts map[string]float64) (map[string]float64, [][]float64) {
-	way, ok := a.node.ZoneRouting(a.now())
-	names := way.Names
+	routing, ok := a.node.ZoneRouting(a.now())
+	names := routing.Names
 	if !ok {
 		return parts, nil
 	}
@@ -98,7 +99,7 @@
 	if parts == nil {
 		parts = map[string]float64{}
 	}
-	serving, figures := map[string]float64{}, make([][]float64, len(a.fronts))
+	serving, factors := map[string]float64{}, make([][]float64, len(a.fronts))
 	for i, f := range a.fronts {
 		for zone, part := range f.zones.serving(f.cfg.Settings, time.Now()) {
 			// The lowest share over the fronts counts: a request needs the workers of its own front.
@@ -107,7 +108,7 @@
 			}
 		}
 		for worker, p := range f.zones.places {
-			if z := slices.Index(names, p.zone); z >= 0 && way.Barred[z] {
+			if z := slices.Index(names, p.zone); z >= 0 && routing.Barred[z] {
 				parts[worker] = 0
 			}
 		}
@@ -117,21 +118,21 @@
 		shares, usable, own := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
 		for j, name := range f.cfg.Zones {
 			if z := slices.Index(names, name); z >= 0 {
-				shares[j], usable[j] = way.Shares[z], way.Usable[z]
-				if z == way.Own {
+				shares[j], usable[j] = routing.Shares[z], routing.Usable[z]
+				if z == routing.Own {
 					own = j
 				}
 			}
 		}
-		figures[i] = f.zones.balance.Factors(shares, usable, own, traffic.Time(a.now()))
+		factors[i] = f.zones.balance.Factors(shares, usable, own, traffic.Time(a.now()))
 		for j, name := range f.cfg.Zones {
 			if !slices.Contains(names, name) {
-				figures[i][j] = 0 // not in the map: the default cost of distance applies
+				factors[i][j] = 0 // not in the map: the default cost of distance applies
 			}
 		}
 	}
 	a.node.SetZoneServing(serving)
-	return parts, figures
+	return parts, factors
 }
 
 // ObserveArrival records a request that arrived at this router.
--- a/fleet/attempts/attempts.go
+++ b/fleet/attempts/attempts.go
@@ -59,8 +59,8 @@
 	return &Rules{cfg: cfg, known: map[string]int64{}, cold: map[string]cold{}}
 }
 
-// UpdateWorkers updates the workers from a whole list or from changes to it, received at now, which is
-// wall by the wall clock. It reports whether the budgets have changed.
+// UpdateWorkers updates the workers from a whole list or from changes to it, received at now, which
+// is wall by the wall clock. It reports whether the budgets have changed.
 func (r *Rules) UpdateWorkers(workers []Worker, whole bool, wall int64, now Time) bool {
 	if r.cfg.ColdPerSecond <= 0 || r.cfg.WarmWithin <= 0 {
 		return false
@@ -128,9 +128,9 @@
 	return fmt.Sprintf("%s%s@%d", r.ColdPrefix(), name, since)
 }
 
-// ColdLimits returns the limits of the cold workers' budgets by name, and reports whether any has expired
-// since the last call. Each start of a worker has a budget of its own: loans for the previous start
-// can't be used for it.
+// ColdLimits returns the limits of the cold workers' budgets by name, and reports whether any has
+// expired since the last call. Each start of a worker has a budget of its own: loans for the
+// previous start can't be used for it.
 func (r *Rules) ColdLimits(now Time) (limits map[string]float64, changed bool) {
 	changed = r.expire(now)
 	limits = make(map[string]float64, len(r.cold))
--- a/fleet/attempts/attempts_test.go
+++ b/fleet/attempts/attempts_test.go
@@ -24,7 +24,7 @@
 func at(d time.Duration) Time { return Time(d) }
 
 // Whether and how long a worker counts as cold depends on when this router learns of its start.
-func TestColdFromWhenItsStartIsHeardOf(t *testing.T) {
+func TestColdFromWhenItsStartIsLearned(t *testing.T) {
 	old := Worker{Name: "old"}
 	for name, c := range map[string]struct {
 		later      bool // received after the first list
@@ -100,7 +100,7 @@
 	require.Equal(t, None, off.Spend("1", true, 0, func(string) bool { return false }), "without limits no attempt is refused")
 }
 
-func TestWhatAnAttemptIsSpentFrom(t *testing.T) {
+func TestBudgetsOfAnAttempt(t *testing.T) {
 	r := rules()
 	r.UpdateWorkers(nil, true, hour, 0)
 	r.UpdateWorkers([]Worker{{Name: "c", Since: hour}, {Name: "w"}}, false, hour, 0)
@@ -136,7 +136,7 @@
 // Many routers learn of a start at different times and all want to send at once. Together they send
 // the cold worker no more than its limit, at any number of routers, and use most of the limit if
 // they can reach each other.
-func TestColdWorkerIsNotPushedOverByMany(t *testing.T) {
+func TestColdWorkerIsNotOverloadedByManyRouters(t *testing.T) {
 	const (
 		limit = 20.0
 		lease = 2 * time.Second
--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -190,8 +190,8 @@
 				}
 			}
 		}
-		// Positions only grow, up to the number of entries: a cycle would require a log that went
-		// back.
+		// Positions only grow, up to the number of entries: a cycle would require a log whose
+		// versions decrease.
 		for k, v := range next {
 			if v > first[k] && v <= total(trails) {
 				first[k], changed = v, true
@@ -224,8 +224,8 @@
 	Sends                        uint64 // attempts sent under this version
 }
 
-// Holders returns the routers that took, acknowledged or refused a version of a part, and the number of
-// attempts they sent while it was in effect.
+// Holders returns the routers that took, acknowledged or refused a version of a part, and the
+// number of attempts they sent while it was in effect.
 func Holders(trails []Trail, part string, v uint64) []Holder {
 	var out []Holder
 	for i := range trails {
@@ -295,9 +295,9 @@
 	Sends  uint64 // attempts recorded there
 }
 
-// LagPoints returns, along the timeline, each router's lag behind the newest version that any router
-// had taken by then, at each of its takings and sends. Records are ordered by versions, so a
-// version that a router could not have known of yet may count as well.
+// LagPoints returns, along the timeline, each router's lag behind the newest version that any
+// router had taken by then, at each of its Taken and Sent records. Records are ordered by versions,
+// so a version that a router could not have known of yet may count as well.
 func LagPoints(trails []Trail) []Point {
 	newest, held := version.Vector{}, map[string]version.Vector{}
 	var out []Point
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -88,7 +88,7 @@
 
 // Whatever versions routers take, the order keeps that of each event log and puts each version
 // after the previous one.
-func TestTimelineContradictsNobody(t *testing.T) {
+func TestTimelineKeepsTheOrderOfEachLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var trails []Trail
 		for i := range rapid.IntRange(1, 6).Draw(t, "routers") {
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestWhoAndLags(t *testing.T) {
+func TestHoldersAndLags(t *testing.T) {
 	a := of("a", 1, taken("config", 1, 1, 10*ms), sent("w", 1, 0, 0), taken("list", 4, 2, 20*ms), sent("w", 2, 0, 0), acked("config", 1, 30*ms),
 		taken("config", 2, 3, 40*ms), sent("w", 3, 0, 0))
 	b := of("b", 1, Record{Kind: Refused, Part: "config", Version: 1, Text: "no"})
@@ -144,7 +144,7 @@
 }
 
 // The lag of a router is reported at its sends, along the order of all records.
-func TestBehind(t *testing.T) {
+func TestLagPoints(t *testing.T) {
 	a := of("a", 1, taken("config", 1, 1, 10*ms), taken("config", 2, 2, 20*ms), taken("config", 3, 3, 30*ms), sent("w", 3, 40*ms, 0))
 	b := of("b", 1, taken("config", 1, 1, 10*ms), sent("w", 1, 500*ms, 0), sent("w", 1, 600*ms, 0), sent("w", 1, 700*ms, 0))
 	c := of("c", 1, sent("w", 0, 10*ms, 0))
--- a/fleet/audit/loans.go
+++ b/fleet/audit/loans.go
@@ -13,7 +13,7 @@
 // roundingTolerance is the relative error permitted in sums of amounts.
 const roundingTolerance = 1e-6
 
-// grant is the unique identification of a loan.
+// grant identifies a loan.
 type grant struct {
 	owner, borrower, key string
 	epoch, number        uint64
@@ -23,10 +23,10 @@
 	return fmt.Sprintf("grant %d of %s, from %s to %s", g.number, g.key, g.owner, g.borrower)
 }
 
-// CheckLoans verifies the loans between routers by the event logs of both ends: each loan that is
-// held was lent to its holder, for no less and no shorter; it has one holder; and no owner lent
-// more than its share at a time. A loan is skipped if its owner's log is missing or damaged, or may
-// have lost its last half second.
+// CheckLoans verifies the loans between routers by the event logs of both ends: each loan in use
+// was lent to the router that uses it, for at least the amount and the time that it is used; no
+// other router uses it; and no owner lent more than its share at any time. A loan is skipped if its
+// owner's log is missing or damaged, or may have lost its last half second.
 func CheckLoans(trails []Trail) []Breach {
 	c := loanChecker{lent: map[grant]*Entry{}, spans: map[grant][]span{}, completeLogs: map[string]bool{}, held: map[grant]*Entry{}}
 	for i := range trails {
--- a/fleet/audit/loans_test.go
+++ b/fleet/audit/loans_test.go
@@ -94,16 +94,16 @@
 }
 
 // Over faulty links, routers that follow the rules cause no breach in the audit.
-func TestLoansThatWereKeptHaveNoBreach(t *testing.T) {
+func TestValidLoansHaveNoBreach(t *testing.T) {
 	require.Greater(t, len(of(lend(t, 1), audit.Borrowed)), 20, "grants were used")
 	rapid.Check(t, func(t *rapid.T) {
 		require.Empty(t, audit.CheckLoans(lend(t, rapid.Uint64().Draw(t, "seed"))))
 	})
 }
 
-// An ask that is answered with nothing still tells the owner which grants are no longer used. An
-// audit that does not learn of it counts them as lent.
-func TestGrantsGivenUpByAnAskThatGotNothingAreTold(t *testing.T) {
+// An ask that is answered without a grant still informs the owner of the grants that are no longer
+// used. An audit that does not learn of it counts them as lent.
+func TestAskWithoutGrantEndsOlderGrants(t *testing.T) {
 	const lease, limit = time.Second, 300
 	owner, err := budget.New(budget.Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Lease: lease, Drift: 0.01, Floor: 0.1,
 		Burst: lease, RecordMoves: true}, 0)
@@ -142,7 +142,7 @@
 }
 
 // Each violation that a router could commit or record is found.
-func TestLoansThatWereNotKeptAreFound(t *testing.T) {
+func TestInvalidLoansAreFound(t *testing.T) {
 	for name, spoil := range map[string]func(trails []audit.Trail){
 		"held for more than was lent": func(trails []audit.Trail) { of(trails, audit.Borrowed)[3].Amount *= 2 },
 		"held for longer":             func(trails []audit.Trail) { of(trails, audit.Borrowed)[3].Window += time.Minute },
--- a/fleet/audit/record.go
+++ b/fleet/audit/record.go
@@ -15,7 +15,7 @@
 
 // The kinds of record. The numbers are stored in files and must not change.
 const (
-	Started Kind = 1 // the router has started; Life is its incarnation
+	Started Kind = 1 // the router has started under Incarnation
 	// Part is at Version from now on; Number identifies the versions of all parts.
 	Taken        Kind = 2
 	Acknowledged Kind = 3  // it has reported to others that Part is at Version
@@ -26,7 +26,7 @@
 	Failed       Kind = 8  // an attempt of Request at Worker ended with Text
 	ShutOut      Kind = 9  // the router accepts no new requests from now on, for the reason Text
 	Readmitted   Kind = 10 // the router accepts new requests again
-	Ended        Kind = 11 // the router ends in good order
+	Ended        Kind = 11 // the router has shut down in an orderly way
 	// Peer may use Amount of this router's Share of Part for Window, by grant Number of Epoch; its
 	// grants before Version have ended.
 	Lent     Kind = 12
@@ -65,7 +65,7 @@
 	Window      time.Duration `cbor:"15,keyasint,omitempty"`
 	Text        string        `cbor:"16,keyasint,omitempty"`
 	Peer        string        `cbor:"17,keyasint,omitempty"` // the router at the other end of a loan
-	// The incarnation under which the borrower asked.
+	// The borrower's incarnation when it asked for the loan.
 	Epoch  uint64  `cbor:"18,keyasint,omitempty"`
 	Amount float64 `cbor:"19,keyasint,omitempty"` // per second
 	Share  float64 `cbor:"20,keyasint,omitempty"` // per second
--- a/fleet/budget/budget_test.go
+++ b/fleet/budget/budget_test.go
@@ -35,7 +35,7 @@
 	burst       time.Duration
 	lease       time.Duration
 	routers     []*router
-	mailbox     []delivery
+	inFlight    []delivery
 	loss        float64
 	duplication float64
 	maxDelay    time.Duration
@@ -55,7 +55,7 @@
 	ledger      *Ledger
 	demand      func(time.Duration) float64 // per second
 	served      float64
-	owed        float64
+	unspent     float64
 	earlier     []*Ledger // replaced processes of this router that may still run
 }
 
@@ -104,7 +104,7 @@
 				n++
 			}
 			if f.rng.Float64() >= f.loss && !f.cut(m.From, m.To) {
-				f.mailbox = append(f.mailbox, delivery{f.now + time.Duration(f.rng.Float64()*float64(f.maxDelay)), m})
+				f.inFlight = append(f.inFlight, delivery{f.now + time.Duration(f.rng.Float64()*float64(f.maxDelay)), m})
 			}
 		}
 	}
@@ -128,12 +128,12 @@
 	for end := f.now + d; f.now < end; {
 		f.now += step
 		f.left = math.Min(f.bound(), f.left+f.limit*(1+f.drift)*step.Seconds())
-		due := f.mailbox
-		f.mailbox = nil
+		due := f.inFlight
+		f.inFlight = nil
 		for _, k := range due {
 			r := f.router(k.m.To)
 			if k.at > f.now || r.stopped {
-				f.mailbox = append(f.mailbox, k)
+				f.inFlight = append(f.inFlight, k)
 				continue
 			}
 			f.send(r.ledger.Receive(k.m, f.clock(r)))
@@ -143,9 +143,9 @@
 				continue
 			}
 			if r.demand != nil {
-				r.owed += r.demand(f.now) * step.Seconds()
+				r.unspent += r.demand(f.now) * step.Seconds()
 			}
-			for ; r.owed >= 1; r.owed-- {
+			for ; r.unspent >= 1; r.unspent-- {
 				f.spend(r.ledger, f.clock(r), r)
 			}
 			if (f.now/step)%6 == 0 {
@@ -240,9 +240,9 @@
 		// No messages are received any more: the floor is available, and the whole share after a
 		// lease.
 		f.cut = func(string, string) bool { return true }
-		f.mailbox = nil
+		f.inFlight = nil
 		for _, r := range f.routers {
-			r.stopped, r.demand, r.owed = false, always(f.limit), 0
+			r.stopped, r.demand, r.unspent = false, always(f.limit), 0
 		}
 		f.run(f.lease + time.Second)
 		before := make([]float64, n)
@@ -296,7 +296,7 @@
 	hot.demand = always(400)
 	f.run(2 * f.lease)
 	require.NotEmpty(t, hot.ledger.Views(f.clock(hot))[0].Borrowed)
-	hot.stopped, hot.demand, hot.owed = true, nil, 0
+	hot.stopped, hot.demand, hot.unspent = true, nil, 0
 	f.cut = func(string, string) bool { return true }
 	f.run(2 * f.lease)
 	hot.stopped = false
@@ -308,9 +308,9 @@
 	require.Empty(t, hot.ledger.Views(f.clock(hot))[0].Borrowed)
 }
 
-// An earlier process resumes under the same name beside its successor: the owners still reserve
+// An earlier process resumes under the same name while its successor runs: the owners still reserve
 // what it borrowed, and it stops all spending once it learns of the successor.
-func TestTwoUnderOneName(t *testing.T) {
+func TestTwoProcessesUnderOneName(t *testing.T) {
 	f := newFleet(t, 4, 9)
 	f.run(f.lease)
 	replaced := f.routers[0]
@@ -328,8 +328,8 @@
 }
 
 // An owner that has lent to a process and receives an ask of its successor lends no more than it
-// has left: the first process may only be stopped, and may resume with what it holds.
-func TestALoanToAnEarlierProcessIsStillOut(t *testing.T) {
+// has left: the first process may only be suspended, and may resume with what it holds.
+func TestLoanToAnEarlierProcessStaysReserved(t *testing.T) {
 	cfg := Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Epoch: 1, Lease: 4 * time.Second, Floor: 0.1, Burst: time.Second}
 	owner, err := New(cfg, 0)
 	require.NoError(t, err)
@@ -420,7 +420,7 @@
 	type world struct {
 		now         Time
 		ledgers     []*Ledger // replaced predecessors follow the current ones
-		mailbox     []Message
+		inFlight    []Message
 		incarnation uint64
 	}
 	cfg := Config{Self: "a", Routers: []string{"a", "b", "c"}, Incarnation: 1, Epoch: 1, Lease: 4 * time.Second, Floor: 0.1, Burst: time.Second}
@@ -453,7 +453,7 @@
 		return &c
 	}
 	copyOf := func(w world) world {
-		out := world{now: w.now, mailbox: append([]Message(nil), w.mailbox...), incarnation: w.incarnation}
+		out := world{now: w.now, inFlight: append([]Message(nil), w.inFlight...), incarnation: w.incarnation}
 		for _, l := range w.ledgers {
 			out.ledgers = append(out.ledgers, clone(l))
 		}
@@ -461,7 +461,7 @@
 	}
 	print := func(w world) string {
 		var b strings.Builder
-		fmt.Fprint(&b, w.now, w.mailbox)
+		fmt.Fprint(&b, w.now, w.inFlight)
 		for _, l := range w.ledgers {
 			a := l.budgets[key]
 			fmt.Fprint(&b, "|", l.cfg.Self, l.seq, l.startedAt, a.demand > 0)
@@ -499,8 +499,8 @@
 				return
 			}
 			seen[k] = true
-			// A predecessor spends its own share beside its successor, which Fence prevents: what
-			// it borrowed must stay reserved.
+			// Without Fence a predecessor spends its own share as well as its successor does, so
+			// that share is allowed for. What the predecessor borrowed must stay reserved.
 			own := 0.0
 			for _, predecessor := range w.ledgers[3:] {
 				own += predecessor.ownRate(predecessor.budgets[key], w.now)
@@ -513,22 +513,22 @@
 				for _, demand := range []float64{3, 0} {
 					n := copyOf(w)
 					n.ledgers[i].budgets[key].demand, n.ledgers[i].budgets[key].settledAt = demand, n.now
-					n.mailbox = append(n.mailbox, n.ledgers[i].Tick(n.now)...)
+					n.inFlight = append(n.inFlight, n.ledgers[i].Tick(n.now)...)
 					visit(n)
 				}
 			}
-			for i, m := range w.mailbox {
+			for i, m := range w.inFlight {
 				for _, keep := range []bool{false, true} {
-					if keep && len(w.mailbox) > 4 {
+					if keep && len(w.inFlight) > 4 {
 						continue
 					}
 					n := copyOf(w)
 					if !keep {
-						n.mailbox = append(n.mailbox[:i:i], n.mailbox[i+1:]...)
+						n.inFlight = append(n.inFlight[:i:i], n.inFlight[i+1:]...)
 					}
 					for j, l := range n.ledgers[:3] {
 						if cfg.Routers[j] == m.To {
-							n.mailbox = append(n.mailbox, l.Receive(m, n.now)...)
+							n.inFlight = append(n.inFlight, l.Receive(m, n.now)...)
 						}
 					}
 					visit(n)
--- a/fleet/budget/owner.go
+++ b/fleet/budget/owner.go
@@ -97,7 +97,7 @@
 		l.record(Move{Kind: Returned, Key: m.Key, Router: m.From, Incarnation: m.Incarnation, Seq: m.Using, Amount: n.amount(m.Incarnation, m.Using)})
 	}
 	share := l.share(a)
-	// Includes loans to earlier processes of the borrower, which may only be stopped.
+	// Includes loans to earlier processes of the borrower: they may only be suspended, and resume.
 	others := n.total(now) - n.totalTo(m.Incarnation, now)
 	for name, other := range a.lent {
 		if name != m.From {
@@ -107,7 +107,7 @@
 	keep := math.Min(math.Max(l.cfg.Floor*share, headroom*a.demand), share)
 	amount := math.Max(0, math.Min(m.Amount, share-keep-others))
 	if len(n.grants) >= maxGrants {
-		return nil // its grants are lost; what is already lent suffices
+		return nil // the grants get lost on the way; what is already lent suffices
 	}
 	if l.unsure(now) {
 		amount = 0
--- a/fleet/counts/counts.go
+++ b/fleet/counts/counts.go
@@ -45,7 +45,7 @@
 // State is all open work of one router.
 type State struct {
 	Router      string          `cbor:"1,keyasint"`
-	Incarnation uint64          `cbor:"2,keyasint"` // its incarnation
+	Incarnation uint64          `cbor:"2,keyasint"`
 	Version     uint64          `cbor:"3,keyasint"`
 	Work        map[string]Work `cbor:"5,keyasint"` // by worker
 }
--- a/fleet/counts/counts_test.go
+++ b/fleet/counts/counts_test.go
@@ -34,7 +34,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var states []State
 		for range rapid.IntRange(0, 12).Draw(t, "states") {
-			states = append(states, State{Router: rapid.SampledFrom(names(4)).Draw(t, "router"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "life"),
+			states = append(states, State{Router: rapid.SampledFrom(names(4)).Draw(t, "router"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
 				Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Work: map[string]Work{}})
 			s := &states[len(states)-1]
 			// One version has one content.
@@ -64,7 +64,7 @@
 
 // If each router sends its state to two others per round, every router's estimate of the total is
 // within a quarter.
-func TestPeersWorkIsKnownAboutRight(t *testing.T) {
+func TestEstimateOfPeersWork(t *testing.T) {
 	for _, n := range []int{2, 8, 80, 200} {
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
 		boards := make([]*Board, n)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestSilenceAgesToTheMeanAndIsForgotten(t *testing.T) {
+func TestOldStatesDecayToTheMeanAndExpire(t *testing.T) {
 	now := Time(time.Hour)
 	b := New("r000", names(3), 1, time.Second)
 	require.Empty(t, peers(b, now), "no state is known")
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestStatesGoByTheNewerLife(t *testing.T) {
+func TestNewerIncarnationReplacesState(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := New("r000", names(2), 1, time.Second), New("r001", names(2), 1, time.Second)
 	a.Receive(State{Router: "r001", Incarnation: 9, Version: 50}, now)
@@ -129,7 +129,7 @@
 	require.InDelta(t, 100, peers(a, now)["w"], 1)
 }
 
-func TestSpoiltStatesAreDropped(t *testing.T) {
+func TestInvalidStatesAreDropped(t *testing.T) {
 	now := Time(time.Hour)
 	b := New("r000", names(2), 1, time.Second)
 	many := map[string]Work{}
--- a/fleet/eventlog/eventlog.go
+++ b/fleet/eventlog/eventlog.go
@@ -111,7 +111,7 @@
 func (w *Writer) Now() time.Duration { return time.Since(w.start) }
 
 // Note appends a record, with the present time unless it has one. The Number of a record of kind
-// Taken stands for all versions acted on from then on, and applies to the sends that follow.
+// Taken identifies all versions acted on from then on, and applies to the sends that follow.
 func (w *Writer) Note(r audit.Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -224,7 +224,8 @@
 			}
 			w.write(r)
 			if r.Kind != audit.Sent && r.Kind != audit.Failed && len(w.queue) == 0 {
-				// These are rare, and a process that is killed loses what is in the buffer.
+				// Records of the other kinds are rare and are flushed at once, since a process that
+				// is killed loses what is in the buffer.
 				w.flushBuffer()
 			}
 		case <-tick.C:
--- a/fleet/members/members.go
+++ b/fleet/members/members.go
@@ -62,7 +62,7 @@
 // one to refute it.
 const maxCount = 1 << 62
 
-// ErrConfig is what a faulty Config wraps.
+// ErrConfig is wrapped by the errors for an invalid Config.
 var ErrConfig = errors.New("members")
 
 // SuspicionTimeout returns a suitable Config.SuspectAfter. Heartbeats arrive through other
@@ -235,7 +235,7 @@
 // receiveOwnName processes a heartbeat under this router's own name. A later number of its own
 // incarnation is invalid and is refuted by a still later one. A newer incarnation belongs to
 // another process, and of the two the one that started later continues: a process that has just
-// started, with a clock that is behind, takes an incarnation beyond the one received; an older
+// started, but whose wall clock is slow, takes an incarnation beyond the one received; an older
 // process is fenced.
 func (v *View) receiveOwnName(b Heartbeat, now Time) {
 	switch {
--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -184,9 +184,9 @@
 	require.Equal(t, Left, f.views[0].State(name(2), Time(f.now)))
 }
 
-// A process that starts with a clock behind takes an incarnation beyond the one that it receives,
-// and the process that it replaces is fenced.
-func TestStartWithClockBehind(t *testing.T) {
+// A process that starts with a slow wall clock takes an incarnation beyond the one that it
+// receives, and the process that it replaces is fenced.
+func TestStartWithSlowClock(t *testing.T) {
 	f := newFleet(t, 4, 6)
 	for _, v := range f.views {
 		v.self.Incarnation = 1000
@@ -210,7 +210,7 @@
 			m := Message{From: name(4), To: name(0)}
 			for range rapid.IntRange(0, 6).Draw(t, "beats") {
 				m.Heartbeats = append(m.Heartbeats, Heartbeat{Name: rapid.SampledFrom([]string{name(1), name(2), "stranger", ""}).Draw(t, "name"),
-					Incarnation: rapid.SampledFrom([]uint64{0, 1}).Draw(t, "life"), Count: rapid.Uint64().Draw(t, "count"), Suspect: true})
+					Incarnation: rapid.SampledFrom([]uint64{0, 1}).Draw(t, "incarnation"), Count: rapid.Uint64().Draw(t, "count"), Suspect: true})
 			}
 			v.Receive(m, Time(f.now))
 			f.run(period)
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// Config holds the routers of the fleet and the settings of what they share. Life is the
-// incarnation: it must grow with each start under the name Self, as the wall clock does. If it
-// does not, the membership protocol raises it.
+// Config holds the routers of the fleet and the settings of what they share.
+// Incarnation must grow with each start under the name Self, as the wall clock does. If it does
+// not, the membership protocol raises it.
 type Config struct {
 	Self             string
 	Zones            map[string]string // zone of each router, Self included
@@ -98,7 +98,7 @@
 	limits          map[string]float64
 	fronts          []*Front
 	states          map[string]members.State // as of the last notice
-	parts           map[string]float64
+	parts           map[string]float64       // traffic shares from the last EvaluateWorkers
 	fenced          bool
 	isolated        bool
 	rng             *rand.Rand
--- a/fleet/node/node_test.go
+++ b/fleet/node/node_test.go
@@ -193,7 +193,7 @@
 	f.run(4 * time.Second)
 	f.fronts["r-0"].Allow("w-0", true, f.now)
 	cfg := testConfig("r-1", 3)
-	// Restarted, with a clock behind that of the previous process.
+	// Restarted, with an earlier wall clock than the previous process had.
 	cfg.ColdPerSecond, cfg.RepeatsPerSecond, cfg.Incarnation = 6, 5, 0
 	f.start(cfg)
 	f.run(6 * time.Second)
--- a/fleet/node/notices.go
+++ b/fleet/node/notices.go
@@ -21,14 +21,14 @@
 		n.ledger.Fence()
 		n.notices = append(n.notices, Notice{Kind: Fenced, Name: n.cfg.Self})
 	}
-	life := n.members.Incarnation()
-	n.ledger.SetIncarnation(life)
-	n.outliers.SetIncarnation(life)
-	n.work.SetIncarnation(life)
-	if deaf := n.members.Isolated(members.Time(now)); deaf != n.isolated {
-		n.isolated = deaf
+	incarnation := n.members.Incarnation()
+	n.ledger.SetIncarnation(incarnation)
+	n.outliers.SetIncarnation(incarnation)
+	n.work.SetIncarnation(incarnation)
+	if isIsolated := n.members.Isolated(members.Time(now)); isIsolated != n.isolated {
+		n.isolated = isIsolated
 		kind := IsolationEnded
-		if deaf {
+		if isIsolated {
 			kind = Isolated
 		}
 		n.notices = append(n.notices, Notice{Kind: kind, Name: n.cfg.Self})
--- a/fleet/node/workers.go
+++ b/fleet/node/workers.go
@@ -45,9 +45,9 @@
 	Load   logic.Load
 }
 
-// EvaluateWorkers judges the workers. It returns the share of its traffic that each restricted worker
-// gets and, when they are due, the loads of other routers, by front. lists holds the list of
-// each front, in the order of the fronts.
+// EvaluateWorkers judges the workers. It returns the share of its traffic that each restricted
+// worker gets and, when they are due, the loads of other routers, by front. lists holds the
+// workers of each front, in the order of the fronts.
 func (n *Node) EvaluateWorkers(lists [][]ListedWorker, now Time) (parts map[string]float64, loads [][]PeerLoad) {
 	var workers []outlier.Worker
 	known := map[string]bool{}
@@ -89,8 +89,8 @@
 			continue
 		}
 		for _, l := range lines {
-			// The core uses the peers' share of the read load that a worker reports, and all of the
-			// memory that it reports.
+			// The core counts only the peers' share, (all-1)/all, of a reported read load, so the
+			// peers' load is divided by that share. It counts reported memory in full.
 			load := logic.Load{HasUnread: true, UnreadToken: peers[l.Name].Unread * all / (all - 1)}
 			if memory := f.kind(l.Kind).MemoryTokens; memory > 0 {
 				load.HasMemory, load.MemoryShare = true, (n.work.Own(l.Name).Held+peers[l.Name].Held)/memory
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -236,20 +236,20 @@
 }
 
 // ZoneRouting returns where this router's traffic goes; ok is false if no zones are set.
-func (n *Node) ZoneRouting(now Time) (way ZoneRouting, ok bool) {
+func (n *Node) ZoneRouting(now Time) (routing ZoneRouting, ok bool) {
 	z := n.zones
 	if z == nil {
-		return way, false
+		return routing, false
 	}
 	z.fade(now)
-	way.Names = z.cfg.Judge.Zones
-	way.Shares = z.keeper.Shares(way.Names, z.reaches, traffic.Time(now))
-	for _, name := range way.Names {
+	routing.Names = z.cfg.Judge.Zones
+	routing.Shares = z.keeper.Shares(routing.Names, z.reaches, traffic.Time(now))
+	for _, name := range routing.Names {
 		barred := z.keeper.Barred(name, traffic.Time(now))
-		way.Barred, way.Usable = append(way.Barred, barred), append(way.Usable, !barred && z.reaches(name))
+		routing.Barred, routing.Usable = append(routing.Barred, barred), append(routing.Usable, !barred && z.reaches(name))
 	}
-	way.Own = slices.Index(way.Names, z.own)
-	return way, true
+	routing.Own = slices.Index(routing.Names, z.own)
+	return routing, true
 }
 
 // ZoneView is the state of the zones for the console.
@@ -270,8 +270,8 @@
 	}
 	v := ZoneView{States: z.states, Best: z.plan, Decides: n.isDecider(now)}
 	v.Map, v.Age = z.keeper.Map(traffic.Time(now))
-	way, _ := n.ZoneRouting(now)
-	v.Shares = way.Shares
+	routing, _ := n.ZoneRouting(now)
+	v.Shares = routing.Shares
 	return v, true
 }
 
--- a/fleet/node/zones_test.go
+++ b/fleet/node/zones_test.go
@@ -67,8 +67,8 @@
 			if z.dead[name] {
 				continue
 			}
-			way, ok := node.ZoneRouting(z.now)
-			shares, barred := way.Shares, way.Barred
+			routing, ok := node.ZoneRouting(z.now)
+			shares, barred := routing.Shares, routing.Barred
 			require.True(z.t, ok)
 			z.sent[name] = shares
 			// Adds the expected numbers of requests and attempts of this tick, as fractions, in place
@@ -147,8 +147,8 @@
 			z.run(100 * time.Millisecond)
 			barred = 0
 			for _, node := range z.nodes {
-				if way, _ := node.ZoneRouting(z.now); way.Barred[0] {
-					shares := way.Shares
+				if routing, _ := node.ZoneRouting(z.now); routing.Barred[0] {
+					shares := routing.Shares
 					barred++
 					require.Zero(t, shares[0], "nothing is sent to a barred zone")
 				}
@@ -208,8 +208,9 @@
 	require.NoError(t, node.SetZoneOut("c", true, true, z.now))
 }
 
-// In a network partition the side whose routers hear less than half of the others decides nothing,
-// and its traffic moves to its own zone as the map ages. After the heal it takes the newer epoch.
+// In a network partition, the side whose routers receive heartbeats of less than half of the others
+// decides nothing, and its traffic moves to its own zone as the map ages. After the partition heals
+// it takes the newer epoch.
 func TestSmallerSideOfPartition(t *testing.T) {
 	z := newZoned(t, 9)
 	z.run(10 * time.Second)
--- a/fleet/outlier/outlier.go
+++ b/fleet/outlier/outlier.go
@@ -49,14 +49,14 @@
 	evidenceDecay = 5 * time.Second // time constant of the attempt counts
 	minFailures   = 0.5             // decayed failures that a single judgement requires
 	maxAttempts   = 1e6             // attempts; larger counts in a message are invalid
-	// Failed fraction of the attempts at a worker at which it may be judged.
+	// failingShare is the failed fraction of the attempts at a worker from which it may be judged.
 	failingShare = 0.5
-	// And the required multiple of the failure rate at the other workers.
-	usualFactor   = 3.0
-	returnSteps   = 4
-	maxJudgements = 32 // judgements in a message
-	maxWorkers    = 4096
-	maxDoublings  = 3 // doublings of the hold time for a worker that is judged repeatedly
+	// failureRateFactor is the multiple of the other workers' failure rate that is required as well.
+	failureRateFactor = 3.0
+	returnSteps       = 4  // steps by which a returning worker's share grows
+	maxJudgements     = 32 // judgements in a message
+	maxWorkers        = 4096
+	maxDoublings      = 3 // doublings of the hold time for a worker that is judged repeatedly
 )
 
 // Config lists the routers and sets the limits for taking workers out.
@@ -122,7 +122,7 @@
 	judgements  map[string]map[string]*timedJudgement // by worker and origin
 	returning   map[string]Time                       // when workers that were out began to return
 	out         map[string]bool
-	next        int
+	next        int // rotates the others' judgements in Judgements
 }
 
 // evidence is the results of recent own attempts at a worker.
@@ -149,8 +149,8 @@
 		returning: map[string]Time{}, out: map[string]bool{}}, nil
 }
 
-// SetIncarnation sets a newer incarnation for this process. Its judgements carry it from the next one on,
-// and earlier ones are made again.
+// SetIncarnation sets a newer incarnation for this process. Its judgements carry the newer one from
+// then on, and earlier ones are made again.
 func (d *Detector) SetIncarnation(incarnation uint64) {
 	if incarnation <= d.incarnation {
 		return
@@ -228,7 +228,7 @@
 		e := d.evidence[name]
 		b, mainFault := e.failures()
 		n := e.good + b
-		usual := (bad - b) / math.Max(good+bad-n, 1)
+		othersRate := (bad - b) / math.Max(good+bad-n, 1)
 		w := d.judgements[name][d.cfg.Self]
 		held := w != nil && w.Fault != None && w.Since == e.since && now < w.until
 		switch {
@@ -236,7 +236,7 @@
 			if held && (ownFault || n >= minFailures) {
 				d.judge(name, e, None, b, now)
 			}
-		case b < minFailures || b < usualFactor*usual*n:
+		case b < minFailures || b < failureRateFactor*othersRate*n:
 		case !held || w.until-now < Time(d.cfg.Hold)/2 || b > 1.5*w.Bad:
 			if !held {
 				if now-e.judgedUntil > Time(8*d.cfg.Hold) {
@@ -350,8 +350,8 @@
 	return len(zones) < 2 || len(agreeing) > 1
 }
 
-// TrafficShares returns the fraction of its traffic for each worker that does not get all of it: 0 for
-// workers that are out, more for those that return.
+// TrafficShares returns, for each worker that does not get all of its traffic, the fraction that it
+// gets: 0 for workers that are out, more for those that return.
 func (d *Detector) TrafficShares(workers []Worker, now Time) map[string]float64 {
 	unreliable := d.unreliable(workers, now)
 	type candidate struct {
@@ -428,8 +428,8 @@
 type Case struct {
 	Worker string
 	By     []Judgement // LeftMs counts from now
-	Good   float64     // recent own attempts
-	Bad    float64
+	Good   float64     // recent own attempts that succeeded, decayed
+	Bad    float64     // those that failed
 	Out    bool
 }
 
--- a/fleet/outlier/outlier_test.go
+++ b/fleet/outlier/outlier_test.go
@@ -34,12 +34,12 @@
 	return out
 }
 
-// say makes another router's judgement of a worker.
-func say(origin, worker string, seq uint64) Judgement {
+// judgementBy makes another router's judgement of a worker.
+func judgementBy(origin, worker string, seq uint64) Judgement {
 	return Judgement{Worker: worker, Since: 1, Origin: origin, Incarnation: 1, Seq: seq, Fault: Errors, Bad: 2, LeftMs: 3000}
 }
 
-func TestWhoMayTakeAWorkerOut(t *testing.T) {
+func TestQuorumForTakingAWorkerOut(t *testing.T) {
 	now := Time(time.Hour)
 	for _, tc := range []struct {
 		name       string
@@ -48,19 +48,19 @@
 		out        bool
 	}{
 		{"no router", []string{"a", "a", "a"}, nil, false},
-		{"one router alone", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1)}, false},
-		{"two of one zone, the only one", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, true},
-		{"two of one zone of two", []string{"b", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, false},
-		{"two of two zones", []string{"b", "a", "b"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, true},
-		{"one of them twice", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r1", "w00", 2)}, false},
-		{"one withdraws it", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1),
+		{"one router alone", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1)}, false},
+		{"two of one zone, the only one", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1)}, true},
+		{"two of one zone of two", []string{"b", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1)}, false},
+		{"two of two zones", []string{"b", "a", "b"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1)}, true},
+		{"one of them twice", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r1", "w00", 2)}, false},
+		{"one withdraws it", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1),
 			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 2, LeftMs: 3000}}, false},
-		{"the withdrawal arrives late", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 9),
+		{"the withdrawal arrives late", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 9),
 			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 2, LeftMs: 3000}}, true},
-		{"an unknown router", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r7", "w00", 1)}, false},
-		{"an earlier incarnation", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
+		{"an unknown router", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r7", "w00", 1)}, false},
+		{"an earlier incarnation", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1),
 			{Worker: "w00", Since: 0, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
-		{"invalid values", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
+		{"invalid values", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1),
 			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: 99, Bad: 2, LeftMs: 3000},
 			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: math.NaN(), LeftMs: 3000},
 			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 1 << 31},
@@ -69,9 +69,9 @@
 			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000}}, false},
 		{"a router that judges all workers", []string{"a", "a", "a"}, func() (out []Judgement) {
 			for i := range 10 {
-				out = append(out, say("r2", fmt.Sprintf("w%02d", i), uint64(i+1)))
+				out = append(out, judgementBy("r2", fmt.Sprintf("w%02d", i), uint64(i+1)))
 			}
-			return append(out, say("r1", "w00", 1))
+			return append(out, judgementBy("r1", "w00", 1))
 		}(), false},
 	} {
 		c := detector(t, config("r0", tc.zones...))
@@ -117,7 +117,7 @@
 
 // A process whose incarnation is raised makes its judgements again: others have dropped those of
 // the old incarnation.
-func TestJudgementsGoByTheNewerLife(t *testing.T) {
+func TestNewerIncarnationRenewsJudgements(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := detector(t, config("r0", "x", "x")), detector(t, config("r1", "x", "x"))
 	// From its predecessor.
@@ -135,7 +135,7 @@
 }
 
 // A router to which most workers appear faulty has a faulty link, and judges no worker.
-func TestBadLinkJudgesNobody(t *testing.T) {
+func TestRouterWithBadLinkJudgesNoWorker(t *testing.T) {
 	now := Time(time.Hour)
 	c := detector(t, config("r0", "x", "x"))
 	for i := range 100 {
@@ -147,7 +147,7 @@
 
 // For any judgements, no more than the stated share of a kind or a zone is out, and no worker is
 // out on one router's judgement.
-func TestShareHoldsWhateverIsSaid(t *testing.T) {
+func TestShareHoldsForAnyJudgements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Time(time.Hour)
 		c := detector(t, config("r0", "a", "b", "a", "b"))
@@ -156,8 +156,8 @@
 			workers[i].Kind = rapid.SampledFrom([]string{"read", "write"}).Draw(t, "kind")
 			workers[i].Zone = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 		}
-		for range rapid.IntRange(0, 60).Draw(t, "words") {
-			judgement := say(fmt.Sprintf("r%d", rapid.IntRange(1, 3).Draw(t, "origin")), workers[rapid.IntRange(0, len(workers)-1).Draw(t, "worker")].Name,
+		for range rapid.IntRange(0, 60).Draw(t, "judgements") {
+			judgement := judgementBy(fmt.Sprintf("r%d", rapid.IntRange(1, 3).Draw(t, "origin")), workers[rapid.IntRange(0, len(workers)-1).Draw(t, "worker")].Name,
 				rapid.Uint64Max(100).Draw(t, "seq"))
 			c.Receive([]Judgement{judgement}, now)
 			if rapid.Bool().Draw(t, "own") {
--- a/fleet/solver/flow.go
+++ b/fleet/solver/flow.go
@@ -18,7 +18,7 @@
 	return g
 }
 
-// add returns the number of the edge, by which flow returns its flow. Costs must not be negative.
+// add adds an edge and returns its number, which flow takes. Costs must not be negative.
 func (g *graph) add(from, to, room, cost int) int {
 	e := len(g.to)
 	g.to, g.residual, g.cost = append(g.to, to, from), append(g.residual, room, 0), append(g.cost, cost, -cost)
@@ -33,7 +33,7 @@
 const unreached = int(^uint(0) >> 2)
 
 // solve sends the maximum flow from source to sink at minimum cost. It uses up all shortest paths
-// of one length by depth-first search before it looks for the next length.
+// of one length by depth-first search before it computes the next length.
 func (g *graph) solve(source, sink int) {
 	n := len(g.first)
 	potential, dist, nextEdge, onPath := make([]int, n), make([]int, n), make([]int, n), make([]bool, n)
--- a/fleet/solver/network.go
+++ b/fleet/solver/network.go
@@ -25,7 +25,7 @@
 // readEdges are the edges from an entry to a reader's zone: for the load that goes there in the
 // previous plan, and for load that would be moved there.
 type readEdges struct {
-	seen        bool // else there are no edges
+	seen        bool // the entry can reach the zone; if not, there are no edges
 	kept, moved int
 }
 
@@ -49,7 +49,7 @@
 	return int(math.Min(math.Floor(rate/net.unit+1e-9), 4*Units))
 }
 
-// addDemands adds the edges by which each demand comes in at its entry, or is shed.
+// addDemands adds the edges from each demand to its entry, and those by which it is shed.
 func (net *network) addDemands() {
 	net.entering = make([]int, len(net.site.Zones))
 	for i, d := range net.site.Demand {
@@ -58,7 +58,7 @@
 		net.entering[d.Entry] += units
 		net.add(source, net.demand+i, units, 0)
 		net.add(net.demand+i, net.entry+d.Entry, units, 0)
-		net.shed = append(net.shed, net.add(net.demand+i, net.sink, units, shedCost+int(d.Value*worthCost)))
+		net.shed = append(net.shed, net.add(net.demand+i, net.sink, units, shedCost+int(d.Value*valueCost)))
 	}
 }
 
--- a/fleet/solver/solver.go
+++ b/fleet/solver/solver.go
@@ -77,8 +77,8 @@
 var ErrSite = errors.New("traffic solver")
 
 const (
-	shedCost  = 1_000_000_000 // and up to worthCost more by value
-	worthCost = 1_000_000_000
+	shedCost  = 1_000_000_000 // and up to valueCost more by value
+	valueCost = 1_000_000_000
 	overCost  = 1_000_000
 	farCost   = 10_000
 	stateCost = 3 // multiple of farCost: a read state over a link, relative to a prompt
--- a/fleet/solver/solver_test.go
+++ b/fleet/solver/solver_test.go
@@ -206,7 +206,7 @@
 		s := Site{Far: apart(n, float64(rapid.IntRange(1, 10).Draw(t, "far"))/10), Safe: 0.8}
 		for z := range n {
 			s.Zones = append(s.Zones, Zone{float64(rapid.IntRange(0, 30).Draw(t, fmt.Sprint("read ", z))), float64(rapid.IntRange(0, 30).Draw(t, fmt.Sprint("write ", z)))})
-			s.Demand = append(s.Demand, Demand{z, float64(rapid.IntRange(0, 24).Draw(t, fmt.Sprint("load ", z))), float64(rapid.IntRange(0, 4).Draw(t, fmt.Sprint("worth ", z))) / 4})
+			s.Demand = append(s.Demand, Demand{z, float64(rapid.IntRange(0, 24).Draw(t, fmt.Sprint("load ", z))), float64(rapid.IntRange(0, 4).Draw(t, fmt.Sprint("value ", z))) / 4})
 		}
 		if rapid.Bool().Draw(t, "links") {
 			s.Room = [][]float64{{0, float64(rapid.IntRange(0, 20).Draw(t, "there"))}, {float64(rapid.IntRange(0, 20).Draw(t, "back")), 0}}
@@ -252,7 +252,7 @@
 				}
 			}
 			for range 2 {
-				d := Demand{a, float64(rapid.IntRange(0, 80).Draw(t, "load")), float64(rapid.IntRange(0, 10).Draw(t, "worth")) / 10}
+				d := Demand{a, float64(rapid.IntRange(0, 80).Draw(t, "load")), float64(rapid.IntRange(0, 10).Draw(t, "value")) / 10}
 				s.Demand = append(s.Demand, d)
 				entry[a] += d.Load
 				total += d.Load
--- a/fleet/straggler/fence.go
+++ b/fleet/straggler/fence.go
@@ -10,9 +10,9 @@
 // suspended while its store is down therefore accepts nothing new for one grace and no longer. The
 // clock must keep running while the process is stopped.
 //
-// A Fence is not safe for concurrent use. Between the last check and the first byte there is the
-// time that the system takes to write; a process that is stopped exactly then sends once more, and
-// only the worker could refuse that.
+// A Fence can't prevent one case: a process that is stopped between its last check and the write of
+// the first byte still sends that request when it resumes, and only the worker could refuse it. A
+// Fence is not safe for concurrent use.
 type Fence struct {
 	window    time.Duration
 	grace     time.Duration
@@ -26,18 +26,18 @@
 	return &Fence{window: window, grace: grace, until: now + Time(window)}
 }
 
-// Update records a check for the newest versions that was begun at the time asked. lag is the number
-// of versions by which the router lags, and answered is whether an answer was received that was
-// given after that time. The check that detects a suspension may have been begun before it, so it
-// does not open the fence.
-func (f *Fence) Update(lag uint64, answered bool, asked, now Time) {
+// Update records a check for the newest versions that was begun at askedAt. lag is the number of
+// versions by which the router lags, and answered is whether an answer was received that was given
+// after that time. The check that detects a suspension may have been begun before it, so it does
+// not open the fence.
+func (f *Fence) Update(lag uint64, answered bool, askedAt, now Time) {
 	switch {
 	case now > f.until && !f.closed:
 		f.closed, f.resumedAt = true, now
-	case f.closed && (answered && lag == 0 && asked >= f.resumedAt || now-f.resumedAt >= Time(f.grace)):
+	case f.closed && (answered && lag == 0 && askedAt >= f.resumedAt || now-f.resumedAt >= Time(f.grace)):
 		f.closed = false
 	}
-	f.until = asked + Time(f.window)
+	f.until = askedAt + Time(f.window)
 }
 
 // Open reports whether new requests may be sent.
--- a/fleet/straggler/straggler.go
+++ b/fleet/straggler/straggler.go
@@ -4,13 +4,13 @@
 // new requests until it has caught up.
 //
 // The whole fleet is never shut out: at any time at most a stated share of the routers is. Half of
-// that share is assigned by slots, which a store hands out and takes back. The other half is for
+// that share is granted as slots, which a store assigns and takes back. The other half is for
 // routers that receive no confirmation from anywhere for too long; since they can't agree on
 // anything, the right to shut out is fixed by rank. A router without a slot or that right continues
 // to serve with its current state and reports how old it is.
 //
 // The precedence is: the bound on the share over a router's lag; catching up over being shut out;
-// being shut out over serving with a state that was acknowledged to be replaced.
+// being shut out over serving with a state that the router has acknowledged as superseded.
 //
 // The package does no I/O and starts no goroutines; clock and randomness are arguments. A Machine
 // is not safe for concurrent use.
--- a/fleet/straggler/straggler_test.go
+++ b/fleet/straggler/straggler_test.go
@@ -25,7 +25,7 @@
 	return Config{Routers: n, Rank: rank, Versions: 1, Grace: grace, MaxAge: 30 * time.Second, MaxShut: 0.25, Rate: 20, Steady: time.Second}
 }
 
-// world simulates routers with a store that hands out slots. The store's answers may be lost.
+// world simulates routers with a store that assigns slots. The store's answers may be lost.
 type world struct {
 	cfg      Config
 	now      Time
@@ -34,7 +34,7 @@
 	views    []View
 	shut     []bool
 	slots    map[int]bool // assigned by the store
-	cut      []bool       // receives nothing, and is not received
+	cut      []bool       // no messages from or to the router
 	stuck    []bool       // can't catch up
 	asks     []Time       // times of the requests to catch up
 }
@@ -107,7 +107,7 @@
 
 // 30 of 80 routers begin to lag at once: no router that can catch up is shut out, and their
 // requests are spread.
-func TestThoseThatCanAreBroughtUp(t *testing.T) {
+func TestLaggingRoutersCatchUp(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 200} {
 		w := newWorld(t, n, nil)
 		w.newest = 5
@@ -138,7 +138,7 @@
 
 // Routers that can't catch up are shut out, at most as many as permitted, and are readmitted once
 // they can.
-func TestThoseThatCantAreShutOut(t *testing.T) {
+func TestRoutersThatCantCatchUpAreShutOut(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 200} {
 		w := newWorld(t, n, nil)
 		for i := range n / 2 {
@@ -178,7 +178,7 @@
 }
 
 // A router that begins to lag again and again is readmitted later each time.
-func TestFlappingIsLetInLater(t *testing.T) {
+func TestFlappingRouterIsReadmittedLater(t *testing.T) {
 	w := newWorld(t, 8, func(c *Config) { c.MaxAge = 0 })
 	var away []time.Duration
 	for range 5 {
@@ -342,7 +342,7 @@
 
 // A steady stream of versions does not make a router lag that takes each of them within the grace,
 // and a router that was shut out is readmitted under such a stream.
-func TestVersionsThatComeAllTheTime(t *testing.T) {
+func TestSteadyStreamOfVersions(t *testing.T) {
 	for _, n := range []int{1, 8, 80, 200} {
 		w := newWorld(t, n, nil)
 		w.stuck[0] = n > 1
--- a/fleet/traffic/step.go
+++ b/fleet/traffic/step.go
@@ -57,10 +57,10 @@
 
 // Step returns the next map between the current one and the aim, with the next epoch, or nil if
 // there is nothing to move yet. The current map must have the zones of the aim, in the same order.
-func (s *Stepper) Step(now Map, aim Aim, at Time) *Map {
+func (s *Stepper) Step(current Map, aim Aim, at Time) *Map {
 	s.mapsLeft = math.Min(float64(s.pace.Burst), s.mapsLeft+s.pace.PerMin*time.Duration(at-s.updatedAt).Minutes())
 	s.updatedAt = at
-	n := len(now.Zones)
+	n := len(current.Zones)
 	total := 0.0
 	for _, l := range aim.Load {
 		total += l
@@ -68,14 +68,14 @@
 	urgent, maxDiff := false, 0.0
 	for e := range n {
 		for z := range n {
-			maxDiff = math.Max(maxDiff, math.Abs(aim.Read[e][z]-now.Read[e][z]))
-			urgent = urgent || aim.Level[z] == 0 && now.Read[e][z] > 0
+			maxDiff = math.Max(maxDiff, math.Abs(aim.Read[e][z]-current.Read[e][z]))
+			urgent = urgent || aim.Level[z] == 0 && current.Read[e][z] > 0
 		}
 	}
 	for r := range n {
 		for w := range n {
-			maxDiff = math.Max(maxDiff, math.Abs(aim.Write[r][w]-now.Write[r][w]))
-			urgent = urgent || aim.Level[w] == 0 && aim.Level[r] > 0 && now.Write[r][w] > 0
+			maxDiff = math.Max(maxDiff, math.Abs(aim.Write[r][w]-current.Write[r][w]))
+			urgent = urgent || aim.Level[w] == 0 && aim.Level[r] > 0 && current.Write[r][w] > 0
 		}
 	}
 	level := make([]float64, n)
@@ -85,7 +85,7 @@
 		if l > 0 {
 			level[z] = 1
 		}
-		was := len(now.Level) == 0 || now.Level[z] > 0
+		was := len(current.Level) == 0 || current.Level[z] > 0
 		urgent = urgent || level[z] == 0 && was
 		opened = opened || level[z] > 0 && !was
 	}
@@ -96,9 +96,9 @@
 	if s.mapsLeft < need || !urgent && (!opened && maxDiff <= s.pace.Band || s.stepped && at-s.lastStep < Time(s.pace.Every)) {
 		return nil
 	}
-	next := Map{Epoch: now.Epoch + 1, Zones: now.Zones, Level: level, Why: aim.Why, By: aim.By, Read: rows(now.Read), Write: rows(aim.Write)}
-	s.read(&next, now, aim, total)
-	if next.same(&now) {
+	next := Map{Epoch: current.Epoch + 1, Zones: current.Zones, Level: level, Why: aim.Why, By: aim.By, Read: rows(current.Read), Write: rows(aim.Write)}
+	s.read(&next, current, aim, total)
+	if next.same(&current) {
 		return nil
 	}
 	s.mapsLeft--
@@ -106,15 +106,15 @@
 	return &next
 }
 
-// read moves the readers' shares: out of zones that may not be used at once, and into others as far
-// as they can bear it.
-func (s *Stepper) read(next *Map, now Map, aim Aim, total float64) {
-	n := len(now.Zones)
+// read moves the readers' shares: at once out of zones that may not be used, and into others within
+// the bounds of a step.
+func (s *Stepper) read(next *Map, current Map, aim Aim, total float64) {
+	n := len(current.Zones)
 	for z := range n {
 		// The load by which all entries together want to increase their use of this zone.
 		more, ownMore := 0.0, 0.0
 		for e := range n {
-			if d := (aim.Read[e][z] - now.Read[e][z]) * aim.Load[e]; d > 0 && aim.Level[z] > 0 {
+			if d := (aim.Read[e][z] - current.Read[e][z]) * aim.Load[e]; d > 0 && aim.Level[z] > 0 {
 				more += d
 				if e == z {
 					ownMore = d
@@ -134,7 +134,7 @@
 			ownPart = math.Min(part, s.pace.Back*total/ownMore)
 		}
 		for e := range n {
-			d := aim.Read[e][z] - now.Read[e][z]
+			d := aim.Read[e][z] - current.Read[e][z]
 			switch {
 			case aim.Level[z] == 0:
 				next.Read[e][z] = 0
@@ -159,8 +159,8 @@
 		for z := range n {
 			want += aim.Read[e][z]
 		}
-		// What the previous map served is shed only if it can't be borne, and what the aim sheds is
-		// not served.
+		// Traffic that the previous map served is shed only if no zone has capacity for it, and
+		// traffic that the aim sheds is not served.
 		excess := sum - math.Min(1, math.Max(want, 0))
 		if excess <= 0 || over <= 0 {
 			continue
@@ -186,8 +186,8 @@
 // relative to one of the own zone, in addition to all other costs. The factor of the own zone is 1.
 // A zone that may not be used has an infinite factor. A zone that may be used but has no share has
 // the highest finite one, so that it takes requests that the briefly congested others would have
-// refused. The factors of the remaining zones follow the traffic sent: more than its share raises a
-// zone's factor, less lowers it, within bounds.
+// refused. The factors of the remaining zones follow the traffic sent: within bounds, the factor of
+// a zone that got more than its share rises, and that of a zone that got less falls.
 type Balance struct {
 	sent    []float64
 	factors []float64
--- a/fleet/traffic/traffic.go
+++ b/fleet/traffic/traffic.go
@@ -3,15 +3,17 @@
 //
 // A map has an epoch. A router accepts only a map of a later epoch. A map of a decider that was
 // stopped and resumes with an older epoch is ignored, and of two maps with the same epoch the first
-// one received stays in effect until a later one arrives (Keeper). The decider moves in steps
-// (Stepper): a step bounds what a zone gains by what it can bear, and what it regains by less.
-// Traffic leaves at once a zone that may not be used; what the others can't bear of it yet is shed
-// instead of sent there. The number of maps made in a time is bounded for any input.
+// one received stays in effect until a later one arrives (Keeper).
+//
+// The decider moves traffic in steps (Stepper). In one step a zone gains no more load than it has
+// capacity for, and regains its own entry's traffic more slowly. Traffic leaves a zone that may not
+// be used at once; the part of it for which the other zones have no capacity yet is shed instead.
+// The number of maps made in a time is bounded for any input.
 //
 // A map that is not renewed expires: after Fresh a router changes gradually, over Fade, to its own
-// zone and a bounded spill, without a jump. This is all that the minority side of a partition may
-// do: keep its map, and move towards its own side. It does not use zones that it can't reach
-// itself.
+// zone and a bounded spill, without a jump. The minority side of a partition may do no more than
+// that: keep its map, and move its traffic towards its own zones. It does not use zones that it
+// can't reach itself.
 //
 // The package does no I/O and starts no goroutines; clocks are arguments. No type in it is safe for
 // concurrent use.
@@ -122,8 +124,8 @@
 	return &Keeper{terms: terms, zone: zone}, nil
 }
 
-// Take applies a new map, or renews the current one, which arrived at a time. An older map is
-// ErrOlder, and a different one of the same epoch ErrOther.
+// Take applies a map of a later epoch, or renews the current one, as of the time at. It returns
+// ErrOlder for a map of an earlier epoch, and ErrOther for a different one of the same epoch.
 func (k *Keeper) Take(m *Map, at Time) error {
 	if err := m.Check(); err != nil {
 		return err
--- a/fleet/traffic/traffic_test.go
+++ b/fleet/traffic/traffic_test.go
@@ -28,7 +28,7 @@
 
 func all(string) bool { return true }
 
-func TestMapsThatMakeNoSense(t *testing.T) {
+func TestInvalidMaps(t *testing.T) {
 	m := local("a", "b")
 	require.NoError(t, m.Check())
 	for name, spoil := range map[string]func(m *Map){"zones": func(m *Map) { m.Zones[1] = "a" }, "rows": func(m *Map) { m.Read = m.Read[:1] },
@@ -63,7 +63,7 @@
 
 // A map that is not renewed fades into the own zone and the spill without a jump; unreachable zones
 // are not used meanwhile.
-func TestAMapThatGrowsOld(t *testing.T) {
+func TestMapThatIsNotRenewedFades(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	k, err := NewKeeper(Terms{Fresh: 2 * second, Fade: 10 * second, Spill: 0.2}, "a")
 	require.NoError(t, err)
@@ -92,21 +92,21 @@
 
 // world simulates zones with their load and capacity under a decider, in virtual time.
 type world struct {
-	t        require.TestingT
-	names    []string
-	load     []float64 // of each entry
-	actual   []float64 // actual capacity of each zone; 0: lost
-	cfg      zone.Config
-	monitor  *zone.Monitor
-	step     *Stepper
-	pace     Pace
-	now      Map
-	at       Time
-	states   []zone.Decision
-	maps     int
-	cutLinks map[[2]int]bool
-	served   float64
-	asked    float64
+	t         require.TestingT
+	names     []string
+	load      []float64 // of each entry
+	actual    []float64 // actual capacity of each zone; 0: lost
+	cfg       zone.Config
+	monitor   *zone.Monitor
+	step      *Stepper
+	pace      Pace
+	now       Map
+	at        Time
+	states    []zone.Decision
+	maps      int
+	cutLinks  map[[2]int]bool
+	served    float64
+	requested float64
 }
 
 const tick = 250 * time.Millisecond
@@ -150,7 +150,7 @@
 				if w.actual[z] == 0 || w.cutLinks[[2]int{e, z}] {
 					bad = 1
 				}
-				w.asked += sent
+				w.requested += sent
 				if bad == 0 {
 					w.served += sent * math.Min(1, w.actual[z]/in[z])
 				}
@@ -161,7 +161,7 @@
 				// at their workers.
 				view.Observations = append(view.Observations, zone.Observation{From: w.names[e], Of: w.names[z], Attempts: 6, Failures: 6 * bad})
 			}
-			w.asked += w.load[e] * (1 - sum(w.now.Read[e])) // shed
+			w.requested += w.load[e] * (1 - sum(w.now.Read[e])) // shed
 		}
 		for z, name := range w.names {
 			view.Capacities[name] = zone.Capacity{Load: in[z], Now: w.actual[z], Listed: w.actual[z] > 0}
@@ -202,7 +202,7 @@
 			w.maps++
 			after := w.in()
 			for z := range n {
-				require.LessOrEqual(w.t, after[z], math.Max(in[z], in[z]+aim.Headroom[z])+1e-6*(1+in[z]), "zone %d can bear no more", z)
+				require.LessOrEqual(w.t, after[z], math.Max(in[z], in[z]+aim.Headroom[z])+1e-6*(1+in[z]), "zone %d has no capacity for more", z)
 				if aim.Level[z] == 0 {
 					require.Zero(w.t, after[z], "nothing goes to a zone that may not be used")
 				}
@@ -236,21 +236,21 @@
 }
 
 // A zone with 40% of the load is lost at once while its neighbours are at 70%: they receive what
-// they can bear, the lost zone nothing, and the rest is shed. The zone returns gradually, and then
-// all traffic is near again.
+// they have capacity for, the lost zone nothing, and the rest is shed. The zone returns gradually,
+// and then all traffic is near again.
 func TestAZoneIsLostAndReturns(t *testing.T) {
 	w := newWorld(t, []float64{80, 60, 60}, []float64{115, 86, 86})
 	w.run(10 * second)
 	require.Zero(t, w.far(), "nothing moves without a fault")
 	require.Zero(t, w.maps)
 	w.actual[0] = 0
-	w.served, w.asked = 0, 0
+	w.served, w.requested = 0, 0
 	w.run(5 * second)
 	require.Equal(t, zone.Lost, w.states[0].State)
-	w.served, w.asked = 0, 0
+	w.served, w.requested = 0, 0
 	w.run(15 * second)
-	t.Logf("served %.3f of all while the zone is lost; the remaining capacity of 172 for 200 permits %.3f", w.served/w.asked, 172./200)
-	require.Greater(t, w.served/w.asked, 0.95*172/200)
+	t.Logf("served %.3f of all while the zone is lost; the remaining capacity of 172 for 200 permits %.3f", w.served/w.requested, 172./200)
+	require.Greater(t, w.served/w.requested, 0.95*172/200)
 	w.actual[0] = 115
 	began, near := w.at, time.Duration(0)
 	for w.far() > 0.001 && w.at < began+Time(5*time.Minute) {
@@ -282,8 +282,9 @@
 	}
 }
 
-// For random faults at 2 to 4 zones: nothing goes to a lost zone, no zone gains more than it can
-// bear, no more maps are made than stated, and all traffic is near again once the faults end.
+// For random faults at 2 to 4 zones: nothing goes to a lost zone, no zone gains more than it has
+// capacity for, no more maps are made than stated, and all traffic is near again once the faults
+// end.
 func TestWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "zones")
@@ -294,7 +295,7 @@
 			load[z] = takes[z] * (0.3 + 0.45*rng.Float64())
 		}
 		w := newWorld(t, load, takes)
-		for range rapid.IntRange(1, 10).Draw(t, "harms") {
+		for range rapid.IntRange(1, 10).Draw(t, "faults") {
 			z, o := rng.IntN(n), rng.IntN(n)
 			switch rng.IntN(4) {
 			case 0:
@@ -322,7 +323,7 @@
 	})
 }
 
-// The check of what a zone bears detects a decider that moves everything at once.
+// The check of the zones' capacity detects a decider that moves everything at once.
 func TestTheCheckCanFail(t *testing.T) {
 	f := &recorder{}
 	w := newWorld(f, []float64{180, 20, 20}, []float64{100, 150, 150})
@@ -353,20 +354,21 @@
 	require.ErrorIs(t, err, ErrMap)
 }
 
-// Figures bring the traffic sent to the target shares, whatever the other costs of the zones are.
-func TestFiguresFollowShares(t *testing.T) {
+// The factors bring the traffic sent to the target shares, whatever the other costs of the zones
+// are.
+func TestFactorsBringSentTrafficToShares(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, share := range []float64{0.1, 0.3, 0.6} {
 		var b Balance
 		at, sent := Time(0), []float64{0, 0, 0}
 		shares, may := []float64{1 - share, share, 0}, []bool{true, true, false}
-		figures := b.Factors(shares, may, 0, at)
+		factors := b.Factors(shares, may, 0, at)
 		for i := range 6000 {
 			at += Time(10 * time.Millisecond)
 			// The cheapest server, with noise as large as the factors.
 			best, z := math.Inf(1), 0
-			for k := range figures {
-				if c := figures[k] * (0.5 + rng.Float64()); c < best {
+			for k := range factors {
+				if c := factors[k] * (0.5 + rng.Float64()); c < best {
 					best, z = c, k
 				}
 			}
@@ -375,13 +377,13 @@
 				sent[z]++
 			}
 			if i%10 == 0 {
-				figures = b.Factors(shares, may, 0, at)
+				factors = b.Factors(shares, may, 0, at)
 			}
 		}
 		t.Logf("share %.2f: %.3f sent", share, sent[1]/(sent[0]+sent[1]))
 		require.InDelta(t, share, sent[1]/(sent[0]+sent[1]), 0.06)
 		require.Zero(t, sent[2])
-		require.Equal(t, 1.0, figures[0])
+		require.Equal(t, 1.0, factors[0])
 		require.Equal(t, maxFactor, b.Factors(shares, []bool{true, true, true}, 0, at)[2], "no share, but it may be used")
 	}
 }
--- a/fleet/version/version.go
+++ b/fleet/version/version.go
@@ -21,8 +21,8 @@
 // maxKept is the number of vectors that are kept by their numbers.
 const maxKept = 1024
 
-// LocalPrefix is the prefix of the parts whose versions this router counts by itself. They order its own
-// records and can't be compared with those of another router.
+// LocalPrefix is the prefix of the parts whose versions this router counts by itself. They order
+// its own records and can't be compared with those of another router.
 const LocalPrefix = "here/"
 
 // Shared returns the parts of v that can be compared between routers.
--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -153,7 +153,7 @@
 	return m, nil
 }
 
-// observations summarizes the sights of one zone by the zone that they are from.
+// observations groups the zones that observe one zone by what their observations of it indicate.
 type observations struct {
 	of                  string
 	lost, failing, good []string
@@ -220,11 +220,11 @@
 	for _, name := range m.cfg.Zones {
 		r, l := m.zones[name], m.observations(v, name)
 		m.step(r, &l, v.Capacities[name], v.Out[name], now)
-		verdict := Decision{Zone: name, State: r.state, Level: r.level, Since: r.since, Why: r.why}
+		decision := Decision{Zone: name, State: r.state, Level: r.level, Since: r.since, Why: r.why}
 		if r.state != Lost { // a lost zone is unreachable from all zones
-			verdict.Cut = l.cut()
+			decision.Cut = l.cut()
 		}
-		out = append(out, verdict)
+		out = append(out, decision)
 	}
 	return out
 }
--- a/fleet/zone/zone_test.go
+++ b/fleet/zone/zone_test.go
@@ -68,7 +68,7 @@
 
 func (w *world) state(z string) State { return w.got[z].State }
 
-func TestLostAndBack(t *testing.T) {
+func TestLostAndReturning(t *testing.T) {
 	w := newWorld(t, config("a", "b", "c"))
 	w.all("a", 1)
 	w.run(second / 2)
@@ -94,7 +94,7 @@
 
 // A zone that fails and recovers every 3 s returns later each time, which bounds how often traffic
 // moves.
-func TestAZoneThatFlaps(t *testing.T) {
+func TestFlappingZone(t *testing.T) {
 	w := newWorld(t, config("a", "b", "c"))
 	moves, last := 0, Healthy
 	for i := range 200 {
@@ -186,7 +186,7 @@
 // For any observations, a zone becomes lost only if its own routers or those of two other zones
 // report it, and none reports it as good; a lost zone has level 0; and once there are no faults for
 // long enough all zones are healthy.
-func TestWhateverIsSeen(t *testing.T) {
+func TestAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "zones")]
 		w := newWorld(t, config(zones...))
