--- a/discovery/agentrule/agentrule.go
+++ b/discovery/agentrule/agentrule.go
@@ -26,10 +26,10 @@
 	// empty line every 2 s, and a change that a silent watch misses counts as known 6 s after the
 	// watch fell silent.
 	silenceTimeout = 5 * time.Second
-	// secondWatchAfter is the silence after which a second watch is opened beside a pushed one: the
-	// 2 s between two empty lines and half a second more.
+	// secondWatchAfter is the silence after which a second watch is opened in addition to a pushed
+	// one: the 2 s between two empty lines and half a second more.
 	secondWatchAfter = 2500 * time.Millisecond
-	// slowCallAfter is how long a new call may be silent before another is opened beside it. A
+	// slowCallAfter is how long a new call may be silent before another is opened in addition. A
 	// working agent usually answers at once. The slow call stays open.
 	slowCallAfter = time.Second
 	maxOpenCalls  = 3
@@ -48,12 +48,12 @@
 	initialCallsPerSecond = 20
 	maxSpanGrowth         = 4
 	failedCallFactor      = 4 // bounds the span to so many times Config.MustAsk
-	// maxWait bounds every wait between calls where lists are polled. What counts as known 6 s
-	// after discovery could be reached must have been received by then. So N routers whose calls
-	// all fail make about N/2 calls a second in total.
+	// maxWait bounds every wait between calls where lists are polled. A change counts as known 6 s
+	// after discovery could be reached, so the router must have received it by then. With this
+	// bound, N routers whose calls all fail make about N/2 calls a second in total.
 	maxWait = 4 * time.Second
-	// secondCallMin and secondCallMax bound the silence after which a second call is opened beside
-	// the first where lists are polled. It is drawn at random between them.
+	// secondCallMin and secondCallMax bound the silence after which a second call is opened in
+	// addition to the first where lists are polled. It is drawn at random between them.
 	secondCallMin = 2500 * time.Millisecond
 	secondCallMax = 3500 * time.Millisecond
 	// maxWaitAfterSilence bounds the wait after a cancelled call where lists are polled:
@@ -79,10 +79,10 @@
 	id          Call
 	epoch       int
 	openedAt    time.Time
-	lastByteAt  time.Time // when the last byte came; zero: none has come
+	lastByteAt  time.Time // when the last byte arrived; zero: none has
 	listBegunAt time.Time // when a list began that is not complete; zero: none
-	gotList     bool      // it has brought a list
-	// secondCallAfter is the silence after which another call is opened beside this one.
+	gotList     bool      // a list was received on it
+	// secondCallAfter is the silence after which another call is opened in addition.
 	secondCallAfter time.Duration
 }
 
@@ -107,7 +107,7 @@
 	lastID       Call
 	epoch        int       // counts the addresses of discovery
 	nextAllowed  time.Time // the earliest time of the next call of this epoch if none is open
-	pauseUntil   time.Time // the earliest time of a call beside an open one, after a failed call
+	pauseUntil   time.Time // after a failed call: the earliest time of a call while another is open
 	invalidLists int       // invalid lists in a row
 }
 
@@ -133,15 +133,15 @@
 	return nil
 }
 
-// BytesReceived records that bytes came on a call.
+// BytesReceived records that bytes arrived on a call.
 func (r *Rule) BytesReceived(now time.Time, id Call) {
 	if c := r.find(id); c != nil {
 		c.lastByteAt = now
 	}
 }
 
-// ListBegun records that bytes came on a call that begin or continue a list. The list ends when Told or
-// Ended is called for it.
+// ListBegun records that bytes arrived on a call that begin or continue a list. The list ends when
+// ListReceived or CallEnded is called for the call.
 func (r *Rule) ListBegun(now time.Time, id Call) {
 	if c := r.find(id); c != nil {
 		c.lastByteAt = now
@@ -151,8 +151,8 @@
 	}
 }
 
-// ListReceived records that a call brought a list that was applied. It returns the calls that are no longer
-// needed; they count as ended.
+// ListReceived records that a list arrived on a call and was applied. It returns the calls that are
+// no longer needed; they count as ended.
 func (r *Rule) ListReceived(now time.Time, id Call) (drop []Call) {
 	c := r.find(id)
 	if c == nil {
@@ -210,8 +210,8 @@
 	return time.Duration(r.rng.Int64N(int64(max(span, 1))))
 }
 
-// AddressChanged records that discovery has another address. It is called at once; lists from the old
-// address count until the new one has sent a list.
+// AddressChanged records that discovery has another address. The next call may be opened at once;
+// lists from the old address count until the new one has sent a list.
 func (r *Rule) AddressChanged(now time.Time) {
 	r.epoch++
 	r.nextAllowed, r.pauseUntil, r.invalidLists = now, now, 0
--- a/discovery/agentrule/agentrule_test.go
+++ b/discovery/agentrule/agentrule_test.go
@@ -24,11 +24,11 @@
 	received int // number of changes that the router has received
 	// knownAt holds when each change counts as known to the router.
 	knownAt []time.Time
-	maxLate time.Duration // the longest time that a change came after that
+	maxLate time.Duration // the longest delay of a change after its knownAt
 
 	downUntil, refusesUntil time.Time
 	silentSince             time.Time // when the open watches fell silent; zero: they work
-	asked                   int
+	calls                   int
 }
 
 type watch struct {
@@ -57,7 +57,7 @@
 		delete(a.open, id)
 	}
 	if open != 0 {
-		a.asked++
+		a.calls++
 		a.open[open] = &watch{sent: a.received, isNew: true}
 	}
 	for id, l := range a.open {
@@ -100,9 +100,9 @@
 	a.knownAt = append(a.knownAt, known)
 }
 
-// simulatePushed simulates two minutes of faults and returns how late the latest change came and
+// simulatePushed simulates two minutes of faults and returns how late the latest change arrived and
 // the number of calls.
-func simulatePushed(cfg Config, faults string, seed uint64) (late time.Duration, asked int) {
+func simulatePushed(cfg Config, faults string, seed uint64) (late time.Duration, calls int) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	cfg.Seed = seed
 	a := newAgent(New(cfg))
@@ -147,7 +147,7 @@
 		}
 		a.step()
 	}
-	return a.maxLate, a.asked
+	return a.maxLate, a.calls
 }
 
 // Whatever happens to the watches of a router's own agent, each change must reach the router within
@@ -156,13 +156,13 @@
 	for _, routers := range []int{0, 1, 8, 80, 300, 350} {
 		for _, faults := range []string{"s", "r", "d", "f", "m", "srdfm"} {
 			for seed := range uint64(4) {
-				late, asked := simulatePushed(Config{Routers: routers, Pushed: true}, faults, seed)
+				late, calls := simulatePushed(Config{Routers: routers, Pushed: true}, faults, seed)
 				require.LessOrEqual(t, late, grace, "%d routers, faults %s, seed %d", routers, faults, seed)
-				require.Less(t, asked, 1300, "%d routers, faults %s, seed %d: calls in two minutes", routers, faults, seed)
+				require.Less(t, calls, 1300, "%d routers, faults %s, seed %d: calls in two minutes", routers, faults, seed)
 			}
 		}
 	}
-	// The check can fail: with the rule for polled lists, changes come late.
+	// The check can fail: with the rule for polled lists, changes arrive late.
 	late, _ := simulatePushed(Config{Routers: 300}, "r", 1)
 	require.Greater(t, late, time.Second)
 }
@@ -170,23 +170,23 @@
 // An agent that keeps sending an invalid list is called at growing intervals.
 func TestInvalidListsBackOff(t *testing.T) {
 	r, now := New(Config{Pushed: true}), time.Unix(1e9, 0)
-	asked := 0
+	calls := 0
 	for range int(30 * time.Second / step) {
 		now = now.Add(step)
 		if _, open, _ := r.Next(now); open != 0 {
-			asked++
+			calls++
 			r.BytesReceived(now, open)
 			r.CallEnded(now, open, true)
 		}
 	}
-	require.InDelta(t, 18, asked, 4)
+	require.InDelta(t, 18, calls, 4)
 }
 
 // A discovery that can serve a fixed number of calls a second has lost all its watches at once. It
 // serves calls in turn and fails those that have waited for two seconds; a failed call costs it as
 // much as any other. All routers must reconnect within a bounded time without calling in step.
-func TestRoutersComeBackToADiscoveryOfFixedCapacity(t *testing.T) {
-	const patience = 2 * time.Second
+func TestRoutersReconnectToDiscoveryOfFixedCapacity(t *testing.T) {
+	const callTimeout = 2 * time.Second
 	for routers, each := range map[int]time.Duration{ // discovery's time for one call
 		1: 100 * time.Millisecond, 8: 100 * time.Millisecond, 20: 100 * time.Millisecond, 80: 20 * time.Millisecond,
 		200: 8 * time.Millisecond, 350: 5 * time.Millisecond, 1024: 1600 * time.Microsecond,
@@ -207,14 +207,14 @@
 				rules[i].CallEnded(now, id, false)
 			}
 			var queue []waiting
-			asked, back := map[int]int{}, 0
+			callsPerSecond, back := map[int]int{}, 0
 			for ; back < routers && now.Sub(start) < 3*time.Minute; now = now.Add(step) {
 				for i, r := range rules {
 					if in[i] {
 						continue
 					}
 					if _, id, _ := r.Next(now); id != 0 {
-						asked[int(now.Sub(start)/time.Second)]++
+						callsPerSecond[int(now.Sub(start)/time.Second)]++
 						queue = append(queue, waiting{i, id, now})
 					}
 				}
@@ -226,7 +226,7 @@
 					}
 					free = free.Add(each)
 					switch {
-					case now.Sub(w.at) >= patience:
+					case now.Sub(w.at) >= callTimeout:
 						rules[w.router].CallEnded(now, w.id, false)
 					case !in[w.router]:
 						in[w.router] = true
@@ -235,9 +235,9 @@
 				}
 			}
 			require.Equal(t, routers, back, "routers that are back")
-			require.Less(t, now.Sub(start), 2*maxWait+patience, "when the last one is")
+			require.Less(t, now.Sub(start), 2*maxWait+callTimeout, "when the last one is")
 			most := 0
-			for _, n := range asked {
+			for _, n := range callsPerSecond {
 				most = max(most, n)
 			}
 			t.Logf("%d routers, %v a call: back after %v, %d calls in the worst second", routers, each, now.Sub(start), most)
@@ -249,18 +249,18 @@
 // knownAfter is the time after which a change counts as known, whatever has failed before.
 const knownAfter = 6 * time.Second
 
-// simulateAsked simulates faults of a discovery that all routers poll, until it answers again. It
+// simulatePolled simulates faults of a discovery that all routers poll, until it answers again. It
 // returns how long after that the last router has its list, and the calls in the worst second
 // before.
-func simulateAsked(routers int, faults string, seed uint64) (late time.Duration, most int) {
+func simulatePolled(routers int, faults string, seed uint64) (late time.Duration, most int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	start := time.Unix(1e9, 0)
 	answers := start.Add(3*time.Second + time.Duration(rng.Int64N(int64(20*time.Second))))
 	type out struct {
 		fault byte
-		at    time.Time // when the call ends, or the next bytes come
+		at    time.Time // when the call ends, or the next bytes arrive
 	}
-	asked := map[int]int{}
+	callsPerSecond := map[int]int{}
 	for i := range routers {
 		r := New(Config{Routers: routers, MustAsk: 10 * time.Second, Seed: seed<<16 + uint64(i)})
 		open := map[Call]*out{}
@@ -278,7 +278,7 @@
 				delete(open, d)
 			}
 			if id != 0 {
-				asked[int(now.Sub(start)/time.Second)]++
+				callsPerSecond[int(now.Sub(start)/time.Second)]++
 				if !now.Before(answers) {
 					late = max(late, now.Sub(answers))
 					break
@@ -323,7 +323,7 @@
 			}
 		}
 	}
-	for second, n := range asked {
+	for second, n := range callsPerSecond {
 		if second < int(answers.Sub(start)/time.Second) {
 			most = max(most, n)
 		}
@@ -333,7 +333,7 @@
 
 // Whatever has failed before, a router that polls must have the next list within 6 s after
 // discovery answers again. An open watch that works counts as having sent everything.
-func TestAskedListsArriveIn6Seconds(t *testing.T) {
+func TestPolledListsArriveIn6Seconds(t *testing.T) {
 	for _, routers := range []int{1, 8, 80, 350, 1024} {
 		alone := []string{"r", "s", "d", "5", "n", "h", "b"}
 		if routers > 80 {
@@ -343,7 +343,7 @@
 			var late time.Duration
 			var most int
 			for seed := range uint64(max(1, 100/routers)) {
-				l, m := simulateAsked(routers, faults, seed)
+				l, m := simulatePolled(routers, faults, seed)
 				late, most = max(late, l), max(most, m)
 			}
 			t.Logf("%4d routers, faults %-7s: %4d ms at most, %4d calls in the worst second", routers, faults, late.Milliseconds(), most)
@@ -353,21 +353,21 @@
 	}
 }
 
-// A call that fails beside a silent one must not be repeated at once.
-func TestCallsBesideASilentOneKeepTheirRate(t *testing.T) {
+// A call that fails while a silent one is open must not be repeated at once.
+func TestCallsInAdditionToASilentOneKeepTheirRate(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		r, now := New(Config{Routers: 8, Pushed: pushed}), time.Unix(1e9, 0)
 		_, id, _ := r.Next(now)
 		r.ListReceived(now, id)
-		asked := 0
+		calls := 0
 		for range int(4 * time.Second / time.Millisecond) {
 			now = now.Add(time.Millisecond)
 			if _, open, _ := r.Next(now); open != 0 {
-				asked++
+				calls++
 				r.CallEnded(now, open, false)
 			}
 		}
-		require.LessOrEqual(t, asked, 1+int(2*time.Second/retryDelay), "pushed %v", pushed)
+		require.LessOrEqual(t, calls, 1+int(2*time.Second/retryDelay), "pushed %v", pushed)
 	}
 }
 
--- a/discovery/dnsrule/lookup.go
+++ b/discovery/dnsrule/lookup.go
@@ -13,7 +13,7 @@
 	"github.com/miekg/dns"
 )
 
-// MaxTargets is the most targets that one name may have.
+// MaxTargets is the maximum number of targets of one name.
 const MaxTargets = 4096
 
 // Family states which addresses of a target are queried.
@@ -88,7 +88,7 @@
 	return ask
 }
 
-// Done reports whether no question is pending or open.
+// Done reports whether the look-up has failed, or no question is pending or open.
 func (l *Lookup) Done() bool {
 	return l.err != nil || len(l.pending) == 0 && len(l.asked) == 0 && l.srv.Name == ""
 }
@@ -306,7 +306,7 @@
 		if best != nil {
 			n = best.n
 		}
-		return Result{}, fmt.Errorf("%w: %d of %d give the same, %d needed", ErrNoAgreement, n, len(results), required)
+		return Result{}, fmt.Errorf("%w: %d of %d name servers returned the same result, %d needed", ErrNoAgreement, n, len(results), required)
 	}
 	return best.result, nil
 }
--- a/discovery/dnsrule/message.go
+++ b/discovery/dnsrule/message.go
@@ -37,7 +37,7 @@
 }
 
 // ErrMismatch reports a message that is not an answer to the question. Over UDP it is ignored, as
-// the right answer may still come.
+// the right answer may still arrive.
 var ErrMismatch = errors.New("not an answer to the question")
 
 // Parse unpacks a message and checks that it answers a question that was sent with the given id.
@@ -82,7 +82,7 @@
 	ErrAliases   = errors.New("too many aliases, or a loop of them")
 )
 
-// MaxAliases is the most CNAME records in a chain.
+// MaxAliases is the maximum number of CNAME records in a chain.
 const MaxAliases = 8
 
 // Read returns the content of a message that answers a question. An error is a failure of the name
--- a/discovery/dnsrule/rule_test.go
+++ b/discovery/dnsrule/rule_test.go
@@ -302,7 +302,7 @@
 	require.LessOrEqual(t, s.AfterFailure(), times.RetryMin)
 }
 
-func TestServersThatFailedComeLast(t *testing.T) {
+func TestFailedServersAreOrderedLast(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewServers(3, time.Second, 4*time.Second)
 	require.Equal(t, []int{0, 1, 2}, s.Order(now))
--- a/discovery/dnsrule/spread_test.go
+++ b/discovery/dnsrule/spread_test.go
@@ -50,7 +50,7 @@
 	return float64(peak) / mean, mean
 }
 
-func TestRoutersStartedTogetherDoNotAskTogether(t *testing.T) {
+func TestRoutersStartedTogetherSpreadTheirQueries(t *testing.T) {
 	with, _ := simulateRefreshes(times.Spread, 20)
 	without, _ := simulateRefreshes(0, 20)
 	require.Less(t, with, 2.0)
--- a/discovery/dnssrv/resolver.go
+++ b/discovery/dnssrv/resolver.go
@@ -20,7 +20,7 @@
 	Agree    int
 	Timeout  time.Duration // per question and server, separately for UDP and TCP
 	Deadline time.Duration // of the whole look-up
-	Parallel int           // the most open questions, and so descriptors
+	Parallel int           // maximum number of open questions, each with a descriptor of its own
 	dnsrule.Lifetimes
 }
 
--- a/discovery/dnssrv/source_test.go
+++ b/discovery/dnssrv/source_test.go
@@ -67,7 +67,7 @@
 	require.Equal(t, 5*time.Second, r.TTL)
 }
 
-func TestFiveHundredTargetsComeOverTCP(t *testing.T) {
+func TestFiveHundredTargetsArriveOverTCP(t *testing.T) {
 	s := standin(t)
 	s.Set(targets(500)...)
 	addrs, _, err := lookup(t, testConfig(s))
@@ -122,7 +122,7 @@
 	require.NoError(t, closed.Close())
 	for name, script := range map[string]func(dns.Query, *mdns.Msg) dns.Reply{
 		"SERVFAIL": dns.Code(mdns.RcodeServerFailure), "REFUSED": dns.Code(mdns.RcodeRefused), "silent": dns.Silent,
-		"refuses to talk": nil,
+		"connection refused": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			bad, good := standin(t), standin(t)
@@ -147,21 +147,21 @@
 }
 
 func TestMismatchedAnswersAreIgnored(t *testing.T) {
-	other := func(m *mdns.Msg, spoil func(*mdns.Msg)) *mdns.Msg {
-		lie := m.Copy()
-		lie.Answer = nil
-		lie.Rcode = mdns.RcodeNameError
-		spoil(lie)
-		return lie
+	other := func(m *mdns.Msg, alter func(*mdns.Msg)) *mdns.Msg {
+		forged := m.Copy()
+		forged.Answer = nil
+		forged.Rcode = mdns.RcodeNameError
+		alter(forged)
+		return forged
 	}
-	for name, spoil := range map[string]func(*mdns.Msg){
+	for name, alter := range map[string]func(*mdns.Msg){
 		"wrong id":       func(m *mdns.Msg) { m.Id++ },
 		"wrong question": func(m *mdns.Msg) { m.Question[0].Name = "else.test." },
 		"a query":        func(m *mdns.Msg) { m.Response = false },
 	} {
 		s := standin(t)
 		s.Set(targets(1)...)
-		s.Script(func(_ dns.Query, m *mdns.Msg) dns.Reply { return dns.Reply{Msgs: []*mdns.Msg{other(m, spoil), m}} })
+		s.Script(func(_ dns.Query, m *mdns.Msg) dns.Reply { return dns.Reply{Msgs: []*mdns.Msg{other(m, alter), m}} })
 		addrs, _, err := lookup(t, testConfig(s))
 		require.NoError(t, err, name)
 		require.Len(t, addrs, 1, name)
@@ -181,10 +181,10 @@
 func TestAnswersFromElsewhereAreDropped(t *testing.T) {
 	front, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	liar, err := net.ListenPacket("udp", "127.0.0.1:0")
+	otherPort, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer front.Close()
-	defer liar.Close()
+	defer otherPort.Close()
 	go func() {
 		buf := make([]byte, 4096)
 		for {
@@ -196,11 +196,11 @@
 			if m.Unpack(buf[:n]) != nil {
 				return
 			}
-			lie, err := m.SetRcode(m, mdns.RcodeNameError).Pack()
+			forged, err := m.SetRcode(m, mdns.RcodeNameError).Pack()
 			if err != nil {
 				return
 			}
-			_, _ = liar.WriteTo(lie, from)
+			_, _ = otherPort.WriteTo(forged, from)
 		}
 	}()
 	c := testConfig()
@@ -209,12 +209,12 @@
 	require.Error(t, err)
 }
 
-func TestOneOfThreeLies(t *testing.T) {
-	a, b, liar := standin(t), standin(t), standin(t)
+func TestOneOfThreeServersDisagrees(t *testing.T) {
+	a, b, wrong := standin(t), standin(t), standin(t)
 	a.Set(targets(3)...)
 	b.Set(targets(3)...)
-	liar.Set(service+" 30 IN SRV 1 1 666 evil.test.", "evil.test. 30 IN A 10.6.6.6")
-	c := testConfig(liar, a, b)
+	wrong.Set(service+" 30 IN SRV 1 1 666 evil.test.", "evil.test. 30 IN A 10.6.6.6")
+	c := testConfig(wrong, a, b)
 	c.Agree = 2
 	addrs, _, err := lookup(t, c)
 	require.NoError(t, err)
--- a/discovery/membership/membership.go
+++ b/discovery/membership/membership.go
@@ -121,7 +121,7 @@
 	Kind   int
 	Since  int64 // latest start in Unix nanoseconds; 0 or LongAgo: long ago
 	// Draining means that the worker gets no new requests: a source reports it as draining, or it
-	// is on standby behind a better priority.
+	// is on standby because a better priority is in use.
 	Draining bool
 }
 
@@ -222,7 +222,7 @@
 	return "", nil
 }
 
-// MaxEntries is the most workers that one source may list.
+// MaxEntries is the maximum number of workers that one source may list.
 const MaxEntries = 1 << 16
 
 // forgetAfter is how long the state of a worker that no source lists is kept.
--- a/discovery/membership/property_test.go
+++ b/discovery/membership/property_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// steps are rounds of reports; the reports of one round come at the same time.
+// steps are rounds of reports; the reports of one round are sent at the same time.
 type steps [][]Report
 
 func drawSteps(t *rapid.T, sources []string) steps {
@@ -18,7 +18,7 @@
 			Cell:     rapid.IntRange(0, 1).Draw(t, "cell"),
 			Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
 			Since:    rapid.SampledFrom([]int64{0, 0, 5, t0.Add(3 * time.Second).UnixNano()}).Draw(t, "since"),
-			Status:   rapid.SampledFrom([]Status{Serving, Serving, Serving, Draining, Gone}).Draw(t, "word")}
+			Status:   rapid.SampledFrom([]Status{Serving, Serving, Serving, Draining, Gone}).Draw(t, "status")}
 		if rapid.Bool().Draw(t, "named") {
 			e.Name = rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")
 		}
--- a/discovery/membership/set.go
+++ b/discovery/membership/set.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Set is the workers that all sources together list. The work done for a report of changes grows
+// Set holds the workers that all sources together list. The work done for a report of changes grows
 // with the number of changes, not with the size of the set.
 type Set struct {
 	sources         []*source
@@ -119,7 +119,7 @@
 	return s.recompute()
 }
 
-// Advance applies what has come due by now. Call it at the time that Next returns.
+// Advance runs the actions that are due by now. Call it at the time that Next returns.
 func (s *Set) Advance(now time.Time) []Change {
 	s.advance(now)
 	return s.recompute()
@@ -269,17 +269,17 @@
 	}
 	m, reason, by := place.member()
 	w.reason, w.decidedBy = reason, by
-	was, wasIn := w.member, w.served
-	if wasIn && was == m {
+	was, wasServed := w.member, w.served
+	if wasServed && was == m {
 		return Change{}, false
 	}
 	w.served, w.member = true, m
-	if wasIn {
+	if wasServed {
 		s.addServing(was, -1)
 	}
 	s.addServing(m, 1)
 	switch {
-	case !wasIn:
+	case !wasServed:
 		return Change{Kind: Added, Member: m, Reason: reason, Source: by}, true
 	case reason != Listed || was.Draining:
 	case m.Addr != was.Addr:
--- a/discovery/membership/set_test.go
+++ b/discovery/membership/set_test.go
@@ -188,7 +188,8 @@
 	r.fullReport("store", serving("b", "h:1"))
 	r.requireSet("a")
 	require.Empty(t, r.last, "the second name changes nothing")
-	r.changeReport("store", withStatus("b", "h:1", Draining)) // one process: it drains under both names
+	// One process: it drains under both names.
+	r.changeReport("store", withStatus("b", "h:1", Draining))
 	r.requireSet("~a")
 	r.changeReport("store", serving("b", "h:1"))
 	r.requireSet("a")
@@ -220,7 +221,7 @@
 	r.changeReport("store", startedAt("a", "h:2", 6e9))
 	r.requireReason(Restarted)
 	r.changeReport("store", Entry{Name: "a", Addr: "h:2", Weight: 1, Since: 6e9, Cell: 4})
-	require.Empty(t, r.last, "the figures come from the first source")
+	require.Empty(t, r.last, "weight and cell are those of the first source")
 	r.changeReport("list", Entry{Name: "a", Addr: "h:1", Weight: 2})
 	r.requireReason(Amended)
 	require.Equal(t, Member{Name: "a", Addr: "h:2", Weight: 2, Since: 6e9}, r.router["a"])
@@ -289,7 +290,7 @@
 	r.requireSet()
 }
 
-func TestFinalEmptyReportNeedsNoConfirmation(t *testing.T) {
+func TestConfirmedEmptyReportIsAppliedAtOnce(t *testing.T) {
 	r := newRig(t, boundedPolicy, Policy{Name: "list"})
 	r.fullReport("dns", fleet(0, 4)...)
 	r.fullReport("list", serving("a", "h:1"))
@@ -442,7 +443,8 @@
 	r.requireSet("h:1", "h:2", "~h:3", "~h:4")
 	r.changeReport("store", withStatus("", "h:1", Draining))
 	r.requireSet("~h:1", "h:2", "~h:3", "~h:4")
-	r.changeReport("store", withStatus("", "h:2", Gone)) // no worker of the better priority is in service
+	// No worker of the better priority is in service any more.
+	r.changeReport("store", withStatus("", "h:2", Gone))
 	r.requireSet("~h:1", "h:3", "h:4")
 	require.Equal(t, 20, r.source("dns").Priority)
 	r.fullReport("list", serving("c", "h:3")) // held by a list without priorities
@@ -531,7 +533,7 @@
 	r.requireSet(names(4, 24)...)
 }
 
-// An Advance that comes late must apply each action as of the time at which it was due.
+// An Advance that is called late must apply each action as of the time at which it was due.
 func TestLateAdvanceUsesTheTimeWhenDue(t *testing.T) {
 	r := newRig(t, boundedPolicy)
 	r.fullReport("dns", fleet(0, 4)...)
--- a/discovery/membership/view.go
+++ b/discovery/membership/view.go
@@ -15,7 +15,7 @@
 	Expired    bool      // it has been stale for too long, so its list does not count
 	Fault      string    // the last failure
 	Version    uint64
-	Workers    int // that it lists
+	Workers    int // the workers that it lists
 	Held       int // of these, those that its last report left out
 	Damped     int
 	Priority   int // in use; -1 if no worker is in service
@@ -44,7 +44,7 @@
 type WorkerView struct {
 	Name     string
 	Served   bool
-	Member   Member // if In
+	Member   Member // if Served
 	Reason   Reason
 	By       string // the source that decided, or the name that shadows it
 	Listings []ListingView
--- a/discovery/membership/worker.go
+++ b/discovery/membership/worker.go
@@ -99,8 +99,8 @@
 
 // appliesTo reports whether an explicit status of one name also applies to another name at the same
 // address, as it does if one process is listed under two names. It does not if the other worker is
-// known to have come later: it has started since, or the source that reported the first one as Gone
-// lists it.
+// known to be a later process: it has started since, or the source that reported the first one as
+// Gone lists it.
 func (l *listing) appliesTo(owner *worker) bool {
 	if owner.since() > l.statusSince.UnixNano() {
 		return false
@@ -117,13 +117,13 @@
 func (s *site) selectOwner() *worker {
 	var bare, best, last *worker
 	for _, w := range s.workers {
-		switch held := w.hasEffectiveListing(); {
+		switch effective := w.hasEffectiveListing(); {
 		case len(w.listings) == 0:
 		case w.anonymous():
-			if held {
+			if effective {
 				bare = w
 			}
-		case held:
+		case effective:
 			if best == nil || w.before(best) {
 				best = w
 			}
@@ -187,7 +187,7 @@
 	return s.owner != nil && s.status == Serving && l.isEffective() && (l.worker == s.owner || l.worker.anonymous())
 }
 
-// member returns the owner as the router uses it, with the figures of the first source that lists
+// member returns the owner as the router uses it, with the values of the first source that lists
 // it. A worker whose start is unknown counts as started when it was first listed; one that was in
 // its source's first list counts as started long ago.
 func (s *site) member() (m Member, reason Reason, by string) {
--- a/discovery/sources/config.go
+++ b/discovery/sources/config.go
@@ -359,9 +359,9 @@
 		NegMax: s.MissingMax.Duration, RetryMin: s.RetryMin.Duration, RetryMax: s.RetryMax.Duration, Spread: s.Spread}
 }
 
-// SourcesOf returns the sources that a front uses, in order. Unless the file lists them, the front's own
-// list comes first and, if registered is set, the workers registered in this router's replica come
-// last. c may be nil.
+// SourcesOf returns the sources that a front uses, in order. Unless the file lists them, the
+// front's own list comes first and, if registered is set, the workers registered in this router's
+// replica come last. c may be nil.
 func (c *Config) SourcesOf(front string, registered bool) []Source {
 	var out []Source
 	hasOwn, hasStore := false, !registered
@@ -387,8 +387,9 @@
 	return c != nil && slices.ContainsFunc(c.Sources, func(s Source) bool { return slices.Contains(s.Fronts, front) })
 }
 
-// Bad returns an error at a key of the named source, for faults found by a front.
-func (c *Config) Bad(name, key string, value any, why string) error {
+// SourceError returns an error for a key of the named source, for faults that only a front can
+// find.
+func (c *Config) SourceError(name, key string, value any, why string) error {
 	for i := 0; c != nil && i < len(c.Sources); i++ {
 		if c.Sources[i].Name == name {
 			return c.file.ValueError(fmt.Sprintf("source[%d].%s", i, key), value, why)
--- a/discovery/sources/feed.go
+++ b/discovery/sources/feed.go
@@ -45,9 +45,9 @@
 	names    Names                // nil: the front knows neither zones nor kinds
 	registry storesource.Registry // nil: this router holds no replica
 
-	// OnReport is called for each report that was applied, with its source and version. The version is
-	// the source's own or, with own false, the number of the report. Took must be set before Apply
-	// and must return at once.
+	// OnReport is called for each report that was applied, with its source and version. The version
+	// is the source's own or, with own false, the number of the report. OnReport must be set before
+	// Apply and must return at once.
 	OnReport func(source string, version uint64, own bool)
 
 	serving atomic.Int64
@@ -147,7 +147,7 @@
 	return plans, policies, nil
 }
 
-// prepare makes a source ready to run, so that all errors come up before the first source is
+// prepare makes a source ready to run, so that all errors are found before the first source is
 // started.
 func (f *Feed) prepare(c *Config, s Source) (func(context.Context, *Port), error) {
 	template := membership.Entry{Weight: 1, Cell: s.Cell}
@@ -159,11 +159,11 @@
 			continue
 		}
 		if f.names == nil {
-			return nil, c.Bad(s.Name, n.key, n.name, "the front "+f.front+" has no names of zones and machine types")
+			return nil, c.SourceError(s.Name, n.key, n.name, "the front "+f.front+" has no names of zones and machine types")
 		}
 		var ok bool
 		if *n.to, ok = f.names.Number(n.what, n.name); !ok {
-			return nil, c.Bad(s.Name, n.key, n.name, "is not among the platform's settings")
+			return nil, c.SourceError(s.Name, n.key, n.name, "is not among the platform's settings")
 		}
 	}
 	switch s.Kind {
@@ -177,7 +177,7 @@
 			registry = storesource.Remote{Client: store.NewClient(s.API...), PollInterval: remotePollInterval}
 		}
 		if registry == nil {
-			return nil, c.Bad(s.Name, "api", s.API, "this router holds no replica of the store, and no other one is named")
+			return nil, c.SourceError(s.Name, "api", s.API, "this router holds no replica of the store, and no other one is named")
 		}
 		source := storesource.New(registry, s.Path, template)
 		return func(ctx context.Context, p *Port) { source.Run(ctx, p) }, nil
@@ -300,7 +300,7 @@
 	p.feed.log.WithField("source", p.name).WithError(problem).Log(level, "source has invalid data")
 }
 
-// Discovered applies a list in the form in which a core takes it, where no start means long ago.
+// Discovered applies a list in the form for a core, in which a start time of 0 means long ago.
 func (p *Port) Discovered(members []router.Member, whole bool) {
 	r, isUpdate := membership.Report{Whole: whole}, false
 	for _, m := range members {
--- a/discovery/zkrule/entry.go
+++ b/discovery/zkrule/entry.go
@@ -46,7 +46,7 @@
 	case Curator:
 		err = parseCurator(&e, node, data)
 	default:
-		err = fmt.Errorf("unknown form %q", f)
+		err = fmt.Errorf("unknown format %q", f)
 	}
 	if err != nil {
 		return e, err
--- a/discovery/zkrule/tracker.go
+++ b/discovery/zkrule/tracker.go
@@ -84,8 +84,8 @@
 	return toRead, changes
 }
 
-// ParentRemoved processes that the parent does not exist, so that no node below it exists either.
-// It returns the resulting membership changes.
+// ParentRemoved processes a read that found no parent, in which case no node below it exists
+// either. It returns the resulting membership changes.
 func (t *Tracker) ParentRemoved(now time.Time) (changes []membership.Entry) {
 	t.listPzxid = 0
 	for name := range t.nodes {
@@ -103,7 +103,8 @@
 	return out
 }
 
-// NodeRemoved processes that a node does not exist, and returns the resulting membership changes.
+// NodeRemoved processes a read that found no such node, and returns the resulting membership
+// changes.
 func (t *Tracker) NodeRemoved(now time.Time, name string) []membership.Entry {
 	n := t.nodes[name]
 	if n == nil {
--- a/discovery/zkrule/zkrule_test.go
+++ b/discovery/zkrule/zkrule_test.go
@@ -48,7 +48,7 @@
 		{Serverset, `{"status":"ALIVE"}`, "serviceEndpoint"}, {Serverset, `{"serviceEndpoint":{"host":"h","port":1},"status":"FINE"}`, `"FINE"`},
 		{Serverset, `{"serviceEndpoint":{"host":"","port":1},"status":"ALIVE"}`, "no address"}, {Serverset, `{"serviceEndpoint":{"host":"h","port":70000},"status":"ALIVE"}`, "70000"},
 		{Curator, `{"id":"other","address":"h","port":1}`, `"other"`}, {Curator, `{"id":"n","address":"h","port":null}`, "port"},
-		{"else", "{}", "unknown form"},
+		{"else", "{}", "unknown format"},
 	} {
 		_, err := c.format.Parse("n", []byte(c.data), template)
 		require.ErrorContains(t, err, c.want, c.data)
