--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -245,23 +245,23 @@
 	State       string  `json:"state"`
 	Incarnation uint64  `json:"life"`
 	AgeS        float64 `json:"age_s"` // since its latest heartbeat was received
-	Doubts      int     `json:"doubts"`
+	Suspicions  int     `json:"doubts"`
 }
 
 // BudgetLine is one budget.
 type BudgetLine struct {
-	Key      string             `json:"key"`
-	Limit    float64            `json:"limit"`
-	Share    float64            `json:"share"`
-	Floor    float64            `json:"floor"`
-	Rate     float64            `json:"rate"`
-	IfCut    float64            `json:"if_cut"`
-	Demand   float64            `json:"demand"`
-	Lent     map[string]float64 `json:"lent"`
-	Borrowed map[string]float64 `json:"borrowed"`
-	EndsS    float64            `json:"ends_s"` // until the last lease ends
-	Unsure   bool               `json:"unsure"`
-	Fenced   bool               `json:"fenced"`
+	Key          string             `json:"key"`
+	Limit        float64            `json:"limit"`
+	Share        float64            `json:"share"`
+	Floor        float64            `json:"floor"`
+	Rate         float64            `json:"rate"`
+	IsolatedRate float64            `json:"if_cut"`
+	Demand       float64            `json:"demand"`
+	Lent         map[string]float64 `json:"lent"`
+	Borrowed     map[string]float64 `json:"borrowed"`
+	EndsS        float64            `json:"ends_s"` // until the last lease ends
+	Unsure       bool               `json:"unsure"`
+	Fenced       bool               `json:"fenced"`
 }
 
 // LinkLine is one link.
@@ -271,9 +271,9 @@
 	Connected bool    `json:"connected"`
 	Sent      int64   `json:"sent"`
 	Dropped   int64   `json:"dropped"`
-	Heard     int64   `json:"heard"`
-	TakenS    float64 `json:"taken_s"` // since it acknowledged a message; -1: never
-	HeardS    float64 `json:"heard_s"` // since a message from it was received; -1: never
+	Received  int64   `json:"heard"`
+	AckedS    float64 `json:"taken_s"` // since it acknowledged a message; -1: never
+	ReceivedS float64 `json:"heard_s"` // since a message from it was received; -1: never
 	Fault     string  `json:"fault,omitempty"`
 }
 
@@ -330,7 +330,7 @@
 	a.mu.Unlock()
 	out := []BudgetLine{}
 	for _, v := range views {
-		line := BudgetLine{Key: v.Key, Limit: v.Limit, Share: v.Share, Floor: v.Floor, Rate: v.Rate, IfCut: v.IsolatedRate, Demand: v.Demand,
+		line := BudgetLine{Key: v.Key, Limit: v.Limit, Share: v.Share, Floor: v.Floor, Rate: v.Rate, IsolatedRate: v.IsolatedRate, Demand: v.Demand,
 			Lent: map[string]float64{}, Borrowed: map[string]float64{}, Unsure: v.Unsure, Fenced: v.Fenced}
 		for _, l := range v.Lent {
 			line.Lent[l.Router] = l.Amount
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -118,7 +118,7 @@
 	}
 	fmt.Fprintf(w, "fleet %s\nROUTER\tSTATE\tNEWS\tDOUBTED BY\tLIFE\n%s (this)\t%s\t-\t-\t%d\n", p.Fleet, p.Self, state, p.Incarnation)
 	for _, r := range p.Routers {
-		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\n", r.Name, r.State, r.AgeS, r.Doubts, r.Incarnation)
+		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\n", r.Name, r.State, r.AgeS, r.Suspicions, r.Incarnation)
 	}
 	return nil
 }
@@ -137,7 +137,7 @@
 		case l.Unsure:
 			note = "just started: the floor alone"
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\t%s\t%.1f s\t%s\n", l.Key, l.Limit, l.Rate, l.Demand, l.IfCut, l.Floor,
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\t%s\t%.1f s\t%s\n", l.Key, l.Limit, l.Rate, l.Demand, l.IsolatedRate, l.Floor,
 			loans(l.Lent), loans(l.Borrowed), l.EndsS, note)
 	}
 	return nil
@@ -167,8 +167,8 @@
 		return fmt.Sprintf("%.1f s ago", s)
 	}
 	for _, l := range lines {
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%s\t%d\t%s\n", l.Name, l.Addr, l.Connected, l.Sent, ago(l.TakenS), l.Heard,
-			ago(l.HeardS), l.Dropped, l.Fault)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%s\t%d\t%s\n", l.Name, l.Addr, l.Connected, l.Sent, ago(l.AckedS), l.Received,
+			ago(l.ReceivedS), l.Dropped, l.Fault)
 	}
 	return nil
 }
