--- a/discovery/dnsrule/lookup.go
+++ b/discovery/dnsrule/lookup.go
@@ -306,7 +306,7 @@
 		if best != nil {
 			n = best.n
 		}
-		return Result{}, fmt.Errorf("%w: %d of %d name servers returned the same result, %d needed", ErrNoAgreement, n, len(results), required)
+		return Result{}, fmt.Errorf("%w: %d of %d give the same, %d needed", ErrNoAgreement, n, len(results), required)
 	}
 	return best.result, nil
 }
--- a/discovery/dnssrv/exchange.go
+++ b/discovery/dnssrv/exchange.go
@@ -33,7 +33,7 @@
 		a, err = dnsrule.Read(m, q)
 	}
 	if err != nil {
-		return dnsrule.Answer{}, fmt.Errorf("answer of %s to %v: %w", server, q, err)
+		return dnsrule.Answer{}, fmt.Errorf("%s said of %v: %w", server, q, err)
 	}
 	return a, nil
 }
--- a/fleet/link/link.go
+++ b/fleet/link/link.go
@@ -174,7 +174,7 @@
 	}
 	body := got.Bytes()
 	if sum := crc32.Checksum(body, castagnoli); sum != binary.BigEndian.Uint32(head[4:]) {
-		return e, fmt.Errorf("%w: checksum %08x does not match", ErrFrame, sum)
+		return e, fmt.Errorf("%w: checksum %08x does not fit", ErrFrame, sum)
 	}
 	if err := decoder.Unmarshal(body, &e); err != nil {
 		return e, fmt.Errorf("%w: %w", ErrMessage, err)
@@ -297,7 +297,7 @@
 	}
 	var got [1]byte
 	if _, err := io.ReadFull(conn, got[:]); err != nil {
-		return fmt.Errorf("wait for the acknowledgement of a frame: %w", err)
+		return fmt.Errorf("wait for a frame to be taken: %w", err)
 	}
 	if got[0] != ack {
 		return fmt.Errorf("%w: acknowledged with %#x", ErrFrame, got[0])
