--- a/discovery/zkrule/zkrule_test.go
+++ b/discovery/zkrule/zkrule_test.go
@@ -281,3 +281,17 @@
 		require.Equal(rt, want, got)
 	})
 }
+
+// Answers to reads that are in flight together are handled in any order. One with a node's data, read
+// before the node was removed but handled after a list without it, must not add the worker again: no
+// later event would remove it before the next resync.
+func TestOvertakenReadOfRemovedNodeIsDropped(t *testing.T) {
+	p := newHarness(t, JSON)
+	p.create("n", `{"addr":"h:1"}`)
+	stat := p.tracker.nodes["n"].stat
+	_, changes := p.tracker.List(p.now, nil, p.zxid+1)
+	require.Len(t, changes, 1)
+	changes, err := p.tracker.Node(p.now, "n", []byte(`{"addr":"h:1"}`), stat)
+	require.NoError(t, err)
+	require.Empty(t, changes)
+}
