--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -222,7 +222,7 @@
 	case node.RouterChanged:
 		a.log.WithFields(logrus.Fields{"router": n.Name, "state": n.Is, "was": n.Was}).Info("fleet: router changed state")
 	case node.WorkerOut:
-		a.log.WithField("worker", n.Name).Warn("fleet: worker taken out by agreement of the routers")
+		a.log.WithField("worker", n.Name).Warn("fleet: worker out for all by agreement")
 		a.count.Add("fleet_workers_out", 1)
 	case node.WorkerBack:
 		a.log.WithField("worker", n.Name).Info("fleet: worker gets traffic again")
