--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -1,6 +1,5 @@
-// Package agent is one router's part in its fleet on sockets: it hands what comes over the
-// links to the part that decides (fleet/node), its messages to the links, and answers the
-// fronts.
+// Package agent runs one router's side of the fleet protocol over sockets. It passes messages
+// between the links (fleet/link) and the protocol state (fleet/node), and answers the fronts.
 package agent
 
 import (
@@ -20,15 +19,16 @@
 	"lichenshelf/fleet/version"
 )
 
-// ticksPerLease is how often in a lease what is due is looked for.
+// ticksPerLease is the number of ticks in a lease; each sends the messages that are due.
 const ticksPerLease = 16
 
-// Counters is told what the agent does.
+// Counters counts what the agent does.
 type Counters interface {
 	Add(name string, n int64)
 }
 
-// Agent is a router's part in its fleet. Its methods may be called from any goroutine.
+// Agent runs one router's side of the fleet protocol. Its methods may be called from any
+// goroutine.
 type Agent struct {
 	cfg   *Config
 	link  *link.Link
@@ -39,15 +39,16 @@
 	mu     sync.Mutex
 	node   *node.Node
 	fronts []*Front // in the node's order
-	loans  func(budget.Move)
-	texts  func(node.Text)
+	onMove func(budget.Move)
+	onText func(node.Text)
 }
 
-// New returns an agent; Run and Serve start it. Loans, if it is not nil, is told of what is lent and borrowed, one after
-// the other and before the other end can know of it; it must return at once. The life is a number that grows with
-// each start, such as the wall clock's; if it does not, the fleet puts it right.
-func New(cfg *Config, life, seed uint64, loans func(budget.Move), count Counters, log logrus.FieldLogger) (*Agent, error) {
-	a := &Agent{cfg: cfg, count: count, log: log, start: time.Now(), loans: loans}
+// New returns an agent; Run and Serve start it. onMove, if not nil, is called for each loan and
+// borrowing, one at a time and before the other router can know of it; it must not block. The
+// incarnation must grow with each start, as the wall clock does; if it does not, the membership
+// protocol raises it.
+func New(cfg *Config, incarnation, seed uint64, onMove func(budget.Move), count Counters, log logrus.FieldLogger) (*Agent, error) {
+	a := &Agent{cfg: cfg, count: count, log: log, start: time.Now(), onMove: onMove}
 	zones := map[string]string{}
 	var peers []link.Peer
 	for _, r := range cfg.Routers {
@@ -57,10 +58,10 @@
 		}
 	}
 	var err error
-	if a.node, err = node.New(node.Config{Self: cfg.Self, Zones: zones, Life: life, Lease: cfg.Lease.Duration, Floor: cfg.Floor,
-		Burst: cfg.Burst.Duration, Drift: cfg.Drift, Period: cfg.Period.Duration, Counts: cfg.Counts.Duration, Fanout: cfg.Fanout, Digest: cfg.Digest,
-		Observers: cfg.Observe, Quorum: cfg.Quorum, MostOut: cfg.MostOut, Least: cfg.Least, Hold: cfg.Hold.Duration,
-		Return: cfg.Return.Duration, Repeats: cfg.Repeats, Cold: cfg.Cold, Tell: loans != nil}, rand.New(rand.NewPCG(seed, life)), a.now()); err != nil {
+	if a.node, err = node.New(node.Config{Self: cfg.Self, Zones: zones, Incarnation: incarnation, Lease: cfg.Lease.Duration, Floor: cfg.Floor,
+		Burst: cfg.Burst.Duration, Drift: cfg.Drift, Period: cfg.Period.Duration, CountsPeriod: cfg.CountsPeriod.Duration, Fanout: cfg.Fanout, Digest: cfg.Digest,
+		Observers: cfg.Observers, Quorum: cfg.Quorum, MaxOut: cfg.MaxOut, MinFailures: cfg.MinFailures, Hold: cfg.Hold.Duration,
+		Return: cfg.Return.Duration, RepeatsPerSecond: cfg.RepeatsPerSecond, ColdPerSecond: cfg.ColdPerSecond, RecordMoves: onMove != nil}, rand.New(rand.NewPCG(seed, incarnation)), a.now()); err != nil {
 		return nil, fmt.Errorf("router %s: %w", cfg.Self, err)
 	}
 	if z, ok := cfg.zones(); ok {
@@ -73,59 +74,63 @@
 	return a, nil
 }
 
-// now is monotonic, and goes on while the process is stopped.
+// now reads a monotonic clock that keeps running while the process is stopped.
 func (a *Agent) now() time.Duration { return time.Since(a.start) }
 
-// SetActs sets what the others are told that this router acts on. The vector must not be changed after.
-func (a *Agent) SetActs(v version.Vector) {
+// SetVersions sets the versions that this router reports to the others as those it acts on. The
+// vector must not be changed afterwards.
+func (a *Agent) SetVersions(v version.Vector) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.node.SetActs(v)
+	a.node.SetVersions(v)
 }
 
-// SetText takes a version's text as the store gave it; others may have it from this router then.
+// SetText sets a version's text, as read from the store. Other routers may request it from then
+// on.
 func (a *Agent) SetText(t node.Text) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.SetText(t)
 }
 
-// WantText has others asked for a part's text of a later version than the one that is held, until one has come. Take is told
-// of it and must return at once; the one that was handed in last is.
-func (a *Agent) WantText(part string, held uint64, take func(node.Text)) {
+// RequestText requests a part's text of a later version than held from other routers, until one is
+// received. onText is called with it and must not block; it replaces the onText of earlier calls.
+func (a *Agent) RequestText(part string, held uint64, onText func(node.Text)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.texts = take
-	a.node.WantText(part, held)
+	a.onText = onText
+	a.node.RequestText(part, held)
 }
 
-// Renew goes on under a new life: what was lent to this router before is over.
+// Renew continues under a new incarnation; loans to this router end.
 func (a *Agent) Renew() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.Renew()
 }
 
-// Newest is what enough of the others act on, and how long ago they said so; false if they have not.
+// Newest returns the newest versions that enough other routers act on, and how long ago they
+// reported so; ok is false if no router has.
 func (a *Agent) Newest() (newest version.Vector, ago time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	newest, heard, ok := a.node.Newest()
-	return newest, a.now() - heard, ok
+	newest, reportedAt, ok := a.node.Newest()
+	return newest, a.now() - reportedAt, ok
 }
 
-// Terms names all that must be the same at two routers that lend each other, beside a budget's limit.
+// Terms returns a hash of the settings, other than a budget's limit, that must be equal at two
+// routers for one to lend budget to the other.
 func (a *Agent) Terms() string { return a.node.Terms() }
 
-// SetLimits sets the limits of all budgets with a prefix, in cost a second over all
-// routers; those that are not named any more are free.
+// SetLimits sets the limits of all budgets whose keys begin with prefix, in cost per second over
+// all routers. Budgets with the prefix that limits does not name become unlimited.
 func (a *Agent) SetLimits(prefix string, limits map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.SetLimits(prefix, limits, a.now())
 }
 
-// Spend takes cost out of a budget, if it is there.
+// Spend takes cost out of a budget and reports whether the budget had enough.
 func (a *Agent) Spend(key string, cost float64) bool {
 	a.mu.Lock()
 	ok := a.node.Spend(key, cost, a.now())
@@ -138,17 +143,18 @@
 	return ok
 }
 
-// Serve takes the other routers' connections.
+// Serve accepts the other routers' connections.
 func (a *Agent) Serve(l net.Listener) error { return a.link.Serve(l) }
 
-// Leave makes the next messages say that this router leaves: it is not missed then.
+// Leave marks this router as leaving in its next messages, so that the others do not suspect
+// it once its heartbeats stop.
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	a.node.Leave()
 	a.mu.Unlock()
 }
 
-// Run sends what is due until ctx ends.
+// Run sends the messages that are due until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	sending, end := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -157,7 +163,7 @@
 	defer end()
 	defer a.link.Close()
 	every := a.cfg.Lease.Duration / ticksPerLease
-	if c := a.cfg.Counts.Duration; c > 0 {
+	if c := a.cfg.CountsPeriod.Duration; c > 0 {
 		every = min(every, c)
 	}
 	tick := time.NewTicker(every)
@@ -172,7 +178,8 @@
 	}
 }
 
-// tick sends what is due, one message for each router, and confers.
+// tick sends the messages that are due, at most one per router, updates the workers and logs
+// changes.
 func (a *Agent) tick() {
 	a.mu.Lock()
 	out := a.node.Tick(a.now())
@@ -180,12 +187,12 @@
 	for _, e := range out {
 		a.link.Send(e)
 	}
-	a.confer()
+	a.updateWorkers()
 	a.mu.Lock()
 	notices := a.node.Notices()
 	a.mu.Unlock()
 	for _, n := range notices {
-		a.say(n)
+		a.logNotice(n)
 	}
 }
 
@@ -193,10 +200,10 @@
 	a.mu.Lock()
 	answers := a.node.Receive(e, a.now())
 	for _, m := range a.node.Moves() {
-		a.loans(m)
+		a.onMove(m)
 	}
 	for _, t := range a.node.Texts() {
-		a.texts(t)
+		a.onText(t)
 	}
 	a.mu.Unlock()
 	for _, answer := range answers {
@@ -204,57 +211,57 @@
 	}
 }
 
-// say logs a change.
-func (a *Agent) say(n node.Notice) {
+// logNotice logs and counts a change.
+func (a *Agent) logNotice(n node.Notice) {
 	switch n.Kind {
 	case node.Fenced:
-		a.log.WithField("router", n.Name).Error("another process with this router's name has started later: this one spends nothing any more")
+		a.log.WithField("router", n.Name).Error("another process with this router's name was started later; this one spends nothing any more")
 		a.count.Add("fleet_fenced", 1)
-	case node.Deaf, node.Hears:
-		a.log.WithField("deaf", n.Kind == node.Deaf).Warn("fleet: hearing of the other routers has changed")
+	case node.Isolated, node.IsolationEnded:
+		a.log.WithField("deaf", n.Kind == node.Isolated).Warn("fleet: heartbeats of the other routers lost or received again")
 	case node.RouterChanged:
-		a.log.WithFields(logrus.Fields{"router": n.Name, "state": n.Is, "was": n.Was}).Info("fleet: router changed")
+		a.log.WithFields(logrus.Fields{"router": n.Name, "state": n.Is, "was": n.Was}).Info("fleet: router changed state")
 	case node.WorkerOut:
 		a.log.WithField("worker", n.Name).Warn("fleet: worker out for all by agreement")
 		a.count.Add("fleet_workers_out", 1)
 	case node.WorkerBack:
-		a.log.WithField("worker", n.Name).Info("fleet: worker comes back")
+		a.log.WithField("worker", n.Name).Info("fleet: worker gets traffic again")
 	}
 }
 
-// MembersPage is what this router knows of the others.
+// MembersPage is this router's view of the fleet's members.
 type MembersPage struct {
-	Fleet   string       `json:"fleet"`
-	Self    string       `json:"self"`
-	Life    uint64       `json:"life"`
-	Fenced  bool         `json:"fenced"`
-	Deaf    bool         `json:"deaf"`
-	Routers []MemberLine `json:"routers"`
+	Fleet       string       `json:"fleet"`
+	Self        string       `json:"self"`
+	Incarnation uint64       `json:"life"`
+	Fenced      bool         `json:"fenced"`
+	Isolated    bool         `json:"deaf"`
+	Routers     []MemberLine `json:"routers"`
 }
 
 // MemberLine is one other router.
 type MemberLine struct {
-	Name   string  `json:"name"`
-	State  string  `json:"state"`
-	Life   uint64  `json:"life"`
-	AgeS   float64 `json:"age_s"` // since news of it came
-	Doubts int     `json:"doubts"`
+	Name        string  `json:"name"`
+	State       string  `json:"state"`
+	Incarnation uint64  `json:"life"`
+	AgeS        float64 `json:"age_s"` // since its latest heartbeat was received
+	Suspicions  int     `json:"doubts"`
 }
 
 // BudgetLine is one budget.
 type BudgetLine struct {
-	Key      string             `json:"key"`
-	Limit    float64            `json:"limit"`
-	Share    float64            `json:"share"`
-	Floor    float64            `json:"floor"`
-	Rate     float64            `json:"rate"`
-	IfCut    float64            `json:"if_cut"`
-	Demand   float64            `json:"demand"`
-	Lent     map[string]float64 `json:"lent"`
-	Borrowed map[string]float64 `json:"borrowed"`
-	EndsS    float64            `json:"ends_s"` // until the last lease ends
-	Unsure   bool               `json:"unsure"`
-	Fenced   bool               `json:"fenced"`
+	Key          string             `json:"key"`
+	Limit        float64            `json:"limit"`
+	Share        float64            `json:"share"`
+	Floor        float64            `json:"floor"`
+	Rate         float64            `json:"rate"`
+	IsolatedRate float64            `json:"if_cut"`
+	Demand       float64            `json:"demand"`
+	Lent         map[string]float64 `json:"lent"`
+	Borrowed     map[string]float64 `json:"borrowed"`
+	EndsS        float64            `json:"ends_s"` // until the last lease ends
+	Unsure       bool               `json:"unsure"`
+	Fenced       bool               `json:"fenced"`
 }
 
 // LinkLine is one link.
@@ -264,25 +271,25 @@
 	Connected bool    `json:"connected"`
 	Sent      int64   `json:"sent"`
 	Dropped   int64   `json:"dropped"`
-	Heard     int64   `json:"heard"`
-	TakenS    float64 `json:"taken_s"` // since it took a message; -1: never
-	HeardS    float64 `json:"heard_s"`
+	Received  int64   `json:"heard"`
+	AckedS    float64 `json:"taken_s"` // since it acknowledged a message; -1: never
+	ReceivedS float64 `json:"heard_s"` // since a message from it was received; -1: never
 	Fault     string  `json:"fault,omitempty"`
 }
 
-// WorkerPage is what is known of one worker.
+// WorkerPage is the state of one worker.
 type WorkerPage struct {
 	Worker string      `json:"worker"`
 	Listed bool        `json:"listed"`
-	Part   float64     `json:"part"`   // of its traffic that it gets
-	Good   float64     `json:"good"`   // own attempts lately
-	Bad    float64     `json:"bad"`    // those that went wrong
-	Unread float64     `json:"unread"` // prompt tokens that the other routers have waiting there
-	Held   float64     `json:"held"`   // tokens that it holds for them
+	Part   float64     `json:"part"`   // share of its traffic that it gets
+	Good   float64     `json:"good"`   // recent own attempts, decaying
+	Bad    float64     `json:"bad"`    // those that failed
+	Unread float64     `json:"unread"` // prompt tokens of other routers that wait there to be read
+	Held   float64     `json:"held"`   // tokens that it holds for other routers
 	By     []JudgeLine `json:"by"`
 }
 
-// JudgeLine is one router's judgement on a worker.
+// JudgeLine is one router's judgement of a worker.
 type JudgeLine struct {
 	Router string  `json:"router"`
 	Fault  string  `json:"fault"`
@@ -310,9 +317,9 @@
 	a.mu.Lock()
 	v := a.node.Members(a.now())
 	a.mu.Unlock()
-	p := MembersPage{Fleet: a.cfg.Fleet, Self: a.cfg.Self, Life: v.Life, Fenced: v.Fenced, Deaf: v.Deaf, Routers: []MemberLine{}}
+	p := MembersPage{Fleet: a.cfg.Fleet, Self: a.cfg.Self, Incarnation: v.Incarnation, Fenced: v.Fenced, Isolated: v.Isolated, Routers: []MemberLine{}}
 	for _, r := range v.Routers {
-		p.Routers = append(p.Routers, MemberLine{r.Name, r.State.String(), r.Life, r.Age.Seconds(), r.Doubt})
+		p.Routers = append(p.Routers, MemberLine{r.Name, r.State.String(), r.Incarnation, r.Age.Seconds(), r.Suspicions})
 	}
 	return p
 }
@@ -323,7 +330,7 @@
 	a.mu.Unlock()
 	out := []BudgetLine{}
 	for _, v := range views {
-		line := BudgetLine{Key: v.Key, Limit: v.Limit, Share: v.Share, Floor: v.Floor, Rate: v.Rate, IfCut: v.IfCut, Demand: v.Demand,
+		line := BudgetLine{Key: v.Key, Limit: v.Limit, Share: v.Share, Floor: v.Floor, Rate: v.Rate, IsolatedRate: v.IsolatedRate, Demand: v.Demand,
 			Lent: map[string]float64{}, Borrowed: map[string]float64{}, Unsure: v.Unsure, Fenced: v.Fenced}
 		for _, l := range v.Lent {
 			line.Lent[l.Router] = l.Amount
@@ -341,20 +348,20 @@
 func (a *Agent) links() []LinkLine {
 	out := []LinkLine{}
 	for _, s := range a.link.Statuses() {
-		out = append(out, LinkLine{s.Name, s.Addr, s.Connected, s.Sent, s.Dropped, s.Heard, seconds(s.SinceTaken),
-			seconds(s.SinceHeard), s.LastFault})
+		out = append(out, LinkLine{s.Name, s.Addr, s.Connected, s.Sent, s.Dropped, s.Received, seconds(s.SinceAcked),
+			seconds(s.SinceReceived), s.LastFault})
 	}
 	return out
 }
 
-// Page returns what there is to see under a name: members, budgets, links, or worker/
-// and a worker's name.
+// Page returns the console page of a name: members, budgets, links, zones, worker/NAME, or
+// zone/NAME, the plan without that zone.
 func (a *Agent) Page(name string) (any, bool) {
 	if worker, ok := strings.CutPrefix(name, "worker/"); ok && worker != "" {
 		return a.worker(worker), true
 	}
 	if zone, ok := strings.CutPrefix(name, "zone/"); ok && zone != "" {
-		return a.dry(zone)
+		return a.planWithoutZone(zone)
 	}
 	switch name {
 	case "zones":
--- a/fleet/agent/zones.go
+++ b/fleet/agent/zones.go
@@ -15,64 +15,65 @@
 	"lichenshelf/router"
 )
 
-// spread is a front's part in the traffic between zones: where its workers are, and where its requests were sent. It is
-// behind the agent's lock.
-type spread struct {
-	of      map[string]place // by worker
-	starts  router.Starts
-	usual   map[string]int // the most workers that each zone ever had
-	balance traffic.Balance
+// zoneTraffic holds a front's workers by zone and the balance of its requests between zones. It is
+// guarded by the agent's lock.
+type zoneTraffic struct {
+	places     map[string]place // by worker
+	starts     router.Starts
+	maxWorkers map[string]int // the highest number of workers that each zone has had
+	balance    traffic.Balance
 }
 
 type place struct {
 	zone  string
-	index int // as the front numbers zones
+	index int // of the zone in FrontConfig.Zones
 	kind  int
 	began time.Time // zero: long ago
 	ready bool
 }
 
-func (s *spread) listed(names []string, members []router.Member, whole bool, now time.Time) {
-	if s.of == nil || whole {
-		s.of = map[string]place{}
+func (s *zoneTraffic) update(names []string, members []router.Member, whole bool, now time.Time) {
+	if s.places == nil || whole {
+		s.places = map[string]place{}
 	}
 	for _, m := range members {
 		if m.Health == logic.Gone || m.Zone < 0 || m.Zone >= len(names) {
-			delete(s.of, m.Name)
+			delete(s.places, m.Name)
 			continue
 		}
-		s.of[m.Name] = place{names[m.Zone], m.Zone, m.Kind, s.starts.Began(m.Name, m.Since, m.News, now), m.Health == logic.Ready}
+		s.places[m.Name] = place{names[m.Zone], m.Zone, m.Kind, s.starts.Began(m.Name, m.Since, m.PreviousListCurrent, now), m.Health == logic.Ready}
 	}
-	if s.usual == nil {
-		s.usual = map[string]int{}
+	if s.maxWorkers == nil {
+		s.maxWorkers = map[string]int{}
 	}
 	for zone, n := range s.count() {
-		s.usual[zone] = max(s.usual[zone], n)
+		s.maxWorkers[zone] = max(s.maxWorkers[zone], n)
 	}
 }
 
-func (s *spread) count() map[string]int {
+func (s *zoneTraffic) count() map[string]int {
 	out := map[string]int{}
-	for _, p := range s.of {
+	for _, p := range s.places {
 		out[p.zone]++
 	}
 	return out
 }
 
-// sent notes where a request is read.
-func (s *spread) sent(worker string, kinds []logic.Kind, now time.Duration) {
-	if p, ok := s.of[worker]; ok && (p.kind >= len(kinds) || kinds[p.kind].Role != logic.RoleWrite) {
-		s.balance.Sent(p.index, p.index+1, traffic.Time(now))
+// sent records in which zone a request is read.
+func (s *zoneTraffic) sent(worker string, kinds []logic.Kind, now time.Duration) {
+	if p, ok := s.places[worker]; ok && (p.kind >= len(kinds) || kinds[p.kind].Role != logic.RoleWrite) {
+		s.balance.RecordSent(p.index, p.index+1, traffic.Time(now))
 	}
 }
 
-// up is the part of each zone's workers that serve, as warm as they are by the settings.
-func (s *spread) up(set logic.Settings, now time.Time) map[string]float64 {
+// serving returns the share of each zone's workers that serve, weighted by how warm they are by the
+// settings.
+func (s *zoneTraffic) serving(set logic.Settings, now time.Time) map[string]float64 {
 	out := map[string]float64{}
-	for zone := range s.usual {
+	for zone := range s.maxWorkers {
 		out[zone] = 0
 	}
-	for _, p := range s.of {
+	for _, p := range s.places {
 		if !p.ready {
 			continue
 		}
@@ -80,16 +81,17 @@
 		if age := now.Sub(p.began); !p.began.IsZero() && set.WarmWithin > 0 && age < set.WarmWithin {
 			warm = set.ColdShare + (1-set.ColdShare)*math.Max(float64(age), 0)/float64(set.WarmWithin)
 		}
-		out[p.zone] += warm / float64(s.usual[p.zone])
+		out[p.zone] += warm / float64(s.maxWorkers[p.zone])
 	}
 	return out
 }
 
-// spread tells the node of the zones' workers, takes those of barred zones out, and gives the figures by front; nil where no
-// zones were set. The lock is held.
-func (a *Agent) spread(parts map[string]float64) (map[string]float64, [][]float64) {
-	way, ok := a.node.ZoneWay(a.now())
-	names := way.Names
+// applyZones reports the zones' workers to the node, sets the parts of workers in barred zones to
+// 0, and returns the zones' cost factors by front, nil if no zones are set. The caller holds the
+// lock.
+func (a *Agent) applyZones(parts map[string]float64) (map[string]float64, [][]float64) {
+	routing, ok := a.node.ZoneRouting(a.now())
+	names := routing.Names
 	if !ok {
 		return parts, nil
 	}
@@ -97,57 +99,58 @@
 	if parts == nil {
 		parts = map[string]float64{}
 	}
-	up, figures := map[string]float64{}, make([][]float64, len(a.fronts))
+	serving, factors := map[string]float64{}, make([][]float64, len(a.fronts))
 	for i, f := range a.fronts {
-		for zone, part := range f.zones.up(f.cfg.Settings, time.Now()) {
-			if was, ok := up[zone]; !ok || part < was { // a request needs all that its front needs
-				up[zone] = part
+		for zone, part := range f.zones.serving(f.cfg.Settings, time.Now()) {
+			// The lowest share over the fronts counts: a request needs the workers of its own front.
+			if was, ok := serving[zone]; !ok || part < was {
+				serving[zone] = part
 			}
 		}
-		for worker, p := range f.zones.of {
-			if z := slices.Index(names, p.zone); z >= 0 && way.Barred[z] {
+		for worker, p := range f.zones.places {
+			if z := slices.Index(names, p.zone); z >= 0 && routing.Barred[z] {
 				parts[worker] = 0
 			}
 		}
 		if len(f.cfg.Zones) == 0 {
 			continue
 		}
-		mine, may, home := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
+		shares, usable, own := make([]float64, len(f.cfg.Zones)), make([]bool, len(f.cfg.Zones)), -1
 		for j, name := range f.cfg.Zones {
 			if z := slices.Index(names, name); z >= 0 {
-				mine[j], may[j] = way.Shares[z], way.May[z]
-				if z == way.Own {
-					home = j
+				shares[j], usable[j] = routing.Shares[z], routing.Usable[z]
+				if z == routing.Own {
+					own = j
 				}
 			}
 		}
-		figures[i] = f.zones.balance.Figures(mine, may, home, traffic.Time(a.now()))
+		factors[i] = f.zones.balance.Factors(shares, usable, own, traffic.Time(a.now()))
 		for j, name := range f.cfg.Zones {
 			if !slices.Contains(names, name) {
-				figures[i][j] = 0 // the map says nothing of it: the usual cost of distance
+				factors[i][j] = 0 // not in the map: the default cost of distance applies
 			}
 		}
 	}
-	a.node.ZoneUp(up)
-	return parts, figures
+	a.node.SetZoneServing(serving)
+	return parts, factors
 }
 
-// Arrived notes a request that came to this router.
-func (a *Agent) Arrived() {
+// ObserveArrival records a request that arrived at this router.
+func (a *Agent) ObserveArrival() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.node.ZoneArrived(a.now())
+	a.node.ObserveArrival(a.now())
 }
 
-// ZonesPage is what there is to see of the zones.
+// ZonesPage is the state of the zones.
 type ZonesPage struct {
 	Self    string       `json:"self"`
 	Decides bool         `json:"decides"`
 	Zones   []ZoneLine   `json:"zones"`
 	Map     *traffic.Map `json:"map"`
-	AgeS    float64      `json:"age_s"`  // since it was renewed
+	AgeS    float64      `json:"age_s"`  // since the map was renewed
 	Shares  []float64    `json:"shares"` // of this router's traffic
-	Best    *solver.Plan `json:"best"`   // what the map moves towards
+	Best    *solver.Plan `json:"best"`   // the plan that the map moves towards
 }
 
 // ZoneLine is one zone.
@@ -164,7 +167,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	v, ok := a.node.ZonePage(now)
+	v, ok := a.node.ZoneView(now)
 	p := ZonesPage{Self: a.cfg.Self, Decides: v.Decides, Zones: []ZoneLine{}, Map: v.Map, AgeS: v.Age.Seconds(), Shares: v.Shares, Best: v.Best}
 	for _, s := range v.States {
 		p.Zones = append(p.Zones, ZoneLine{s.Zone, s.State.String(), s.Level, (now - time.Duration(s.Since)).Seconds(), s.Why, s.Cut})
@@ -172,7 +175,7 @@
 	return p, ok
 }
 
-// Do is an operator's call: zone/NAME/drain, zone/NAME/force, zone/NAME/return.
+// Do executes an operator's command: zone/NAME/drain, zone/NAME/force or zone/NAME/return.
 func (a *Agent) Do(name string) error {
 	rest, ok := strings.CutPrefix(name, "zone/")
 	zone, verb, found := strings.Cut(rest, "/")
@@ -182,13 +185,13 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.node.ZoneOut(zone, verb != "return", verb == "force", a.now())
+	return a.node.SetZoneOut(zone, verb != "return", verb == "force", a.now())
 }
 
-// dry is where traffic would go without a zone.
-func (a *Agent) dry(zone string) (*solver.Plan, bool) {
+// planWithoutZone returns where traffic would go without a zone.
+func (a *Agent) planWithoutZone(zone string) (*solver.Plan, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	p, err := a.node.ZoneDry(zone)
+	p, err := a.node.PlanWithoutZone(zone)
 	return p, err == nil
 }
--- a/fleet/counts/counts_test.go
+++ b/fleet/counts/counts_test.go
@@ -29,15 +29,16 @@
 	return out
 }
 
-// States merge alike in any order and however often they come.
+// States merge to the same result in any order and with repetitions.
 func TestStatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var states []State
 		for range rapid.IntRange(0, 12).Draw(t, "states") {
-			states = append(states, State{Router: rapid.SampledFrom(names(4)).Draw(t, "router"), Life: rapid.Uint64Range(1, 2).Draw(t, "life"),
+			states = append(states, State{Router: rapid.SampledFrom(names(4)).Draw(t, "router"), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
 				Version: rapid.Uint64Range(1, 4).Draw(t, "version"), Work: map[string]Work{}})
 			s := &states[len(states)-1]
-			s.Work["w"] = Work{Unread: float64(s.Life*10 + s.Version)} // one version says one thing
+			// One version has one content.
+			s.Work["w"] = Work{Unread: float64(s.Incarnation*10 + s.Version)}
 		}
 		now := Time(time.Hour)
 		a, b := New("r000", names(4), 1, time.Second), New("r000", names(4), 1, time.Second)
@@ -61,9 +62,9 @@
 	return out
 }
 
-// With each router told to two others a round, the sum over all is known about right; a router that is stopped counts as
-// the mean by and by, and one that starts again at once by its new life.
-func TestPeersWorkIsKnownAboutRight(t *testing.T) {
+// If each router sends its state to two others per round, every router's estimate of the total is
+// within a quarter.
+func TestEstimateOfPeersWork(t *testing.T) {
 	for _, n := range []int{2, 8, 80, 200} {
 		rng := rand.New(rand.NewPCG(uint64(n), 3))
 		boards := make([]*Board, n)
@@ -75,7 +76,7 @@
 		sent, worst := 0, 0.0
 		for round := range 50 {
 			for _, b := range boards {
-				s := b.Tell()
+				s := b.NextState()
 				for range 2 {
 					sent++
 					boards[rng.IntN(n)].Receive(s, now)
@@ -90,58 +91,58 @@
 			}
 			now += Time(200 * time.Millisecond)
 		}
-		t.Logf("%3d routers: off by %.2f at worst, %.0f messages a second", n, worst, float64(sent)/10)
+		t.Logf("%3d routers: maximum error %.2f, %.0f messages a second", n, worst, float64(sent)/10)
 		require.Less(t, worst, 0.25)
 	}
 }
 
-func TestSilenceAgesToTheMeanAndIsForgotten(t *testing.T) {
+func TestOldStatesDecayToTheMeanAndExpire(t *testing.T) {
 	now := Time(time.Hour)
 	b := New("r000", names(3), 1, time.Second)
-	require.Empty(t, peers(b, now), "nothing is known")
-	b.Receive(State{Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 900}}}, now)
+	require.Empty(t, peers(b, now), "no state is known")
+	b.Receive(State{Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: 900}}}, now)
 	require.InDelta(t, 1350, peers(b, now)["w"], 1, "the third counts as the mean of the two")
-	b.Receive(State{Router: "r002", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 100}}}, now)
+	b.Receive(State{Router: "r002", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: 100}}}, now)
 	require.InDelta(t, 1000, peers(b, now)["w"], 1)
 	now += Time(3 * time.Second)
-	b.Receive(State{Router: "r002", Life: 1, Version: 2, Work: map[string]Work{"w": {Unread: 100}}}, now)
-	require.Less(t, peers(b, now)["w"], 320.0, "who is silent counts as the others do")
-	b.Receive(State{Router: "r001", Life: 2, Version: 1, Work: map[string]Work{}}, now)
-	require.InDelta(t, 100, peers(b, now)["w"], 1, "started again, with nothing out")
+	b.Receive(State{Router: "r002", Incarnation: 1, Version: 2, Work: map[string]Work{"w": {Unread: 100}}}, now)
+	require.Less(t, peers(b, now)["w"], 320.0, "a silent router counts as the mean of the others")
+	b.Receive(State{Router: "r001", Incarnation: 2, Version: 1, Work: map[string]Work{}}, now)
+	require.InDelta(t, 100, peers(b, now)["w"], 1, "restarted, with no open work")
 	now += Time(11 * time.Second)
 	require.Empty(t, peers(b, now))
 	b.Add("w", Work{Unread: 30, Held: 50})
 	b.Peers(now, func(_ string, w Work) {
-		require.Equal(t, Work{Unread: 60, Held: 100}, w, "where nobody is heard of, the own work stands for theirs")
+		require.Equal(t, Work{Unread: 60, Held: 100}, w, "without states of others, the own work is the estimate for them")
 	})
 }
 
-func TestStatesGoByTheNewerLife(t *testing.T) {
+func TestNewerIncarnationReplacesState(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := New("r000", names(2), 1, time.Second), New("r001", names(2), 1, time.Second)
-	a.Receive(State{Router: "r001", Life: 9, Version: 50}, now)
+	a.Receive(State{Router: "r001", Incarnation: 9, Version: 50}, now)
 	b.Add("w", Work{Unread: 100})
-	a.Receive(b.Tell(), now)
-	require.Empty(t, peers(a, now), "of an older life")
-	b.SetLife(10)
-	a.Receive(b.Tell(), now)
+	a.Receive(b.NextState(), now)
+	require.Empty(t, peers(a, now), "of an older incarnation")
+	b.SetIncarnation(10)
+	a.Receive(b.NextState(), now)
 	require.InDelta(t, 100, peers(a, now)["w"], 1)
 }
 
-func TestSpoiltStatesAreDropped(t *testing.T) {
+func TestInvalidStatesAreDropped(t *testing.T) {
 	now := Time(time.Hour)
 	b := New("r000", names(2), 1, time.Second)
 	many := map[string]Work{}
-	for i := range mostWorkers + 1 {
+	for i := range maxWorkers + 1 {
 		many[fmt.Sprint(i)] = Work{Unread: 1}
 	}
 	for name, s := range map[string]State{
-		"a stranger": {Router: "x", Work: map[string]Work{"w": {Unread: 1}}}, "itself": {Router: "r000", Work: map[string]Work{"w": {Unread: 1}}},
-		"negative":  {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: -1}}},
-		"no number": {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: math.NaN()}}},
-		"held":      {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Held: math.Inf(1)}}},
-		"absurd":    {Router: "r001", Life: 1, Version: 1, Work: map[string]Work{"w": {Unread: 1e300}}},
-		"too many":  {Router: "r001", Life: 1, Version: 1, Work: many},
+		"an unknown router": {Router: "x", Work: map[string]Work{"w": {Unread: 1}}}, "itself": {Router: "r000", Work: map[string]Work{"w": {Unread: 1}}},
+		"negative":      {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: -1}}},
+		"not a number":  {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: math.NaN()}}},
+		"held":          {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Held: math.Inf(1)}}},
+		"out of bounds": {Router: "r001", Incarnation: 1, Version: 1, Work: map[string]Work{"w": {Unread: 1e300}}},
+		"too many":      {Router: "r001", Incarnation: 1, Version: 1, Work: many},
 	} {
 		b.Receive(s, now)
 		require.Empty(t, peers(b, now), name)
@@ -149,5 +150,5 @@
 	b.Add("w", Work{Unread: math.NaN()})
 	b.Add("w", Work{Unread: 10})
 	b.Add("w", Work{Unread: -30})
-	require.Empty(t, b.Tell().Work)
+	require.Empty(t, b.NextState().Work)
 }
--- a/fleet/eventlog/eventlog.go
+++ b/fleet/eventlog/eventlog.go
@@ -1,10 +1,11 @@
-// Package eventlog keeps the records of one router on disk: what it took, acknowledged, refused
-// and sent under which version (fleet/audit says what they mean).
+// Package eventlog writes one router's event log to disk: which versions it adopted and
+// acknowledged, and what it refused and sent under which version. Package audit defines the
+// records.
 //
-// Records are appended to segments of bounded size, the oldest of which go. Each has its
-// length and an XXH3 checksum, so that a torn tail, a flipped byte and a cut are found and
-// named. Nothing waits for the disk: a record that finds the writer behind is dropped and
-// counted, and a disk that is full or gone stops nothing but the trail.
+// Records are appended to segments of limited size; the oldest segments are removed. Each record
+// has its length and an XXH3 checksum, so that a torn tail, a flipped byte and a truncation are
+// detected and located. Callers never wait for the disk: a record is dropped and counted if the
+// queue of the writing goroutine is full, and a disk that is full or missing stops only the log.
 package eventlog
 
 import (
@@ -27,89 +28,90 @@
 )
 
 const (
-	headSize   = 12      // length and checksum
-	mostRecord = 4 << 10 // bytes
-	mostQueue  = 4096    // records that wait for the disk
-	mostSent   = 4096    // workers and numbers of which sends are summed up at a time
-	segments   = 8       // that the bound is divided over
-	suffix     = ".trail"
-	flushEvery = 500 * time.Millisecond
-	closeWait  = time.Second // for a disk that may not answer
+	headerSize     = 12      // length and checksum
+	maxRecordBytes = 4 << 10 // bytes
+	maxQueued      = 4096    // records that wait for the disk
+	maxSummaries   = 4096    // records of sends that are summed up at a time
+	segmentCount   = 8       // segments that Config.Bytes is divided into
+	segmentSuffix  = ".trail"
+	flushEvery     = 500 * time.Millisecond
+	closeTimeout   = time.Second // limit on waiting for a disk that does not respond
 )
 
-// ErrNotWritten says that the last records may not be on the disk, which does not answer.
-var ErrNotWritten = errors.New("trail: the last records are not written, the disk may not answer")
+// ErrNotWritten is returned if the last records may not be on disk because the disk does not
+// respond.
+var ErrNotWritten = errors.New("trail: last records not written, the disk may not respond")
 
-// Config says where a trail is kept.
+// Config holds the settings of an event log.
 type Config struct {
-	Dir    string
-	Router string
-	Life   uint64
-	Bytes  int64 // of all segments together; the oldest go
-	// Count is told of what was written, lost or failed.
+	Dir         string
+	Router      string
+	Incarnation uint64
+	Bytes       int64 // limit for all segments together; the oldest are removed
+	// Count counts records written and lost, and errors of the disk.
 	Count interface{ Add(name string, n int64) }
 }
 
-// Writer appends to a router's trail. Its methods may be called from any goroutine and
-// never wait for the disk.
+// Writer appends to a router's event log. Its methods may be called from any goroutine. Only Flush
+// and Close wait for the disk.
 type Writer struct {
 	cfg   Config
 	start time.Time
 	queue chan audit.Record
 
-	flushes chan chan struct{} // who waits for all to be written
-	stopped chan struct{}      // closed when the writing has ended
+	flushes chan chan struct{} // requests of Flush; each is closed when done
+	stopped chan struct{}      // closed when the writing goroutine has ended
 
 	mu     sync.Mutex
-	seq    uint64 // counts what is lost as well, so that it shows as a gap
-	number uint64
-	sums   map[sum]*audit.Record
+	seq    uint64 // also counts lost records, so that they show as a gap
+	number uint64 // of the last record of kind Taken
+	sends  map[sendKey]*audit.Record
 	closed bool
 
-	// Of the writing goroutine.
+	// Used by the writing goroutine only.
 	file *os.File
 	buf  *bufio.Writer
 	size int64
 }
 
-type sum struct {
+type sendKey struct {
 	worker string
 	since  int64
 	number uint64
 }
 
-// Open begins a router's part of a trail, in a segment of its own. The directory is made.
+// Open starts writing an event log in a new segment. It creates the directory if needed.
 func Open(cfg Config) (*Writer, error) {
-	if cfg.Bytes < segments*mostRecord {
-		return nil, fmt.Errorf("trail: %d bytes are too few, %d are the least", cfg.Bytes, segments*mostRecord)
+	if cfg.Bytes < segmentCount*maxRecordBytes {
+		return nil, fmt.Errorf("trail: %d bytes are too few, at least %d are needed", cfg.Bytes, segmentCount*maxRecordBytes)
 	}
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("trail: %w", err)
 	}
 	w := newWriter(cfg)
-	if err := w.segment(); err != nil {
+	if err := w.newSegment(); err != nil {
 		return nil, err
 	}
-	w.begin()
+	w.startWriting()
 	return w, nil
 }
 
 func newWriter(cfg Config) *Writer {
-	return &Writer{cfg: cfg, start: time.Now(), queue: make(chan audit.Record, mostQueue), sums: map[sum]*audit.Record{},
+	return &Writer{cfg: cfg, start: time.Now(), queue: make(chan audit.Record, maxQueued), sends: map[sendKey]*audit.Record{},
 		flushes: make(chan chan struct{}), stopped: make(chan struct{})}
 }
 
-// begin starts the writing.
-func (w *Writer) begin() {
+// startWriting starts the writing goroutine and notes the start.
+func (w *Writer) startWriting() {
 	go w.run()
-	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Life: w.cfg.Life, Wall: w.start.UnixMilli()})
+	w.Note(audit.Record{Kind: audit.Started, Router: w.cfg.Router, Incarnation: w.cfg.Incarnation, Wall: w.start.UnixMilli()})
 }
 
-// Now is the time on the trail's clock.
+// Now returns the time since the log was opened.
 func (w *Writer) Now() time.Duration { return time.Since(w.start) }
 
-// Note appends a record, at this time unless it has one. A version that is taken begins a
-// number of its own, which is returned by Number from then on.
+// Note appends a record, with the present time unless it has one. The Number of a record of kind
+// Taken identifies all versions acted on from then on, and applies to the sends that follow.
 func (w *Writer) Note(r audit.Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,57 +119,58 @@
 		r.At = w.Now()
 	}
 	if r.Kind == audit.Taken {
-		w.flush() // what was sent until now rests on what was held until now
+		w.flushSends() // sends so far were made under the previous versions
 		w.number = r.Number
 	}
 	if r.Kind == audit.Out || r.Kind == audit.ShutOut || r.Kind == audit.Back || r.Kind == audit.Acknowledged {
-		w.flush()
+		w.flushSends()
 	}
-	w.put(r)
+	w.enqueue(r)
 }
 
-// Sent notes an attempt that goes out now. Attempts to one worker under one number are summed
-// up for a moment.
+// Sent records an attempt that is sent now. Attempts at one worker under one Number are summed up
+// in one record until the next flush.
 func (w *Writer) Sent(worker string, since int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k := sum{worker, since, w.number}
-	s := w.sums[k]
+	k := sendKey{worker, since, w.number}
+	s := w.sends[k]
 	now := w.Now()
 	if s == nil {
-		if len(w.sums) >= mostSent {
-			w.flush()
+		if len(w.sends) >= maxSummaries {
+			w.flushSends()
 		}
 		s = &audit.Record{Kind: audit.Sent, Worker: worker, Since: since, Number: w.number, At: now}
-		w.sums[k] = s
+		w.sends[k] = s
 	}
 	s.Count++
 	s.Until = now
 }
 
-// flush hands on what was summed up, in the order of the workers' names. The lock is held.
-func (w *Writer) flush() {
-	if len(w.sums) == 0 {
+// flushSends queues the summed-up sends, ordered by the workers' names. The caller holds the lock.
+func (w *Writer) flushSends() {
+	if len(w.sends) == 0 {
 		return
 	}
-	all := make([]*audit.Record, 0, len(w.sums))
-	for _, s := range w.sums {
+	all := make([]*audit.Record, 0, len(w.sends))
+	for _, s := range w.sends {
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b *audit.Record) int { return strings.Compare(a.Worker, b.Worker) })
 	for _, s := range all {
-		w.put(*s)
+		w.enqueue(*s)
 	}
-	clear(w.sums)
+	clear(w.sends)
 }
 
-// put queues a record. The lock is held, so that records stand in the order of their times.
-func (w *Writer) put(r audit.Record) {
+// enqueue queues a record. The caller holds the lock, so that records are in the order of their
+// times.
+func (w *Writer) enqueue(r audit.Record) {
 	if w.closed {
 		return
 	}
 	w.seq++
-	r.Life, r.Seq = w.cfg.Life, w.seq
+	r.Incarnation, r.Seq = w.cfg.Incarnation, w.seq
 	select {
 	case w.queue <- r:
 	default:
@@ -175,21 +178,22 @@
 	}
 }
 
-// Close writes what is left and ends the trail in good order. It waits for closeWait at most, and is ErrNotWritten then.
+// Close writes the remaining records and a final one. It waits for at most closeTimeout and returns
+// ErrNotWritten after that.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
 		w.mu.Unlock()
 		return nil
 	}
-	w.flush()
-	w.put(audit.Record{Kind: audit.Ended, At: w.Now()})
+	w.flushSends()
+	w.enqueue(audit.Record{Kind: audit.Ended, At: w.Now()})
 	w.closed = true
 	close(w.queue)
 	w.mu.Unlock()
 	select {
 	case <-w.stopped:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 		return ErrNotWritten
 	}
 	if w.file == nil {
@@ -198,7 +202,7 @@
 	return w.file.Close()
 }
 
-// run writes until the queue is closed.
+// run writes records until the queue is closed.
 func (w *Writer) run() {
 	defer close(w.stopped)
 	tick := time.NewTicker(flushEvery)
@@ -211,37 +215,39 @@
 					w.write(r)
 				}
 			}
-			w.sync()
+			w.flushBuffer()
 			close(done)
 		case r, ok := <-w.queue:
 			if !ok {
-				w.sync()
+				w.flushBuffer()
 				return
 			}
 			w.write(r)
 			if r.Kind != audit.Sent && r.Kind != audit.Failed && len(w.queue) == 0 {
-				w.sync() // these are few, and a process that is killed loses what it has not handed on
+				// Records of the other kinds are rare and are flushed at once, since a process that
+				// is killed loses what is in the buffer.
+				w.flushBuffer()
 			}
 		case <-tick.C:
 			w.mu.Lock()
 			if !w.closed {
-				w.flush()
+				w.flushSends()
 			}
 			w.mu.Unlock()
-			w.sync()
+			w.flushBuffer()
 		}
 	}
 }
 
-func (w *Writer) sync() {
+func (w *Writer) flushBuffer() {
 	if w.buf != nil {
-		w.failed(w.buf.Flush())
+		w.handleError(w.buf.Flush())
 	}
 }
 
-// failed takes note of a disk that does not take what it is given: the segment is given up,
-// and another one is tried with the next record.
-func (w *Writer) failed(err error) {
+// handleError counts an error of the disk and abandons the segment; the next record starts another
+// one.
+func (w *Writer) handleError(err error) {
 	if err == nil {
 		return
 	}
@@ -259,9 +265,9 @@
 		w.cfg.Count.Add("trail_lost", 1)
 		return
 	}
-	if w.buf == nil || w.size+int64(len(frame)) > w.cfg.Bytes/segments {
-		if err := w.segment(); err != nil {
-			w.failed(err)
+	if w.buf == nil || w.size+int64(len(frame)) > w.cfg.Bytes/segmentCount {
+		if err := w.newSegment(); err != nil {
+			w.handleError(err)
 			w.cfg.Count.Add("trail_lost", 1)
 			return
 		}
@@ -269,15 +275,15 @@
 	n, err := w.buf.Write(frame)
 	w.size += int64(n)
 	if err != nil {
-		w.failed(err)
+		w.handleError(err)
 		w.cfg.Count.Add("trail_lost", 1)
 		return
 	}
 	w.cfg.Count.Add("trail_records", 1)
 }
 
-// segment begins a segment and removes the oldest ones.
-func (w *Writer) segment() error {
+// newSegment starts a segment and removes the oldest ones.
+func (w *Writer) newSegment() error {
 	if w.buf != nil {
 		if err := w.buf.Flush(); err != nil {
 			return fmt.Errorf("trail: %w", err)
@@ -294,13 +300,13 @@
 		_, _ = fmt.Sscanf(filepath.Base(names[n-1]), "%020d", &next)
 		next++
 	}
-	for len(names) >= segments {
+	for len(names) >= segmentCount {
 		if err := os.Remove(names[0]); err != nil {
 			return fmt.Errorf("trail: %w", err)
 		}
 		names = names[1:]
 	}
-	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%020d%s", next, suffix))
+	path := filepath.Join(w.cfg.Dir, fmt.Sprintf("%020d%s", next, segmentSuffix))
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("trail: %w", err)
@@ -309,7 +315,7 @@
 	return nil
 }
 
-// Segments are the files of a trail, the oldest first.
+// Segments returns the files of an event log, the oldest first.
 func Segments(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -317,7 +323,7 @@
 	}
 	var out []string
 	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), suffix) && e.Type().IsRegular() {
+		if strings.HasSuffix(e.Name(), segmentSuffix) && e.Type().IsRegular() {
 			out = append(out, filepath.Join(dir, e.Name()))
 		}
 	}
@@ -325,7 +331,7 @@
 	return out, nil
 }
 
-// ErrRecord is for a record that can't be read.
+// ErrRecord is returned for a record that can't be read.
 var ErrRecord = errors.New("trail record")
 
 var decoder = func() cbor.DecMode {
@@ -336,27 +342,28 @@
 	return m
 }()
 
-// Encode makes a frame of a record. Texts that are too long are cut.
+// Encode returns the frame of a record. Texts that are too long are truncated.
 func Encode(r audit.Record) ([]byte, error) {
 	for _, s := range []*string{&r.Text, &r.Request, &r.Worker, &r.Part, &r.Router} {
-		if len(*s) > mostRecord/16 {
-			*s = strings.ToValidUTF8((*s)[:mostRecord/16], "")
+		if len(*s) > maxRecordBytes/16 {
+			*s = strings.ToValidUTF8((*s)[:maxRecordBytes/16], "")
 		}
 	}
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
-	frame := make([]byte, headSize, headSize+len(body))
+	frame := make([]byte, headerSize, headerSize+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
 	binary.BigEndian.PutUint64(frame[4:], xxh3.Hash(body))
 	return append(frame, body...), nil
 }
 
-// Decode reads the next record of a segment. io.EOF is its end, between two records.
+// Decode reads the next record of a segment. It returns io.EOF if the segment ends between two
+// records.
 func Decode(r io.Reader) (audit.Record, error) {
 	var rec audit.Record
-	var head [headSize]byte
+	var head [headerSize]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
 			return rec, io.EOF
@@ -364,7 +371,7 @@
 		return rec, fmt.Errorf("%w: torn after %d bytes of its head", ErrRecord, n)
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > mostRecord {
+	if size == 0 || size > maxRecordBytes {
 		return rec, fmt.Errorf("%w: %d bytes long, which none is", ErrRecord, size)
 	}
 	body := make([]byte, size)
@@ -380,7 +387,8 @@
 	return rec, nil
 }
 
-// ReadAll reads one trail for each directory; one that does not name its router goes by its directory.
+// ReadAll reads the event log of each directory. A log that does not name its router gets the name
+// of its directory.
 func ReadAll(dirs []string) ([]audit.Trail, error) {
 	var trails []audit.Trail
 	for _, dir := range dirs {
@@ -396,9 +404,8 @@
 	return trails, nil
 }
 
-// Read reads a whole trail. A record that can't be read ends its segment: what lies behind
-// it can't be told from noise. Segments that are missing between two show as a gap in the
-// records' numbers.
+// Read reads a whole event log. A record that can't be read ends its segment, since the start of
+// the next record is unknown. Missing segments show as a gap in the sequence numbers.
 func Read(dir string) (audit.Trail, error) {
 	var t audit.Trail
 	names, err := Segments(dir)
@@ -406,7 +413,7 @@
 		return t, err
 	}
 	if len(names) == 0 {
-		return t, fmt.Errorf("trail: %s holds no segment", dir)
+		return t, fmt.Errorf("trail: directory %s has no segment", dir)
 	}
 	for _, name := range names {
 		if err := readSegment(name, &t); err != nil {
@@ -422,10 +429,10 @@
 		return fmt.Errorf("trail: %w", err)
 	}
 	defer f.Close()
-	counted := &counting{r: bufio.NewReader(f)}
+	reader := &countingReader{r: bufio.NewReader(f)}
 	for {
-		at := counted.n
-		rec, err := Decode(counted)
+		at := reader.n
+		rec, err := Decode(reader)
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
@@ -440,13 +447,13 @@
 	}
 }
 
-// counting knows how far it has been read.
-type counting struct {
+// countingReader counts the bytes that have been read.
+type countingReader struct {
 	r io.Reader
 	n int64
 }
 
-func (c *counting) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.n += int64(n)
 	return n, err
--- a/fleet/link/link.go
+++ b/fleet/link/link.go
@@ -1,14 +1,14 @@
 // Package link carries messages between the routers of a fleet.
 //
-// Each router listens, and has at most one connection of its own to each other: what
-// it sends goes over that one, what it hears comes over theirs. A message is a frame
-// with length and checksum around CBOR; fields that a reader does not know are passed
-// over, so a newer version can add some. Each frame is acknowledged with one byte, so
-// that a connection whose other end has vanished is noticed and replaced.
+// Each router listens, and opens at most one connection to each other router. It sends over the
+// connections that it opened and receives over those that it accepted. A message is a frame of
+// length, checksum and CBOR; readers ignore unknown fields, so newer versions can add some. Each
+// frame is acknowledged with one byte, so that a connection whose other end no longer responds is
+// detected and replaced.
 //
-// Nothing is sent twice and nothing is kept for long: a message that finds no
-// connection is dropped, as is one that has waited longer than it is worth. What is
-// sent has to bear loss, doubling and any order; the link does not hide them.
+// A link does not retransmit and buffers only briefly: a message is dropped if there is no
+// connection or if it has waited longer than StaleAfter. Protocols over a link must tolerate loss,
+// duplicates and reordering.
 package link
 
 import (
@@ -35,17 +35,17 @@
 	accepting "lichenshelf/internal/listener"
 )
 
-// Version is what this program writes.
+// Version is the version of the messages that this program writes.
 const Version = 1
 
 const (
-	mostFrame  = 1 << 20 // bytes of a message: the work at 4,096 workers of long names
-	mostQueue  = 64      // messages that wait for one router
-	headSize   = 8       // length and checksum
-	ack        = 0x06
-	idleFor    = time.Minute // without a frame a connection that others opened is closed
-	againLeast = 100 * time.Millisecond
-	againMost  = 3 * time.Second
+	maxFrameBytes = 1 << 20 // fits the work at 4,096 workers with long names
+	maxQueued     = 64      // messages that wait for one router
+	headerSize    = 8       // length and checksum
+	ack           = 0x06
+	idleTimeout   = time.Minute // accepted connections without a frame for this long are closed
+	minBackoff    = 100 * time.Millisecond
+	maxBackoff    = 3 * time.Second
 )
 
 // Envelope is one message between two routers.
@@ -54,16 +54,16 @@
 // Peer is another router of the fleet.
 type Peer struct{ Name, Addr string }
 
-// Config is what a Link is made of.
+// Config holds the settings of a Link.
 type Config struct {
 	Fleet, Self string
-	Peers       []Peer        // the others
-	Timeout     time.Duration // for a connection to come up, and for a frame to be taken
-	StaleAfter  time.Duration // a message that has waited longer is dropped
+	Peers       []Peer        // the other routers
+	Timeout     time.Duration // for opening a connection, and for the acknowledgement of a frame
+	StaleAfter  time.Duration // messages that have waited longer are dropped
 	Seed        uint64
 	Counters    interface{ Add(name string, n int64) }
 	Log         logrus.FieldLogger
-	// Receive takes what has come. It must return soon.
+	// Receive is called with each message received. It must not block for long.
 	Receive func(Envelope)
 }
 
@@ -72,42 +72,42 @@
 	cfg   Config
 	peers map[string]*peer
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool // that others opened
+	mu       sync.Mutex
+	accepted map[net.Conn]bool // open connections from other routers
 }
 
-// peer is the way to one other router.
+// peer is the sending side of the link to one other router.
 type peer struct {
 	Peer
-	queue chan waiting
+	queue chan queuedFrame
 
 	mu     sync.Mutex
 	status Status
 }
 
-type waiting struct {
-	frame []byte
-	at    time.Time
+type queuedFrame struct {
+	frame    []byte
+	queuedAt time.Time
 }
 
-// Status is what is known of a link, for people.
+// Status is the state of a link, for display.
 type Status struct {
-	Name, Addr   string
-	Connected    bool
-	Sent         int64         // frames that the other end has taken
-	Dropped      int64         // that found no connection, no room, or were too old
-	Heard        int64         // frames that came from it
-	SinceTaken   time.Duration // since it took one; -1: never
-	SinceHeard   time.Duration // since one came; -1: never
-	LastFault    string
-	taken, heard time.Time
+	Name, Addr          string
+	Connected           bool
+	Sent                int64         // frames that the other end has acknowledged
+	Dropped             int64         // messages without a connection or room in the queue, or stale
+	Received            int64         // messages received
+	SinceAcked          time.Duration // since the last acknowledgement; -1: never
+	SinceReceived       time.Duration // since the last message was received; -1: never
+	LastFault           string
+	ackedAt, receivedAt time.Time
 }
 
 // New returns a link; Run and Serve start it.
 func New(cfg Config) *Link {
-	l := &Link{cfg: cfg, peers: map[string]*peer{}, conns: map[net.Conn]bool{}}
+	l := &Link{cfg: cfg, peers: map[string]*peer{}, accepted: map[net.Conn]bool{}}
 	for _, p := range cfg.Peers {
-		l.peers[p.Name] = &peer{Peer: p, queue: make(chan waiting, mostQueue), status: Status{Name: p.Name, Addr: p.Addr}}
+		l.peers[p.Name] = &peer{Peer: p, queue: make(chan queuedFrame, maxQueued), status: Status{Name: p.Name, Addr: p.Addr}}
 	}
 	return l
 }
@@ -120,7 +120,7 @@
 	return m
 }()
 
-// decoder bounds what a message may make this router hold.
+// decoder limits the memory that a message can make this router use.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 4096, MaxMapPairs: 4096, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
@@ -131,40 +131,40 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode makes a frame of a message.
+// Encode returns the frame of a message.
 func Encode(e Envelope) ([]byte, error) {
 	body, err := encoder.Marshal(e)
 	if err != nil {
 		return nil, fmt.Errorf("encode a message: %w", err)
 	}
-	if len(body) > mostFrame {
+	if len(body) > maxFrameBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, len(body))
 	}
-	frame := make([]byte, headSize, headSize+len(body))
+	frame := make([]byte, headerSize, headerSize+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
 	binary.BigEndian.PutUint32(frame[4:], crc32.Checksum(body, castagnoli))
 	return append(frame, body...), nil
 }
 
-// ErrFrame is for a frame that can't be taken; the connection can't be followed
-// any further.
+// ErrFrame is returned for an invalid frame. The start of the next frame is unknown, so the
+// connection must be closed.
 var ErrFrame = errors.New("fleet frame")
 
-// ErrMessage is for a message that is passed over: the next one may be good.
+// ErrMessage is returned for a message that is ignored; the connection remains usable.
 var ErrMessage = errors.New("fleet message")
 
 // Decode reads the next message.
 func Decode(r io.Reader) (Envelope, error) {
 	var e Envelope
-	var head [headSize]byte
+	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return e, fmt.Errorf("read a frame: %w", err)
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > mostFrame {
+	if size == 0 || size > maxFrameBytes {
 		return e, fmt.Errorf("%w: %d bytes", ErrFrame, size)
 	}
-	// Memory is taken as bytes arrive, not as a head promises.
+	// Memory is allocated as bytes arrive, not in advance for the size that the header states.
 	var got bytes.Buffer
 	if _, err := io.CopyN(&got, r, int64(size)); err != nil {
 		if errors.Is(err, io.EOF) {
@@ -185,8 +185,7 @@
 	return e, nil
 }
 
-// Send puts a message on its way. It never waits; a message that can't go is dropped
-// and counted.
+// Send queues a message. It never blocks; a message that can't be queued is dropped and counted.
 func (l *Link) Send(e Envelope) {
 	e.Version, e.Need, e.Fleet, e.From = Version, Version, l.cfg.Fleet, l.cfg.Self
 	p := l.peers[e.To]
@@ -195,42 +194,43 @@
 	}
 	frame, err := Encode(e)
 	if err != nil {
-		p.note(func(s *Status) { s.Dropped++; s.LastFault = err.Error() })
+		p.update(func(s *Status) { s.Dropped++; s.LastFault = err.Error() })
 		return
 	}
 	select {
-	case p.queue <- waiting{frame, time.Now()}:
+	case p.queue <- queuedFrame{frame, time.Now()}:
 	default:
-		l.dropped(p, 1)
+		l.countDropped(p, 1)
 	}
 }
 
-func (l *Link) dropped(p *peer, n int64) {
-	p.note(func(s *Status) { s.Dropped += n })
+func (l *Link) countDropped(p *peer, n int64) {
+	p.update(func(s *Status) { s.Dropped += n })
 	l.cfg.Counters.Add("fleet_messages_dropped", n)
 }
 
-func (p *peer) note(f func(*Status)) {
+func (p *peer) update(f func(*Status)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.status)
 }
 
-// Run sends until ctx ends.
+// Run sends queued messages until ctx ends.
 func (l *Link) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, p := range l.peers {
-		all.Go(func() { l.feed(ctx, p) })
+		all.Go(func() { l.sendLoop(ctx, p) })
 	}
 	all.Wait()
 }
 
-// feed keeps a connection to one router while there is something to send.
-func (l *Link) feed(ctx context.Context, p *peer) {
+// sendLoop sends the messages that are queued for one router. It connects when there is a message
+// to send, and after a failure no sooner than the backoff allows.
+func (l *Link) sendLoop(ctx context.Context, p *peer) {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, uint64(crc32.ChecksumIEEE([]byte(p.Name)))))
-	again := backoff.NewExponentialBackOff()
-	again.InitialInterval, again.MaxInterval, again.Multiplier, again.RandomizationFactor = againLeast, againMost, 2, 0
-	again.Reset()
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval, retry.Multiplier, retry.RandomizationFactor = minBackoff, maxBackoff, 2, 0
+	retry.Reset()
 	var conn net.Conn
 	defer func() {
 		if conn != nil {
@@ -239,14 +239,14 @@
 	}()
 	var notBefore time.Time
 	for {
-		var w waiting
+		var w queuedFrame
 		select {
 		case <-ctx.Done():
 			return
 		case w = <-p.queue:
 		}
-		if time.Since(w.at) > l.cfg.StaleAfter || conn == nil && time.Now().Before(notBefore) {
-			l.dropped(p, 1)
+		if time.Since(w.queuedAt) > l.cfg.StaleAfter || conn == nil && time.Now().Before(notBefore) {
+			l.countDropped(p, 1)
 			continue
 		}
 		var err error
@@ -255,11 +255,11 @@
 			conn, err = dialer.DialContext(ctx, "tcp4", p.Addr)
 		}
 		if err == nil {
-			err = l.hand(conn, w.frame)
+			err = l.sendFrame(conn, w.frame)
 		}
 		if err == nil {
-			again.Reset()
-			p.note(func(s *Status) { s.Connected, s.LastFault, s.taken = true, "", time.Now(); s.Sent++ })
+			retry.Reset()
+			p.update(func(s *Status) { s.Connected, s.LastFault, s.ackedAt = true, "", time.Now(); s.Sent++ })
 			l.cfg.Counters.Add("fleet_messages_sent", 1)
 			continue
 		}
@@ -267,17 +267,17 @@
 			_ = conn.Close()
 			conn = nil
 		}
-		wait := again.NextBackOff()
+		wait := retry.NextBackOff()
 		notBefore = time.Now().Add(wait/2 + time.Duration(rng.Int64N(int64(wait/2)+1)))
-		l.dropped(p, 1)
+		l.countDropped(p, 1)
 		if ctx.Err() == nil {
-			l.changed(p, err)
+			l.linkLost(p, err)
 		}
 	}
 }
 
-// changed logs a link that was lost, once.
-func (l *Link) changed(p *peer, err error) {
+// linkLost records that a link is down, and logs the first failure only.
+func (l *Link) linkLost(p *peer, err error) {
 	p.mu.Lock()
 	first := p.status.Connected || p.status.LastFault == ""
 	p.status.Connected, p.status.LastFault = false, err.Error()
@@ -287,8 +287,8 @@
 	}
 }
 
-// hand writes a frame and waits until the other end has taken it.
-func (l *Link) hand(conn net.Conn, frame []byte) error {
+// sendFrame writes a frame and waits for its acknowledgement.
+func (l *Link) sendFrame(conn net.Conn, frame []byte) error {
 	if err := conn.SetDeadline(time.Now().Add(l.cfg.Timeout)); err != nil {
 		return fmt.Errorf("send a frame: %w", err)
 	}
@@ -305,22 +305,22 @@
 	return nil
 }
 
-// Serve takes others' connections until the listener is closed.
+// Serve accepts other routers' connections until the listener is closed.
 func (l *Link) Serve(listener net.Listener) error {
-	most := 2*len(l.peers) + 8
-	open := accepting.Resilient(listener, func(error) { l.cfg.Counters.Add("accepts_failed", 1) })
+	maxConns := 2*len(l.peers) + 8
+	accepter := accepting.Resilient(listener, func(error) { l.cfg.Counters.Add("accepts_failed", 1) })
 	for {
-		c, err := open.Accept()
+		c, err := accepter.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("accept a router: %w", err)
+			return fmt.Errorf("accept a connection of a router: %w", err)
 		}
 		l.mu.Lock()
-		full := len(l.conns) >= most
+		full := len(l.accepted) >= maxConns
 		if !full {
-			l.conns[c] = true
+			l.accepted[c] = true
 		}
 		l.mu.Unlock()
 		if full {
@@ -328,50 +328,51 @@
 			_ = c.Close()
 			continue
 		}
-		go l.hear(c)
+		go l.receiveLoop(c)
 	}
 }
 
-// Close ends the connections that others opened.
+// Close closes the connections that other routers opened.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.conns {
+	for c := range l.accepted {
 		_ = c.Close()
 	}
 }
 
-func (l *Link) hear(c net.Conn) {
+func (l *Link) receiveLoop(c net.Conn) {
 	defer func() {
 		_ = c.Close()
 		l.mu.Lock()
-		delete(l.conns, c)
+		delete(l.accepted, c)
 		l.mu.Unlock()
 	}()
 	br := bufio.NewReader(c)
 	for {
-		if err := c.SetReadDeadline(time.Now().Add(idleFor)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
 		if _, err := br.Peek(1); err != nil {
 			return
 		}
-		// A frame that has begun must end soon: half of one must not hold a connection.
+		// The rest of a frame must follow within Timeout, so that an incomplete frame does not occupy
+		// a connection.
 		if err := c.SetReadDeadline(time.Now().Add(l.cfg.Timeout)); err != nil {
 			return
 		}
 		e, err := Decode(br)
 		if err != nil && !errors.Is(err, ErrMessage) {
-			l.refused(c, err)
+			l.logRefused(c, err)
 			return
 		}
 		if err == nil {
 			err = l.check(&e)
 		}
 		if err != nil {
-			l.refused(c, err)
+			l.logRefused(c, err)
 		} else {
-			l.peers[e.From].note(func(s *Status) { s.Heard++; s.heard = time.Now() })
+			l.peers[e.From].update(func(s *Status) { s.Received++; s.receivedAt = time.Now() })
 			l.cfg.Counters.Add("fleet_messages_heard", 1)
 			l.cfg.Receive(e)
 		}
@@ -384,33 +385,34 @@
 	}
 }
 
-// check passes over what is not meant for this router, or speaks for another.
+// check rejects messages for another fleet or router or from an unknown router, and removes parts
+// whose stated origin is not the sender.
 func (l *Link) check(e *Envelope) error {
 	switch {
 	case e.Fleet != l.cfg.Fleet:
-		return fmt.Errorf("%w: of fleet %.40q", ErrMessage, e.Fleet)
+		return fmt.Errorf("%w: for fleet %.40q", ErrMessage, e.Fleet)
 	case e.To != l.cfg.Self:
 		return fmt.Errorf("%w: for router %.40q", ErrMessage, e.To)
 	case l.peers[e.From] == nil:
-		return fmt.Errorf("%w: from the unknown router %.40q", ErrMessage, e.From)
+		return fmt.Errorf("%w: from unknown router %.40q", ErrMessage, e.From)
 	}
-	e.Spoken()
+	e.DropForged()
 	return nil
 }
 
-func (l *Link) refused(c net.Conn, err error) {
+func (l *Link) logRefused(c net.Conn, err error) {
 	l.cfg.Counters.Add("fleet_messages_refused", 1)
 	l.cfg.Log.WithError(err).WithField("from", c.RemoteAddr().String()).Debug("fleet message refused")
 }
 
-// Statuses tells of all links, by name.
+// Statuses returns the state of all links, ordered by the name of the peer.
 func (l *Link) Statuses() []Status {
 	out := make([]Status, 0, len(l.peers))
 	for _, p := range l.peers {
 		p.mu.Lock()
 		s := p.status
 		p.mu.Unlock()
-		s.SinceTaken, s.SinceHeard = since(s.taken), since(s.heard)
+		s.SinceAcked, s.SinceReceived = since(s.ackedAt), since(s.receivedAt)
 		out = append(out, s)
 	}
 	slices.SortFunc(out, func(a, b Status) int { return strings.Compare(a.Name, b.Name) })
--- a/fleet/outlier/outlier_test.go
+++ b/fleet/outlier/outlier_test.go
@@ -13,7 +13,7 @@
 )
 
 func config(self string, zones ...string) Config {
-	c := Config{Self: self, Zones: map[string]string{}, Quorum: 2, MostOut: 0.3, Least: 3, Hold: 3 * time.Second, Return: 4 * time.Second}
+	c := Config{Self: self, Zones: map[string]string{}, Quorum: 2, MaxOut: 0.3, MinFailures: 3, Hold: 3 * time.Second, Return: 4 * time.Second}
 	for i, z := range zones {
 		c.Zones[fmt.Sprintf("r%d", i)] = z
 	}
@@ -34,54 +34,55 @@
 	return out
 }
 
-// word is another's judgement on a worker.
-func say(origin, worker string, seq uint64) Judgement {
-	return Judgement{Worker: worker, Since: 1, Origin: origin, Life: 1, Seq: seq, Fault: Errors, Bad: 2, LeftMs: 3000}
+// judgementBy makes another router's judgement of a worker.
+func judgementBy(origin, worker string, seq uint64) Judgement {
+	return Judgement{Worker: worker, Since: 1, Origin: origin, Incarnation: 1, Seq: seq, Fault: Errors, Bad: 2, LeftMs: 3000}
 }
 
-func TestWhoMayTakeAWorkerOut(t *testing.T) {
+func TestQuorumForTakingAWorkerOut(t *testing.T) {
 	now := Time(time.Hour)
 	for _, tc := range []struct {
-		name  string
-		zones []string // of r0, which looks, and the others
-		words []Judgement
-		out   bool
+		name       string
+		zones      []string // of r0, the router under test, and the others
+		judgements []Judgement
+		out        bool
 	}{
-		{"nobody", []string{"a", "a", "a"}, nil, false},
-		{"one alone", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1)}, false},
-		{"two of one zone, the only one", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, true},
-		{"two of one zone of two", []string{"b", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, false},
-		{"two of two zones", []string{"b", "a", "b"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1)}, true},
-		{"one of them twice", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r1", "w00", 2)}, false},
-		{"one takes it back", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 1),
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 2, LeftMs: 3000}}, false},
-		{"its taking back comes late", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r2", "w00", 9),
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 2, LeftMs: 3000}}, true},
-		{"a stranger", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1), say("r7", "w00", 1)}, false},
-		{"an earlier incarnation", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
-			{Worker: "w00", Since: 0, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
-		{"nonsense", []string{"a", "a", "a"}, []Judgement{say("r1", "w00", 1),
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: 99, Bad: 2, LeftMs: 3000},
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: math.NaN(), LeftMs: 3000},
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 1 << 31},
-			{Worker: "w00", Since: 1, Origin: "r0", Life: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
-		{"too little seen together", []string{"a", "a", "a"}, []Judgement{{Worker: "w00", Since: 1, Origin: "r1", Life: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000},
-			{Worker: "w00", Since: 1, Origin: "r2", Life: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000}}, false},
-		{"a liar who judges all", []string{"a", "a", "a"}, func() (out []Judgement) {
+		{"no router", []string{"a", "a", "a"}, nil, false},
+		{"one router alone", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1)}, false},
+		{"two of one zone, the only one", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1)}, true},
+		{"two of one zone of two", []string{"b", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1)}, false},
+		{"two of two zones", []string{"b", "a", "b"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1)}, true},
+		{"one of them twice", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r1", "w00", 2)}, false},
+		{"one withdraws it", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 1),
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 2, LeftMs: 3000}}, false},
+		{"the withdrawal arrives late", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r2", "w00", 9),
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 2, LeftMs: 3000}}, true},
+		{"an unknown router", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1), judgementBy("r7", "w00", 1)}, false},
+		{"an earlier incarnation", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1),
+			{Worker: "w00", Since: 0, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
+		{"invalid values", []string{"a", "a", "a"}, []Judgement{judgementBy("r1", "w00", 1),
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: 99, Bad: 2, LeftMs: 3000},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: math.NaN(), LeftMs: 3000},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 1 << 31},
+			{Worker: "w00", Since: 1, Origin: "r0", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 2, LeftMs: 3000}}, false},
+		{"too few failures together", []string{"a", "a", "a"}, []Judgement{{Worker: "w00", Since: 1, Origin: "r1", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000},
+			{Worker: "w00", Since: 1, Origin: "r2", Incarnation: 1, Seq: 1, Fault: Errors, Bad: 1, LeftMs: 3000}}, false},
+		{"a router that judges all workers", []string{"a", "a", "a"}, func() (out []Judgement) {
 			for i := range 10 {
-				out = append(out, say("r2", fmt.Sprintf("w%02d", i), uint64(i+1)))
+				out = append(out, judgementBy("r2", fmt.Sprintf("w%02d", i), uint64(i+1)))
 			}
-			return append(out, say("r1", "w00", 1))
+			return append(out, judgementBy("r1", "w00", 1))
 		}(), false},
 	} {
 		c := detector(t, config("r0", tc.zones...))
-		c.Receive(tc.words, now)
-		_, out := c.Parts(pool(10), now)["w00"]
+		c.Receive(tc.judgements, now)
+		_, out := c.TrafficShares(pool(10), now)["w00"]
 		require.Equal(t, tc.out, out, tc.name)
 	}
 }
 
-// Own attempts make a judgement, which is spread, holds for its time, and comes back in steps; a new incarnation has it all.
+// Own attempts make a judgement that is shared and expires; the worker returns in steps; a new
+// incarnation has all of its traffic.
 func TestOutAndBackInSteps(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := detector(t, config("r0", "x", "x")), detector(t, config("r1", "x", "x"))
@@ -92,19 +93,19 @@
 	}
 	a.Judge(now)
 	b.Judge(now)
-	require.NotContains(t, a.Parts(pool(10), now), "w03", "one alone takes nobody out")
-	a.Receive(b.Tell(now), now)
-	require.Equal(t, map[string]float64{"w03": 0}, a.Parts(pool(10), now))
+	require.NotContains(t, a.TrafficShares(pool(10), now), "w03", "one router alone takes no worker out")
+	a.Receive(b.Judgements(now), now)
+	require.Equal(t, map[string]float64{"w03": 0}, a.TrafficShares(pool(10), now))
 	k := a.Case("w03", now)
 	require.True(t, k.Out)
 	require.Len(t, k.By, 2)
 	again := pool(10)
 	again[3].Since = 2
-	require.NotContains(t, detector(t, config("r0", "x", "x")).Parts(again, now), "w03")
+	require.NotContains(t, detector(t, config("r0", "x", "x")).TrafficShares(again, now), "w03")
 	now += Time(3 * time.Second)
 	var steps []float64
 	for range 6 {
-		p, ok := a.Parts(pool(10), now)["w03"]
+		p, ok := a.TrafficShares(pool(10), now)["w03"]
 		if !ok {
 			p = 1
 		}
@@ -114,36 +115,39 @@
 	require.Equal(t, []float64{0.2, 0.4, 0.6, 0.8, 1, 1}, steps)
 }
 
-// A process that goes by a newer life than it began with makes its judgements anew: others have dropped those of the old.
-func TestJudgementsGoByTheNewerLife(t *testing.T) {
+// A process whose incarnation is raised makes its judgements again: others have dropped those of
+// the old incarnation.
+func TestNewerIncarnationRenewsJudgements(t *testing.T) {
 	now := Time(time.Hour)
 	a, b := detector(t, config("r0", "x", "x")), detector(t, config("r1", "x", "x"))
-	a.Receive([]Judgement{{Worker: "w03", Since: 1, Origin: "r1", Life: 9, Seq: 50, LeftMs: 3000}}, now) // by its forerunner
+	// From its predecessor.
+	a.Receive([]Judgement{{Worker: "w03", Since: 1, Origin: "r1", Incarnation: 9, Seq: 50, LeftMs: 3000}}, now)
 	for i := range 40 {
 		b.Observe(fmt.Sprintf("w%02d", i%10), 1, map[bool]Fault{true: Errors}[i%10 == 3], now)
 	}
 	b.Judge(now)
-	a.Receive(b.Tell(now), now)
-	require.Equal(t, None, a.Case("w03", now).By[0].Fault, "of an older life")
-	b.SetLife(10)
+	a.Receive(b.Judgements(now), now)
+	require.Equal(t, None, a.Case("w03", now).By[0].Fault, "of an older incarnation")
+	b.SetIncarnation(10)
 	b.Judge(now)
-	a.Receive(b.Tell(now), now)
+	a.Receive(b.Judgements(now), now)
 	require.Equal(t, Errors, a.Case("w03", now).By[0].Fault)
 }
 
-// A router to which most workers look bad has a bad link, and judges nobody.
-func TestBadLinkJudgesNobody(t *testing.T) {
+// A router to which most workers appear faulty has a faulty link, and judges no worker.
+func TestRouterWithBadLinkJudgesNoWorker(t *testing.T) {
 	now := Time(time.Hour)
 	c := detector(t, config("r0", "x", "x"))
 	for i := range 100 {
 		c.Observe(fmt.Sprintf("w%02d", i%10), 1, map[bool]Fault{true: Connect}[i%10 < 6], now)
 	}
 	c.Judge(now)
-	require.Empty(t, c.Tell(now))
+	require.Empty(t, c.Judgements(now))
 }
 
-// Whatever is said, no more of a kind or a zone is out than the stated share, and nobody is out on the word of one.
-func TestShareHoldsWhateverIsSaid(t *testing.T) {
+// For any judgements, no more than the stated share of a kind or a zone is out, and no worker is
+// out on one router's judgement.
+func TestShareHoldsForAnyJudgements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Time(time.Hour)
 		c := detector(t, config("r0", "a", "b", "a", "b"))
@@ -152,16 +156,16 @@
 			workers[i].Kind = rapid.SampledFrom([]string{"read", "write"}).Draw(t, "kind")
 			workers[i].Zone = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 		}
-		for range rapid.IntRange(0, 60).Draw(t, "words") {
-			j := say(fmt.Sprintf("r%d", rapid.IntRange(1, 3).Draw(t, "origin")), workers[rapid.IntRange(0, len(workers)-1).Draw(t, "worker")].Name,
+		for range rapid.IntRange(0, 60).Draw(t, "judgements") {
+			judgement := judgementBy(fmt.Sprintf("r%d", rapid.IntRange(1, 3).Draw(t, "origin")), workers[rapid.IntRange(0, len(workers)-1).Draw(t, "worker")].Name,
 				rapid.Uint64Max(100).Draw(t, "seq"))
-			c.Receive([]Judgement{j}, now)
+			c.Receive([]Judgement{judgement}, now)
 			if rapid.Bool().Draw(t, "own") {
-				c.Observe(j.Worker, 1, Errors, now)
+				c.Observe(judgement.Worker, 1, Errors, now)
 			}
 			c.Judge(now)
 			out := map[string]int{}
-			for name, part := range c.Parts(workers, now) {
+			for name, part := range c.TrafficShares(workers, now) {
 				for _, w := range workers {
 					if w.Name == name && part == 0 {
 						out["kind "+w.Kind]++
@@ -184,8 +188,9 @@
 	})
 }
 
-// One of 20 workers answers 500 at once. With little traffic each router alone needs long to see as much of it; told by
-// others all stop using it soon. The ratio is what counts, both in one run.
+// One of 20 workers begins to answer all requests with errors. With little traffic each router
+// alone needs a long time to count enough failures; with others' judgements all routers soon stop
+// using it. The test compares both times within one run.
 func TestAllStopUsingABadWorker(t *testing.T) {
 	const rate, most, tick = 4.0, 3 * time.Minute, 100 * time.Millisecond
 	for _, n := range []int{8, 40, 200} {
@@ -195,7 +200,7 @@
 			zones[i] = string(rune('a' + i%2))
 		}
 		detectors := make([]*Detector, n)
-		alone, told := make([]Time, n), make([]Time, n)
+		aloneAt, sharedAt := make([]Time, n), make([]Time, n)
 		for i := range n {
 			detectors[i] = detector(t, config(fmt.Sprintf("r%d", i), zones...))
 		}
@@ -207,23 +212,23 @@
 					w := rng.IntN(20)
 					c.Observe(fmt.Sprintf("w%02d", w), 1, map[bool]Fault{true: Errors}[w == 0], now)
 				}
-				if e := c.evidence["w00"]; alone[i] == 0 && e != nil && e.bad[Errors] >= c.cfg.Least {
-					alone[i] = now - begin
+				if e := c.evidence["w00"]; aloneAt[i] == 0 && e != nil && e.bad[Errors] >= c.cfg.MinFailures {
+					aloneAt[i] = now - begin
 				}
-				if told[i] == 0 {
+				if sharedAt[i] == 0 {
 					left++
 					c.Judge(now)
-					if p, ok := c.Parts(pool(20), now)["w00"]; ok && p == 0 {
-						told[i] = now - begin
+					if p, ok := c.TrafficShares(pool(20), now)["w00"]; ok && p == 0 {
+						sharedAt[i] = now - begin
 					}
 				}
-				if (now/Time(tick))%5 == 0 { // twice a second to two others
+				if (now/Time(tick))%5 == 0 { // twice per second to two others
 					for range 2 {
-						detectors[rng.IntN(n)].Receive(c.Tell(now), now)
+						detectors[rng.IntN(n)].Receive(c.Judgements(now), now)
 					}
 				}
 			}
-			if left == 0 && !slices.Contains(alone, 0) {
+			if left == 0 && !slices.Contains(aloneAt, 0) {
 				break
 			}
 		}
@@ -237,17 +242,17 @@
 			}
 			return time.Duration(worst)
 		}
-		t.Logf("%3d routers of 4 attempts a second over 20 workers: all stop after %v; all have seen as much alone after %v (%v: not by then)",
-			n, last(told), last(alone), most)
-		require.Less(t, last(told), 30*time.Second)
-		require.Greater(t, last(alone), 2*last(told))
+		t.Logf("%3d routers of 4 attempts a second over 20 workers: all stop after %v; each alone has counted as many failures after %v (%v: not by then)",
+			n, last(sharedAt), last(aloneAt), most)
+		require.Less(t, last(sharedAt), 30*time.Second)
+		require.Greater(t, last(aloneAt), 2*last(sharedAt))
 	}
 }
 
 func TestFaultyConfig(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		`self is "x"`: func(c *Config) { c.Self = "x" }, "quorum is 0": func(c *Config) { c.Quorum = 0 },
-		"most_out is 0.9": func(c *Config) { c.MostOut = 0.9 }, "least is 0": func(c *Config) { c.Least = 0 },
+		"most_out is 0.9": func(c *Config) { c.MaxOut = 0.9 }, "least is 0": func(c *Config) { c.MinFailures = 0 },
 		"hold is 0s": func(c *Config) { c.Hold = 0 },
 	} {
 		c := config("r0", "a")
--- a/fleet/version/version_test.go
+++ b/fleet/version/version_test.go
@@ -7,24 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is taken and acknowledged in whatever order, over any number of starts: versions only go up, never below what
-// was acknowledged, and a number names one vector for good.
+// For any sequence of versions, acknowledgements and restarts, versions only increase, are never
+// less than the acknowledged ones, and a number identifies one vector forever.
 func TestVersionsOnlyGoUp(t *testing.T) {
 	parts := []string{"config", "hand", "workers/dns"}
 	rapid.Check(t, func(t *rapid.T) {
 		k := New(nil)
 		named := map[uint64]Vector{}
-		most := Vector{}
+		acknowledged := Vector{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			part := rapid.SampledFrom(parts).Draw(t, "part")
 			before := k.Held()
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				k.Acknowledge(part)
-				most[part] = max(most[part], k.Held()[part])
+				acknowledged[part] = max(acknowledged[part], k.Held()[part])
 			case 1:
 				acked := k.Acked()
-				k = New(acked) // started again, with what it finds
+				k = New(acked) // restarted with the acknowledged versions
 				clear(named)
 				before = Vector{}
 				require.Equal(t, len(k.Missing()) > 0, sum(acked) > 0)
@@ -33,7 +33,7 @@
 				changed, err := k.Take(part, v)
 				if err != nil {
 					require.ErrorIs(t, err, ErrOlder)
-					require.True(t, v < before[part] || v < most[part])
+					require.True(t, v < before[part] || v < acknowledged[part])
 					require.Equal(t, before, k.Held())
 				} else {
 					require.Equal(t, v, k.Held()[part])
@@ -42,7 +42,7 @@
 			}
 			older, _ := k.Held().Compare(before)
 			require.False(t, older)
-			for part, v := range most {
+			for part, v := range acknowledged {
 				require.GreaterOrEqual(t, k.Acked()[part], v)
 			}
 			if was, ok := named[k.Number()]; ok {
@@ -69,14 +69,14 @@
 	a, b := Vector{"x": 3, "y": 1}, Vector{"x": 2, "z": 4}
 	older, newer := a.Compare(b)
 	require.True(t, older && newer)
-	require.Equal(t, uint64(4), a.Behind(b))
-	require.Equal(t, uint64(2), b.Behind(a))
+	require.Equal(t, uint64(4), a.Lag(b))
+	require.Equal(t, uint64(2), b.Lag(a))
 	k := New(nil)
-	for i := range uint64(mostKept + 10) {
+	for i := range uint64(maxKept + 10) {
 		_, err := k.Take("x", i+1)
 		require.NoError(t, err)
 	}
 	_, ok := k.At(5)
-	require.False(t, ok, "forgotten")
-	require.LessOrEqual(t, len(k.kept), mostKept+1)
+	require.False(t, ok, "no longer kept")
+	require.LessOrEqual(t, len(k.kept), maxKept+1)
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -18,7 +18,7 @@
 	"lichenshelf/fleet/agent"
 )
 
-// fleetCommand looks at a running router's part in its fleet.
+// fleetCommand shows the fleet as seen by a running router.
 func fleetCommand() *cli.Command {
 	at := &cli.StringFlag{Name: "operator", Usage: "the router's operator `ADDRESS`, as its fleet.toml names it", Required: true}
 	page := func(name, usage string, print func(io.Writer, []byte) error) *cli.Command {
@@ -26,21 +26,21 @@
 			return show(ctx, c, name, print)
 		}}
 	}
-	return &cli.Command{Name: "fleet", Usage: "look at what a running router shares with the others", Commands: []*cli.Command{
-		page("members", "which routers are there, as this one sees it", showRouters),
-		page("budgets", "what may be spent, what is lent and borrowed, and what is left if the links go", showBudgets),
-		{Name: "worker", Usage: "what is known of one worker, and who judges it", ArgsUsage: "NAME", Flags: []cli.Flag{at},
+	return &cli.Command{Name: "fleet", Usage: "show what a running router shares with the others", Commands: []*cli.Command{
+		page("members", "show the routers of the fleet and their states, as seen by this one", showRouters),
+		page("budgets", "show the budgets, what is lent and borrowed, and what remains if the links fail", showBudgets),
+		{Name: "worker", Usage: "show the state of one worker, and which routers judge it", ArgsUsage: "NAME", Flags: []cli.Flag{at},
 			Action: func(ctx context.Context, c *cli.Command) error {
 				if c.Args().Len() != 1 {
 					return fmt.Errorf("fleet worker: %d names given, one is needed", c.Args().Len())
 				}
 				return show(ctx, c, "worker/"+url.PathEscape(c.Args().First()), showWorker)
 			}},
-		page("links", "the links to the other routers", showLinks),
+		page("links", "show the links to the other routers", showLinks),
 	}}
 }
 
-// show prints a page of the router's.
+// show fetches a page from the router's operator address and prints it.
 func show(ctx context.Context, c *cli.Command, name string, print func(io.Writer, []byte) error) error {
 	text, err := fetch(ctx, "http://"+c.String("operator")+"/v1/fleet/"+name)
 	if err != nil {
@@ -76,11 +76,12 @@
 	return nil
 }
 
-const mostPage = 4 << 20
+const maxPageBytes = 4 << 20
 
 func fetch(ctx context.Context, url string) ([]byte, error) { return operate(ctx, http.MethodGet, url) }
 
-// operate makes a call at an operator's address and returns the answer, 5 s later at the latest; another status than 200 is an error.
+// operate makes a call to an operator's address and returns the body of the answer. It fails after
+// 5 s, or if the status is not 200.
 func operate(ctx context.Context, method, url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -93,7 +94,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostPage))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -112,12 +113,12 @@
 	switch {
 	case p.Fenced:
 		state = "fenced: a later process has this name"
-	case p.Deaf:
+	case p.Isolated:
 		state = "deaf: hears less than half of the others, calls nobody silent"
 	}
-	fmt.Fprintf(w, "fleet %s\nROUTER\tSTATE\tNEWS\tDOUBTED BY\tLIFE\n%s (this)\t%s\t-\t-\t%d\n", p.Fleet, p.Self, state, p.Life)
+	fmt.Fprintf(w, "fleet %s\nROUTER\tSTATE\tNEWS\tDOUBTED BY\tLIFE\n%s (this)\t%s\t-\t-\t%d\n", p.Fleet, p.Self, state, p.Incarnation)
 	for _, r := range p.Routers {
-		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\n", r.Name, r.State, r.AgeS, r.Doubts, r.Life)
+		fmt.Fprintf(w, "%s\t%s\t%.1f s ago\t%d\t%d\n", r.Name, r.State, r.AgeS, r.Suspicions, r.Incarnation)
 	}
 	return nil
 }
@@ -136,7 +137,7 @@
 		case l.Unsure:
 			note = "just started: the floor alone"
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\t%s\t%.1f s\t%s\n", l.Key, l.Limit, l.Rate, l.Demand, l.IfCut, l.Floor,
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\t%s\t%.1f s\t%s\n", l.Key, l.Limit, l.Rate, l.Demand, l.IsolatedRate, l.Floor,
 			loans(l.Lent), loans(l.Borrowed), l.EndsS, note)
 	}
 	return nil
@@ -166,8 +167,8 @@
 		return fmt.Sprintf("%.1f s ago", s)
 	}
 	for _, l := range lines {
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%s\t%d\t%s\n", l.Name, l.Addr, l.Connected, l.Sent, ago(l.TakenS), l.Heard,
-			ago(l.HeardS), l.Dropped, l.Fault)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%d\t%s\t%d\t%s\n", l.Name, l.Addr, l.Connected, l.Sent, ago(l.AckedS), l.Received,
+			ago(l.ReceivedS), l.Dropped, l.Fault)
 	}
 	return nil
 }
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -19,29 +19,29 @@
 	"lichenshelf/internal/daemon"
 )
 
-// gather is how long changes are gathered before they are shown.
-const gather = 100 * time.Millisecond
+// coalesceDelay is how long changes are collected before the set is printed again.
+const coalesceDelay = 100 * time.Millisecond
 
 func membersCommand(log *logrus.Logger, common []cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name:  "members",
-		Usage: "ask the sources, as a router would, and show the workers and why each is in or out",
+		Usage: "query the sources, as a router would, and show the workers and why each is in or out",
 		Flags: append([]cli.Flag{
 			&cli.StringFlag{Name: "front", Value: sources.ModelAPI, Usage: "whose workers: `FRONT` is modelapi or platform"},
-			&cli.BoolFlag{Name: "watch", Usage: "go on and show the set again at each change"},
-			&cli.BoolFlag{Name: "json", Usage: "one JSON object a line"},
-			&cli.DurationFlag{Name: "wait", Value: 10 * time.Second, Usage: "for sources that have not spoken"},
+			&cli.BoolFlag{Name: "watch", Usage: "keep running and show the set again at each change"},
+			&cli.BoolFlag{Name: "json", Usage: "print one JSON object per line"},
+			&cli.DurationFlag{Name: "wait", Value: 10 * time.Second, Usage: "how long to wait for sources that have not reported"},
 		}, common...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			log.SetLevel(logrus.WarnLevel) // the set itself shows what changes
+			log.SetLevel(logrus.WarnLevel) // the printed set itself shows changes
 			if c.IsSet("log-level") {
 				if err := setLevel(log, c); err != nil {
 					return err
 				}
 			}
-			feed, err := daemon.Look(ctx, c.String("front"), files(c), log)
+			feed, err := daemon.StartSources(ctx, c.String("front"), files(c), log)
 			if err != nil {
 				return err
 			}
@@ -50,12 +50,12 @@
 	}
 }
 
-// showMembers shows the set once all sources have spoken or failed, or the wait is over.
+// showMembers prints the set once all sources have reported or failed, or the wait is over.
 func showMembers(ctx context.Context, w io.Writer, feed *sources.Feed, watch, asJSON bool, wait time.Duration) error {
-	over := time.After(wait)
+	deadline := time.After(wait)
 	for settled := false; ; {
 		from, workers, changed := feed.View()
-		if settled || allHeard(from) {
+		if settled || allReported(from) {
 			settled = true
 			v := newView(time.Now(), from, workers)
 			if err := v.print(w, asJSON); err != nil {
@@ -68,10 +68,10 @@
 		select {
 		case <-changed:
 			select {
-			case <-time.After(gather):
+			case <-time.After(coalesceDelay):
 			case <-ctx.Done():
 			}
-		case <-over:
+		case <-deadline:
 			settled = true
 		case <-ctx.Done():
 		}
@@ -81,16 +81,16 @@
 	}
 }
 
-func allHeard(from []membership.SourceView) bool {
+func allReported(from []membership.SourceView) bool {
 	for _, s := range from {
-		if !s.Spoken && !s.Stale {
+		if !s.Reported && !s.Stale {
 			return false
 		}
 	}
 	return true
 }
 
-// view is the set as it is shown.
+// view is the printed form of the set.
 type view struct {
 	At      time.Time    `json:"at"`
 	Sources []sourceView `json:"sources"`
@@ -100,7 +100,7 @@
 type sourceView struct {
 	Name     string `json:"name"`
 	State    string `json:"state"`  // waiting, good, stale or expired
-	AgeMs    int64  `json:"age_ms"` // since its last word; -1: it has not spoken
+	AgeMs    int64  `json:"age_ms"` // since its last report; -1: none yet
 	Workers  int    `json:"workers"`
 	Held     int    `json:"held"`
 	Damped   int    `json:"damped"`
@@ -109,21 +109,21 @@
 }
 
 type workerView struct {
-	Name     string     `json:"name"`
-	Addr     string     `json:"addr,omitempty"`
-	State    string     `json:"state"` // serving, draining or out
-	Reason   string     `json:"reason"`
-	By       string     `json:"by,omitempty"`
-	Weight   float64    `json:"weight,omitempty"`
-	Cell     int        `json:"cell"`
-	SinceMs  int64      `json:"since_ms"`
-	Conflict []string   `json:"conflict,omitempty"` // the addresses that are listed
-	Words    []wordView `json:"words"`
+	Name     string       `json:"name"`
+	Addr     string       `json:"addr,omitempty"`
+	State    string       `json:"state"` // serving, draining or out
+	Reason   string       `json:"reason"`
+	By       string       `json:"by,omitempty"`
+	Weight   float64      `json:"weight,omitempty"`
+	Cell     int          `json:"cell"`
+	SinceMs  int64        `json:"since_ms"`
+	Conflict []string     `json:"conflict,omitempty"` // the conflicting addresses
+	Reports  []reportView `json:"words"`
 }
 
-type wordView struct {
+type reportView struct {
 	Source string `json:"source"`
-	Word   string `json:"word"`
+	Status string `json:"word"`
 	Addr   string `json:"addr,omitempty"`
 	AgeMs  int64  `json:"age_ms"`
 	Held   bool   `json:"held,omitempty"`
@@ -140,27 +140,27 @@
 			o.State = "expired"
 		case s.Stale:
 			o.State = "stale"
-		case !s.Spoken:
+		case !s.Reported:
 			o.State = "waiting"
 		}
 		o.AgeMs = -1
-		if s.Spoken {
-			o.AgeMs = now.Sub(s.LastWord).Milliseconds()
+		if s.Reported {
+			o.AgeMs = now.Sub(s.LastReport).Milliseconds()
 		}
 		v.Sources = append(v.Sources, o)
 	}
 	for _, m := range workers {
 		o := workerView{Name: m.Name, State: "out", Reason: m.Reason.String(), By: m.By, Conflict: m.Conflict}
-		if m.In {
+		if m.Served {
 			o.State = "serving"
 			if m.Member.Draining {
 				o.State = "draining"
 			}
 			o.Addr, o.Weight, o.Cell, o.SinceMs = m.Member.Addr, m.Member.Weight, m.Member.Cell, m.Member.Since/1e6
 		}
-		for _, word := range m.Words {
-			o.Words = append(o.Words, wordView{Source: word.Source, Word: word.Entry.Word.String(), Addr: word.Entry.Addr,
-				AgeMs: now.Sub(word.At).Milliseconds(), Held: word.Held, Damped: word.Damped, Stale: word.Stale})
+		for _, l := range m.Listings {
+			o.Reports = append(o.Reports, reportView{Source: l.Source, Status: l.Entry.Status.String(), Addr: l.Entry.Addr,
+				AgeMs: now.Sub(l.At).Milliseconds(), Held: l.Held, Damped: l.Damped, Stale: l.Stale})
 		}
 		v.Workers = append(v.Workers, o)
 	}
@@ -190,20 +190,20 @@
 		if len(m.Conflict) > 0 {
 			why += ", listed at " + strings.Join(m.Conflict, " and ")
 		}
-		var words []string
-		for _, x := range m.Words {
-			word := x.Source + ": " + x.Word
+		var reports []string
+		for _, x := range m.Reports {
+			report := x.Source + ": " + x.Status
 			for _, mark := range []struct {
 				set  bool
 				text string
 			}{{x.Held, " held"}, {x.Damped, " damped"}, {x.Stale, " stale"}} {
 				if mark.set {
-					word += mark.text
+					report += mark.text
 				}
 			}
-			words = append(words, word)
+			reports = append(reports, report)
 		}
-		fmt.Fprintf(&out, "%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, m.Addr, why, strings.Join(words, ", "))
+		fmt.Fprintf(&out, "%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, m.Addr, why, strings.Join(reports, ", "))
 	}
 	if _, err := io.WriteString(t, out.String()); err != nil {
 		return err
--- a/lab/demo/plot.go
+++ b/lab/demo/plot.go
@@ -15,39 +15,40 @@
 	"lichenshelf/lab/emulator"
 )
 
-// colours of the fates, in their order.
+// colours has the line colour of each outcome.
 var colours = []color.Color{
 	color.RGBA{R: 30, G: 120, B: 60, A: 255}, color.RGBA{R: 200, G: 60, B: 40, A: 255}, color.RGBA{R: 220, G: 160, B: 20, A: 255},
 	color.RGBA{R: 120, G: 20, B: 110, A: 255}, color.RGBA{A: 255}, color.RGBA{R: 90, G: 90, B: 90, A: 255},
 }
 
-// plot writes a picture: requests by fate, and first tokens, by second.
+// plot writes a PNG with two plots by second: the requests by outcome, and the time of first
+// tokens.
 func (r *Report) plot(path string) error {
-	fates, first := plot.New(), plot.New()
-	fates.Title.Text, first.Title.Text = "requests a second by fate", "first token, ms"
+	outcomes, first := plot.New(), plot.New()
+	outcomes.Title.Text, first.Title.Text = "requests a second by fate", "first token, ms"
 	first.X.Label.Text = "seconds"
-	for f := range emulator.Fates {
+	for f := range emulator.NumOutcomes {
 		points := make(plotter.XYs, len(r.Seconds))
-		some := false
+		seen := false
 		for i, s := range r.Seconds {
-			points[i] = plotter.XY{X: float64(i), Y: float64(s.Fates[f])}
-			some = some || s.Fates[f] > 0
+			points[i] = plotter.XY{X: float64(i), Y: float64(s.Outcomes[f])}
+			seen = seen || s.Outcomes[f] > 0
 		}
-		if !some {
+		if !seen {
 			continue
 		}
-		if err := add(fates, points, emulator.Fate(f).String(), colours[f]); err != nil {
+		if err := addLine(outcomes, points, emulator.Outcome(f).String(), colours[f]); err != nil {
 			return err
 		}
 	}
 	for i, q := range []float64{50, 99} {
 		var points plotter.XYs
 		for at, s := range r.Seconds {
-			if s.First.TotalCount() > 0 {
-				points = append(points, plotter.XY{X: float64(at), Y: ms(s.First, q)})
+			if s.FirstToken.TotalCount() > 0 {
+				points = append(points, plotter.XY{X: float64(at), Y: ms(s.FirstToken, q)})
 			}
 		}
-		if err := add(first, points, fmt.Sprintf("p%.0f", q), colours[i]); err != nil {
+		if err := addLine(first, points, fmt.Sprintf("p%.0f", q), colours[i]); err != nil {
 			return err
 		}
 	}
@@ -55,9 +56,9 @@
 	for _, m := range r.marks {
 		notes = append(notes, fmt.Sprintf("%.0f s: %s", m.at, m.text))
 	}
-	fates.X.Label.Text = strings.Join(notes, "; ")
+	outcomes.X.Label.Text = strings.Join(notes, "; ")
 	img := vgimg.New(24*vg.Centimeter, 16*vg.Centimeter)
-	plots := [][]*plot.Plot{{fates}, {first}}
+	plots := [][]*plot.Plot{{outcomes}, {first}}
 	for i, row := range plot.Align(plots, draw.Tiles{Rows: 2, Cols: 1, PadY: vg.Centimeter / 2}, draw.New(img)) {
 		plots[i][0].Draw(row[0])
 	}
@@ -72,7 +73,7 @@
 	return f.Close()
 }
 
-func add(p *plot.Plot, points plotter.XYs, name string, c color.Color) error {
+func addLine(p *plot.Plot, points plotter.XYs, name string, c color.Color) error {
 	if len(points) == 0 {
 		return nil
 	}
--- a/test/hand_test.go
+++ b/test/hand_test.go
@@ -11,37 +11,37 @@
 	"lichenshelf/internal/standin/syscalls"
 )
 
-// What an operator takes out at one process is out at the other one of an upgrade too, also where that could open no file
-// for a moment just then.
-func TestAWorkerOutByHandStaysOutWhereNoFileOpensForAMoment(t *testing.T) {
+// During an upgrade, a worker that an operator suspends at one process must be suspended at the
+// other one too, even if that process can't open files for a moment.
+func TestSuspensionReachesProcessThatCannotOpenFiles(t *testing.T) {
 	r, w := pair(t, nil)
 	out := newWorker(t, "s-00000003", "writer", nil)
 	d := newDiscovery(t)
-	d.list(true, "in_service", r, w, out)
+	d.addList(true, "in_service", r, w, out)
 	addr, first, second := ownAddr(t), ownAddr(t), ownAddr(t)
 	env := []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "TMPDIR=" + t.TempDir(), "ROUTER_DISCOVERY=" + d.Listener.Addr().String(),
 		"ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)}
 	old := start(t, addr, append(env, "ROUTER_CONSOLE="+first), "serve").waitReady()
-	next, faults := startTrapped(t, []int{syscalls.Openat}, addr, append(env, "ROUTER_CONSOLE="+second), "serve")
+	next, faults := startWithFaults(t, []int{syscalls.Openat}, addr, append(env, "ROUTER_CONSOLE="+second), "serve")
 	operator := &program{t: t, addr: second}
 	eventually(t, func() bool { return operator.status(http.MethodGet, "/v1/readyz") == 200 }, "the new process is ready")
 
 	faults.Set(syscalls.Always(syscall.ENFILE, syscalls.Openat))
 	operator.addr = first
 	require.Equal(t, 200, operator.status(http.MethodPost, "/v1/workers/s-00000003/suspend"))
-	eventually(t, func() bool { return faults.Failed(syscalls.Openat) > 0 }, "the new process has looked, and could not")
+	eventually(t, func() bool { return faults.Failed(syscalls.Openat) > 0 }, "the new process has failed to open the file")
 	faults.Set(nil)
-	time.Sleep(time.Second) // within it the operator's yes binds everywhere
+	time.Sleep(time.Second) // the suspension must be effective everywhere by then
 	old.signal(syscall.SIGTERM)
 	old.waitExit()
 	for range 30 {
 		require.Equal(t, http.StatusOK, next.ask("query", newID(), patience).status)
 	}
-	require.Zero(t, posts(out))
+	require.Zero(t, countPosts(out))
 }
 
-// Sockets that can't be had for a moment delay a start, and don't end it.
-func TestAStartOutlivesFailedSockets(t *testing.T) {
+// Socket, bind and listen calls that fail for one second must delay a start and not end it.
+func TestStartRetriesFailedSockets(t *testing.T) {
 	for name, c := range map[string]struct {
 		call  int
 		errno syscall.Errno
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, w := pair(t, nil)
 			d := newDiscovery(t)
-			d.list(true, "in_service", r, w)
+			d.addList(true, "in_service", r, w)
 			addr, console := ownAddr(t), ownAddr(t)
 			cmd, faults, err := syscalls.Command([]int{c.call}, binary, "serve")
 			require.NoError(t, err)
@@ -68,8 +68,8 @@
 			})
 			p := startCommand(t, cmd, addr, []string{"ROUTER_LISTEN=" + addr, "ROUTER_NAME=n1", "ROUTER_CONSOLE=" + console,
 				"ROUTER_DISCOVERY=" + d.Listener.Addr().String(), "ROUTER_CONFIG=" + config(t, `{"generation":0,"reset":true,"instances":[]}`, connIdle)})
-			for from := time.Now(); time.Since(from) < 10*time.Second && p.status(http.MethodGet, "/healthz") != 200; time.Sleep(soon) {
-				p.running()
+			for from := time.Now(); time.Since(from) < 10*time.Second && p.status(http.MethodGet, "/healthz") != 200; time.Sleep(pollInterval) {
+				p.requireRunning()
 			}
 			require.Equal(t, http.StatusOK, p.ask("query", newID(), patience).status)
 			require.Equal(t, http.StatusOK, (&program{t: t, addr: console}).status(http.MethodGet, "/v1/readyz"))
